--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,78 +1,131 @@
-//! All decisions; the interface is `src/api.rs`. Ordinary path, after Živković and van den Berg: the first
-//! route has the best plain-waiting payoff, and a watchdog θ cuts it for one fail-over (`docs/design.md`).
+//! Decides what a dispatcher sends, when and to which endpoint. Its interface is `src/api.rs`. On the
+//! ordinary path, after Živković and van den Berg, the first endpoint is the one with the best payoff of
+//! plain waiting, and a watchdog θ cuts the attempt short for one fail-over (`docs/design.md`).
 
 use crate::api::*;
 use crate::curve::Curve;
-use crate::fleet::{self, Share, LINK_GAP, LINK_LEAST, LINK_MEMORY, LINK_SLACK, LINK_WEIGHT};
+use crate::fleet::{
+    self, LimitShare, CONNECTION_FAILURE_WEIGHT, CONNECTION_MEMORY, IDLE_FAILURE_EXCESS, IDLE_LOSS_MARGIN,
+    MIN_IDLE,
+};
 use crate::state::*;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 mod adopt;
-// Samples and payoffs. A ring of aged samples learns a lasting shift within one turn.
-const RING: usize = 32; // samples a route
-const SAMPLE_AGE: Ms = 20_000.0; // older samples say nothing of now
-const OWN_SAMPLES: usize = 2; // of a route; with fewer, all calls of this sender stand in
-const THETA_SAMPLES: usize = 8; // of the first route; with fewer its curve has steps where there are none
-const FIRST_GUESS: Ms = 300.0; // call time before any sample
-const CLEAR_GAIN: f64 = 0.005; // share of payoff by which a watchdog or a route must win
-
-// Retry budget, in retries.
-const RETRY_EARN: f64 = 0.2; // for each first attempt
-const RETRY_START: f64 = 5.0;
-const RETRY_MOST: f64 = 15.0;
-const RETRY_DRIP: f64 = 0.5; // a second, so that a lone message is not stranded
-const NOT_SENT_REST: Ms = 20.0; // for a message that came back unsent: the count of slots was off
-
-// Windows and waits; shares and paces are in `src/fleet.rs`.
-const WINDOW_START: f64 = 2.0; // calls
-const REST_FIRST: Ms = 200.0; // after a refusal that told no wait; doubled with each round
-const REST_MOST: Ms = 2_000.0;
-const REFUSED_AGE: Ms = 1_000.0; // a crowd at a limit is taken to have gathered so long at the first refusal
-
-// Failures, hangs, outages and returns.
-const FAIL_WEIGHT: f64 = 0.3; // of the newest attempt in a route's share of failures
-const FAIL_HALF: Ms = 3_000.0; // half-life of that share
-const FAIL_RESET: f64 = 0.7; // of a failure that a connection which broke counts as
-const FAIL_OUT: f64 = 0.5; // the route is out
-const FAIL_UNSAFE: f64 = 0.2; // unsafe messages stay away
-const SHUT_ROUNDS: u32 = 4; // of refusals without a success: shut
-const HANG_LEAST: Ms = 600.0; // a call is overdue after this,
-const HANG_TIMES: f64 = 3.0; // and so many times its route's slow calls;
-const HANG_UNSAFE: f64 = 2.0; // so many times that for an unsafe message: called off, it is lost
-const SLOTS_SPARE: usize = 4; // one slot of so many is kept free: else overdue calls give theirs up
-const OUTAGE_AGE: Ms = 3_000.0; // an outage is taken to have lasted so long when it is first seen
-const TRIAL_GAP: Ms = 500.0; // between trials of a route that is out, at least
-const RAMP_SHARE: f64 = 0.7; // part of the allowed overload that a returning route is given
-const CROWD_GAP: f64 = 3.0; // times the span in which a crowd gathered at a limit, over which it is spread
-const CROWD_PART: f64 = 0.7; // of what a cold destination may be sent is left to trials
-const CROWD_LEAST: f64 = 1.0; // calls a second, all senders together, that any destination is taken to get
-const DEMAND_PRIOR: f64 = 0.5; // messages by which a destination's count is drawn toward the mean
-
-// The list, room and order.
-const WATCH_GAP: Ms = 500.0; // between two askings for the list after a failure, doubled each time
-const WATCH_GAP_MOST: Ms = 8_000.0;
-const ROOM_SHARE: f64 = 0.9; // of the room is filled before messages are handed back
-const GATHER: f64 = 0.1; // of the promise a message may wait for company in one call
-const PLANS_AHEAD: usize = 6; // messages of a destination that are planned while they cannot go yet
-const RANK_AHEAD: f64 = 0.5; // of the promise: delay by which the stake of a message is judged
-const RANK_WORTH: f64 = 0.1; // part of plain worth in its rank
-const RANK_CALL: Ms = 50.0; // time that any call takes beside its own, when slots are shared out
-
-/// The watchdog θ that maximises E1→2 over (0, d); `None`: none beats waiting. Both curves are steps, so
-/// it lies on a step of the first, or on a place where the payoff falls (`bends`) minus one of the second.
-pub fn watchdog(first: &Curve, second: &Curve, bends: &[Ms], worth: impl Fn(Ms) -> f64) -> Option<Ms> {
+
+// Call time samples and payoffs.
+
+/// Samples kept for each endpoint. Old samples are replaced, so a lasting change of call times is learned
+/// once the ring has turned over.
+const MAX_SAMPLES: usize = 32;
+/// Samples older than this are dropped, because they no longer describe the endpoint.
+const SAMPLE_AGE: Ms = 20_000.0;
+/// With fewer samples of its own, an endpoint is estimated from all calls of this dispatcher.
+const MIN_OWN_SAMPLES: usize = 2;
+/// With fewer samples of the first endpoint there is no watchdog: its curve shows steps that are not there.
+const MIN_WATCHDOG_SAMPLES: usize = 8;
+/// Call time that is assumed before there is any sample.
+const DEFAULT_CALL_TIME: Ms = 300.0;
+/// Share of the payoff by which a watchdog has to beat plain waiting, and one endpoint another.
+const MIN_PAYOFF_GAIN: f64 = 0.005;
+
+// The retry budget.
+
+/// Retries that each first attempt adds to the budget.
+const RETRIES_PER_MESSAGE: f64 = 0.2;
+/// Retries in the budget at the start.
+const INITIAL_RETRIES: f64 = 5.0;
+/// Upper bound of the budget, in retries.
+const MAX_RETRIES: f64 = 15.0;
+/// Retries added every second, so that a lone message can be retried.
+const RETRIES_PER_SECOND: f64 = 0.5;
+/// Delay of a message that came back unsent, which happens when the count of used slots was wrong.
+const NOT_SENT_DELAY: Ms = 20.0;
+
+// Windows and waits. The constants of limit shares and paces are in `src/fleet.rs`.
+
+/// Concurrent calls that a new endpoint may have.
+const INITIAL_WINDOW: f64 = 2.0;
+/// Wait after a refusal without retry-after; doubled with each round of refusals.
+const FIRST_REFUSAL_WAIT: Ms = 200.0;
+/// Upper bound of that wait, and of the wait at a full connection table.
+const MAX_REFUSAL_WAIT: Ms = 2_000.0;
+/// At the first refusal, the dispatchers are assumed to have built up their last_used for this long.
+const LOAD_AGE_AT_REFUSAL: Ms = 1_000.0;
+
+// Failures, overdue calls, outages and recovery.
+
+/// Weight of the newest attempt in the failure rate of an endpoint.
+const FAILURE_WEIGHT: f64 = 0.3;
+/// Half-life of the failure rate.
+const FAILURE_HALF_LIFE: Ms = 3_000.0;
+/// Part of a failure that a connection reset counts as.
+const RESET_FAILURE: f64 = 0.7;
+/// Failure rate from which an endpoint counts as out.
+const OUTAGE_FAILURE_RATE: f64 = 0.5;
+/// Above this failure rate an endpoint gets no at-most-once messages, and half of the slots at most.
+const UNRELIABLE_FAILURE_RATE: f64 = 0.2;
+/// Rounds of refusals without a success after which the limit group counts as out.
+const OUTAGE_REFUSAL_ROUNDS: u32 = 4;
+/// Constant part of the span after which a call is overdue.
+const OVERDUE_BASE: Ms = 600.0;
+/// Multiple of the endpoint's 95th percentile of call times that is added to [`OVERDUE_BASE`].
+const OVERDUE_FACTOR: f64 = 3.0;
+/// Multiple of that span for an at-most-once message, because cancelling its attempt loses the message.
+const AT_MOST_ONCE_OVERDUE_FACTOR: f64 = 2.0;
+/// With at least this many slots, one is kept free: overdue calls are cancelled when no slot is.
+const MIN_SLOTS_FOR_SPARE: usize = 4;
+/// An outage is assumed to have lasted this long when it is first seen.
+const OUTAGE_AGE_WHEN_SEEN: Ms = 3_000.0;
+/// Shortest time between two trials of an endpoint that is out.
+const MIN_TRIAL_GAP: Ms = 500.0;
+/// Share of the allowed overload that a recovered endpoint gets.
+const RAMP_OVERLOAD_SHARE: f64 = 0.7;
+/// After a refusal, the next calls are spread over this multiple of the time in which each dispatcher gets
+/// one call.
+const REFUSAL_SPREAD_FACTOR: f64 = 3.0;
+/// Share of the calls allowed to a cold destination that trials may use.
+const TRIAL_SHARE: f64 = 0.7;
+/// Calls a second, of all dispatchers together, that any destination is assumed to get at least.
+const MIN_DEMAND: f64 = 1.0;
+/// Weight of the mean demand in the estimate for one destination, in messages.
+const DEMAND_PRIOR_WEIGHT: f64 = 0.5;
+
+// The endpoint list, the room for messages and the order of sending.
+
+/// Time between two requests for the endpoint list after a failure; doubled each time.
+const FIRST_LIST_RETRY: Ms = 500.0;
+/// Upper bound of that time.
+const MAX_LIST_RETRY: Ms = 8_000.0;
+/// Share of the allowed held messages above which messages are ended to make room.
+const MAX_HELD_SHARE: f64 = 0.9;
+/// Share of its promise that a message may wait for others to fill a batch.
+const BATCH_WAIT_SHARE: f64 = 0.1;
+/// Messages of a destination that are planned while they cannot be sent yet.
+const MAX_PLANNED_PER_DEST: usize = 6;
+/// The rank of a message is what a delay by this share of its promise would cost.
+const RANK_DELAY_SHARE: f64 = 0.5;
+/// Share of its undelayed worth that is added to the rank of a message.
+const RANK_WORTH_SHARE: f64 = 0.1;
+/// Time that is added to every call time when messages are ranked for the slots.
+const RANK_CALL_OVERHEAD: Ms = 50.0;
+
+/// The watchdog θ that maximises the expected payoff E1→2 over (0, d), where d is the last of `breakpoints`;
+/// `None` if none beats plain waiting. Both curves are step functions, so the best θ lies on a step of the
+/// first, or on a time where the worth falls (`breakpoints`) minus a step of the second.
+pub fn watchdog(first: &Curve, second: &Curve, breakpoints: &[Ms], worth: impl Fn(Ms) -> f64) -> Option<Ms> {
     let plain = first.payoff(&worth);
-    let last = bends.iter().copied().fold(0.0, f64::max);
+    let last = breakpoints.iter().copied().fold(0.0, f64::max);
     let value = |theta: Ms| {
         let before: f64 = first.steps.iter().take_while(|s| s.0 <= theta).map(|s| s.1 * worth(s.0)).sum();
         before + first.survival(theta) * second.payoff(|t| worth(theta + t))
     };
     let firsts = first.steps.iter().map(|s| s.0 + 1.0);
-    let seconds = bends.iter().flat_map(|b| second.steps.iter().map(move |s| b - s.0));
+    let seconds = breakpoints.iter().flat_map(|b| second.steps.iter().map(move |s| b - s.0));
     let mut best: Option<(f64, Ms)> = None;
     for theta in firsts.chain(seconds).filter(|t| *t > 0.0 && *t < last) {
         let v = value(theta);
-        let better = best.map_or(v > plain * (1.0 + CLEAR_GAIN) + 1e-9, |(w, at)| {
+        let better = best.map_or(v > plain * (1.0 + MIN_PAYOFF_GAIN) + 1e-9, |(w, at)| {
             v > w + 1e-9 || (v > w - 1e-9 && theta > at)
         });
         if better {
@@ -82,76 +135,90 @@
     best.map(|b| b.1)
 }
 
-/// One sender's decisions. Give it each batch of events with [`Brain::step`].
+/// The decisions of one dispatcher. Pass each batch of events to [`Brain::step`].
 #[derive(Debug, Default)]
 pub struct Brain {
-    s: Settings,
+    settings: Settings,
     random: Random,
-    routes: BTreeMap<RouteId, Route>,
+    /// Every endpoint that is listed, or was until lately.
+    endpoints: BTreeMap<RouteId, Endpoint>,
+    /// The endpoints of each destination.
     dests: BTreeMap<DestId, Vec<RouteId>>,
-    units: Vec<Unit>,
-    unit_of: BTreeMap<(DestId, Option<RouteId>), usize>,
-    free_units: Vec<usize>,
-    held: BTreeMap<MsgId, Held>,
-    keys: Keys,
+    groups: Vec<LimitGroup>,
+    /// Index in `groups` by destination, and by endpoint where that has a limit of its own.
+    group_of: BTreeMap<(DestId, Option<RouteId>), usize>,
+    /// Indices in `groups` that are not in use.
+    free_groups: Vec<usize>,
+    held: BTreeMap<MsgId, HeldMessage>,
+    keys: KeyQueues,
+    /// Calls that are outstanding.
     calls: BTreeMap<u64, Call>,
-    open: BTreeMap<RouteId, u64>,
+    /// Calls of the present step, which further messages to the same endpoint may join.
+    open_calls: BTreeMap<RouteId, u64>,
     next_call: u64,
-    retry: Bucket,
-    seen: Samples,
-    guess: Samples,
+    /// The retry budget.
+    retry: TokenBucket,
+    /// Answered calls of all endpoints.
+    all_samples: Samples,
+    /// Stands in before any call was answered.
+    default_samples: Samples,
     mean_worth: f64,
-    wanted: Wanted,
-    links: Links,
-    done: BTreeSet<RouteId>,
-    quota: Vec<Bucket>,
+    demand: Demand,
+    connections: ConnectionStats,
+    /// Endpoints whose idle connections are to be checked at the end of the step.
+    idle_candidates: BTreeSet<RouteId>,
+    /// What each tenant may still send at full worth.
+    quota: Vec<TokenBucket>,
+    /// When to request the endpoint list next.
     watch_at: Option<Ms>,
     watch_gap: Ms,
+    /// When the next step is needed.
     wake: Cell<Ms>,
-    armed: Option<Ms>,
-    /// Keys of messages that were ended here, whose clients have not heard of it.
-    owed: BTreeMap<MsgId, u64>,
+    /// When the timer that was requested last is due.
+    timer_at: Option<Ms>,
+    /// Messages that were ended here and whose clients have not confirmed the final answer, with their keys.
+    unconfirmed_ends: BTreeMap<MsgId, u64>,
     closing: Option<Ms>,
 }
 
 impl Brain {
-    /// A sender that knows its settings and nothing else yet.
+    /// A dispatcher that knows its settings and nothing else yet.
     pub fn new(s: Settings) -> Brain {
         let mean = s.classes.iter().map(|c| c.worth).sum::<f64>() / s.classes.len().max(1) as f64;
         Brain {
             random: Random::new(s.seed),
-            quota: vec![Bucket::default(); s.tenant_quota.len()],
+            quota: vec![TokenBucket::default(); s.tenant_quota.len()],
             watch_at: s.list_on_request.then_some(f64::MIN),
-            watch_gap: WATCH_GAP,
-            retry: Bucket { level: RETRY_START, at: f64::MAX },
+            watch_gap: FIRST_LIST_RETRY,
+            retry: TokenBucket { level: INITIAL_RETRIES, at: f64::MAX },
             mean_worth: mean,
-            guess: Samples::one(FIRST_GUESS),
-            s,
+            default_samples: Samples::single(DEFAULT_CALL_TIME),
+            settings: s,
             ..Brain::default()
         }
     }
 
-    /// Takes the events of one batch and appends what is to be done.
+    /// Handles one batch of events and appends the actions that follow.
     pub fn step(&mut self, now: Ms, events: &[Event], out: &mut Vec<Action>) {
         self.wake.set(f64::MAX);
-        self.open.clear();
-        self.wanted.since.get_or_insert(now);
-        self.retry.fill(now, RETRY_DRIP, RETRY_MOST);
+        self.open_calls.clear();
+        self.demand.since.get_or_insert(now);
+        self.retry.refill(now, RETRIES_PER_SECOND, MAX_RETRIES);
         for e in events {
-            self.take(now, e, out);
+            self.handle_event(now, e, out);
         }
-        self.ask_for_list(now, out);
-        self.spot_hangs(now, out);
-        self.expire(now, out);
+        self.request_list(now, out);
+        self.detect_hangs(now, out);
+        self.end_expired(now, out);
         self.make_room(now, out);
         self.dispatch(now, out);
-        self.probe(now, out);
+        self.send_probes(now, out);
         self.close_idle(now, out);
         let wake = self.wake.get();
-        if wake < f64::MAX && self.armed.is_none_or(|a| wake < a - 0.5) {
-            let at = wake.max(now + self.s.round);
+        if wake < f64::MAX && self.timer_at.is_none_or(|a| wake < a - 0.5) {
+            let at = wake.max(now + self.settings.round);
             out.push(Action::Timer { at, token: 0 });
-            self.armed = Some(at);
+            self.timer_at = Some(at);
         }
     }
 
@@ -159,190 +226,202 @@
         self.wake.set(self.wake.get().min(t));
     }
 
-    fn take(&mut self, now: Ms, e: &Event, out: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Ms, e: &Event, out: &mut Vec<Action>) {
         match e {
-            Event::List { rows, whole, cached } => self.list(now, rows, *whole, *cached),
+            Event::List { rows, whole, cached } => self.update_list(now, rows, *whole, *cached),
             Event::ListFailed => {
                 let again = now + self.watch_gap * self.random.between(0.85, 1.15);
-                self.watch_at = self.s.list_on_request.then_some(again);
-                self.watch_gap = (self.watch_gap * 2.0).min(WATCH_GAP_MOST);
+                self.watch_at = self.settings.list_on_request.then_some(again);
+                self.watch_gap = (self.watch_gap * 2.0).min(MAX_LIST_RETRY);
             }
-            Event::Arrived(m) => self.arrived(now, m, out),
+            Event::Arrived(m) => self.accept_message(now, m, out),
             Event::Restarted => {
-                self.keys.rest_all(now + self.s.key_quiet);
-                self.units.iter_mut().for_each(|u| u.share = Share::begin(true, self.random.next()));
+                self.keys.set_quiet_all(now + self.settings.key_quiet);
+                self.groups.iter_mut().for_each(|g| g.share = LimitShare::new(true, self.random.next()));
             }
-            Event::Resumed(r) => self.resumed(now, r, out),
+            Event::Resumed(resumed) => self.resume_message(now, resumed, out),
             Event::Heard(id) => {
-                self.owed.remove(id).into_iter().for_each(|k| self.keys.leave(k, *id));
+                self.unconfirmed_ends.remove(id).into_iter().for_each(|k| self.keys.leave(k, *id));
             }
             Event::Closing(at) => self.closing = Some(*at),
-            Event::Ended(e) => self.ended(now, e, out),
-            Event::Probed { route, outcome, report, .. } => self.probed(now, *route, *outcome, report),
-            Event::Room { route, calls, again, links } => {
-                let Some(r) = self.routes.get_mut(route) else { return };
-                r.links = Some(*links).filter(|l| *l < u32::MAX);
-                self.units[r.unit].room = Some((*calls, *again)).filter(|c| c.0 < u32::MAX);
+            Event::Ended(e) => self.attempt_ended(now, e, out),
+            Event::Probed { route: endpoint, outcome, report, .. } => {
+                self.probe_ended(now, *endpoint, *outcome, report)
+            }
+            Event::Room { route: endpoint, calls, again, links } => {
+                let Some(ep) = self.endpoints.get_mut(endpoint) else { return };
+                ep.connection_limit = Some(*links).filter(|l| *l < u32::MAX);
+                self.groups[ep.group].room = Some((*calls, *again)).filter(|c| c.0 < u32::MAX);
             }
-            Event::ClientGone(id) => self.end(*id),
-            Event::Timer(_) => self.armed = self.armed.filter(|a| *a > now + 0.5),
+            Event::ClientGone(id) => self.end_message(*id),
+            Event::Timer(_) => self.timer_at = self.timer_at.filter(|a| *a > now + 0.5),
         }
     }
 
-    /// Subscribes at the start and again whenever the subscription may be gone.
-    fn ask_for_list(&mut self, now: Ms, out: &mut Vec<Action>) {
+    /// Subscribes to the endpoint list at the start, and again whenever the subscription may be lost.
+    fn request_list(&mut self, now: Ms, out: &mut Vec<Action>) {
         if let Some(at) = self.watch_at {
             if at <= now {
                 out.push(Action::Watch);
-                // Unanswered, it is asked for once more within the span that the rules allow.
-                self.watch_at = Some(now + self.s.ask_within.max(WATCH_GAP_MOST));
+                // Without an answer, the list is requested again within the span that the settings allow.
+                self.watch_at = Some(now + self.settings.ask_within.max(MAX_LIST_RETRY));
             }
             self.watch_at.iter().for_each(|t| self.wake_at(*t));
         }
     }
 
-    fn list(&mut self, now: Ms, rows: &[Row], whole: bool, cached: bool) {
+    fn update_list(&mut self, now: Ms, rows: &[Row], whole: bool, cached: bool) {
         if !cached {
             self.watch_at = None;
-            self.watch_gap = WATCH_GAP;
+            self.watch_gap = FIRST_LIST_RETRY;
         }
         if whole {
-            self.routes
+            self.endpoints
                 .values_mut()
-                .for_each(|r| r.list(now, Row { listing: Listing::Gone, ..r.row.clone() }));
+                .for_each(|ep| ep.update_listing(now, Row { listing: Listing::Gone, ..ep.row.clone() }));
         }
         for row in rows {
-            if let Some(r) = self.routes.get_mut(&row.route) {
-                r.list(now, row.clone());
+            if let Some(ep) = self.endpoints.get_mut(&row.route) {
+                ep.update_listing(now, row.clone());
                 continue;
             }
-            let apart = self.s.kind(row.kind).apart;
-            let (units, free) = (&mut self.units, &mut self.free_units);
-            let unit = *self.unit_of.entry((row.dest, apart.then_some(row.route))).or_insert_with(|| {
+            let apart = self.settings.kind(row.kind).apart;
+            let (groups, free) = (&mut self.groups, &mut self.free_groups);
+            let group = *self.group_of.entry((row.dest, apart.then_some(row.route))).or_insert_with(|| {
                 free.pop().unwrap_or_else(|| {
-                    units.push(Unit::default());
-                    units.len() - 1
+                    groups.push(LimitGroup::default());
+                    groups.len() - 1
                 })
             });
-            if units[unit].routes == 0 {
-                units[unit] = Unit::new(row.dest, now);
-                // Who has messages waiting for it is not the only one.
-                let waited = self.held.values().any(|h| h.m.dest == row.dest);
-                units[unit].share = Share::begin(waited, self.random.next());
+            if groups[group].endpoint_count == 0 {
+                groups[group] = LimitGroup::new(row.dest, now);
+                // If messages wait for this destination here, they do at other dispatchers as well.
+                let has_pending = self.held.values().any(|h| h.message.dest == row.dest);
+                groups[group].share = LimitShare::new(has_pending, self.random.next());
             }
-            units[unit].routes += 1;
-            if self.s.weights != Weights::None && row.weight > 0.0 {
-                (self.units[unit].limit, self.units[unit].told) = (Some(row.weight), true);
+            groups[group].endpoint_count += 1;
+            if self.settings.weights != Weights::None && row.weight > 0.0 {
+                (self.groups[group].limit, self.groups[group].limit_reported) = (Some(row.weight), true);
             }
             self.dests.entry(row.dest).or_default().push(row.route);
-            self.routes.insert(row.route, Route::new(row.clone(), unit, WINDOW_START, now));
+            self.endpoints.insert(row.route, Endpoint::new(row.clone(), group, INITIAL_WINDOW, now));
         }
         self.prune(now);
     }
 
-    /// Guards against growth where ids are new each time: a route gone for long is forgotten with all that
-    /// was its own, and so is a destination without routes.
+    /// Removes endpoints that have long been off the list, with all that is known of them, and destinations
+    /// without endpoints. Without this, memory would grow where the registry uses new ids each time.
     fn prune(&mut self, now: Ms) {
-        let over = |r: &Route| r.calls == 0 && r.gone.is_some_and(|t| now - t >= GONE_KEPT);
-        let due: Vec<RouteId> = self.routes.iter().filter(|(_, r)| over(r)).map(|(id, _)| *id).collect();
+        let removable = |ep: &Endpoint| ep.calls == 0 && ep.delisted_at.is_some_and(|t| now - t >= GONE_KEPT);
+        let due: Vec<RouteId> =
+            self.endpoints.iter().filter(|(_, ep)| removable(ep)).map(|(id, _)| *id).collect();
         for id in due {
-            let Some(r) = self.routes.remove(&id) else { continue };
-            self.dests.entry(r.row.dest).and_modify(|ids| ids.retain(|x| *x != id));
-            self.units[r.unit].routes -= 1;
-            if self.units[r.unit].routes == 0 {
-                self.unit_of.retain(|_, u| *u != r.unit);
-                self.free_units.push(r.unit);
+            let Some(ep) = self.endpoints.remove(&id) else { continue };
+            self.dests.entry(ep.row.dest).and_modify(|ids| ids.retain(|x| *x != id));
+            self.groups[ep.group].endpoint_count -= 1;
+            if self.groups[ep.group].endpoint_count == 0 {
+                self.group_of.retain(|_, g| *g != ep.group);
+                self.free_groups.push(ep.group);
             }
         }
         self.dests.retain(|_, ids| !ids.is_empty());
-        self.wanted.keep(|dest| self.dests.contains_key(dest));
+        self.demand.retain(|dest| self.dests.contains_key(dest));
     }
 
-    fn arrived(&mut self, now: Ms, m: &Message, out: &mut Vec<Action>) {
+    fn accept_message(&mut self, now: Ms, m: &Message, out: &mut Vec<Action>) {
         if self.held.contains_key(&m.id) {
             return;
         }
-        let Some(class) = self.s.classes.get(m.class) else {
+        let Some(class) = self.settings.classes.get(m.class) else {
             return out.push(Action::Fail(m.id));
         };
         if self.dests.contains_key(&m.dest) {
-            self.wanted.add(m.dest);
+            self.demand.add(m.dest);
         }
         self.mean_worth += 0.01 * (class.worth - self.mean_worth);
         if let Some(k) = m.key.filter(|_| class.in_order) {
             self.keys.enter(now, k, m.id);
         }
-        let born = if self.s.marks_again && !m.again { now } else { m.valid_until - class.deadline };
-        let share = self.tenant_share(now, m.tenant);
-        let fresh = Held { m: m.clone(), arrived: now, born, share, ..Held::default() };
-        self.held.insert(m.id, Held { not_before: now, ..fresh });
-    }
-
-    /// Guards against a restart that forgets what may have run: such a message keeps its attempts and its
-    /// group, its key rests, and one whose end was decided holds its key until that has been heard.
-    fn resumed(&mut self, now: Ms, r: &Resumed, out: &mut Vec<Action>) {
-        let (id, key) = (r.message.id, r.message.key);
-        if !r.ended {
-            self.arrived(now, &r.message, out);
-            self.held.entry(id).and_modify(|h| (h.attempts, h.ran) = (r.attempts, r.ran));
+        let age_from =
+            if self.settings.marks_again && !m.again { now } else { m.valid_until - class.deadline };
+        let worth_share = self.tenant_share(now, m.tenant);
+        let fresh =
+            HeldMessage { message: m.clone(), arrived: now, age_from, worth_share, ..HeldMessage::default() };
+        self.held.insert(m.id, HeldMessage { not_before: now, ..fresh });
+    }
+
+    /// Takes over a message of an earlier process. A restart must not forget what may have run: such a
+    /// message keeps its attempts and its deduplication group, and its key has a quiet period. A message
+    /// whose end was decided keeps its place in its key's queue until the client has confirmed the final
+    /// answer.
+    fn resume_message(&mut self, now: Ms, resumed: &Resumed, out: &mut Vec<Action>) {
+        let (id, key) = (resumed.message.id, resumed.message.key);
+        if !resumed.ended {
+            self.accept_message(now, &resumed.message, out);
+            self.held.entry(id).and_modify(|h| (h.attempts, h.ran) = (resumed.attempts, resumed.ran));
         } else if let Some(k) = key {
             self.keys.enter(now, k, id);
-            self.owed.insert(id, k);
+            self.unconfirmed_ends.insert(id, k);
         }
     }
 
-    /// What a message beyond its tenant's quota is worth; each sender counts on an even part of the quota.
+    /// Share of its worth that a message keeps: less if it exceeds the quota of its tenant. Each dispatcher
+    /// assumes an even part of the quota.
     fn tenant_share(&mut self, now: Ms, tenant: Option<usize>) -> f64 {
         let Some(t) = tenant.filter(|t| *t < self.quota.len()) else { return 1.0 };
-        let rate = self.s.tenant_quota[t] / self.s.senders as f64;
-        self.quota[t].fill(now, rate, (2.0 * rate).max(1.0));
-        if self.quota[t].take(1.0) {
+        let rate = self.settings.tenant_quota[t] / self.settings.senders as f64;
+        self.quota[t].refill(now, rate, (2.0 * rate).max(1.0));
+        if self.quota[t].try_take(1.0) {
             1.0
         } else {
-            self.s.over_share_worth
+            self.settings.over_share_worth
         }
     }
 
-    /// Messages without an attempt out.
-    fn waiting(&self) -> impl Iterator<Item = (&MsgId, &Held)> {
-        self.held.iter().filter(|(_, h)| h.flight.is_none() && !h.over)
+    /// Messages without an outstanding attempt.
+    fn pending(&self) -> impl Iterator<Item = (&MsgId, &HeldMessage)> {
+        self.held.iter().filter(|(_, h)| h.in_flight.is_none() && !h.ended)
     }
 
-    /// Messages waiting for each destination that any wait for.
-    fn queues(&self) -> BTreeMap<DestId, usize> {
+    /// Number of pending messages, by destination.
+    fn queue_lengths(&self) -> BTreeMap<DestId, usize> {
         let mut queues = BTreeMap::new();
-        self.waiting().for_each(|(_, h)| *queues.entry(h.m.dest).or_default() += 1);
+        self.pending().for_each(|(_, h)| *queues.entry(h.message.dest).or_default() += 1);
         queues
     }
 
-    fn class(&self, h: &Held) -> &Class {
-        &self.s.classes[h.m.class]
+    fn class(&self, h: &HeldMessage) -> &Class {
+        &self.settings.classes[h.message.class]
     }
 
-    /// Worth of a delivery at time `t`: the paper's step is the case without promise and late worth. Age
-    /// counts from the first hand-in; a fresh message may have little time left all the same.
-    fn worth(&self, h: &Held, t: Ms) -> f64 {
-        let age = if t > h.m.valid_until { f64::MAX } else { t - h.born };
-        h.share * self.s.worth(h.m.class, h.m.work, age)
+    /// Worth of a delivery at time `t`. The step function of the paper is the case without promise and late
+    /// worth. The age counts from the first submission, so a message that was submitted again may have little
+    /// time left.
+    fn worth(&self, h: &HeldMessage, t: Ms) -> f64 {
+        let age = if t > h.message.valid_until { f64::MAX } else { t - h.age_from };
+        h.worth_share * self.settings.worth(h.message.class, h.message.work, age)
     }
 
-    /// Nothing is sent for the message any more; its record stays while an attempt is out.
-    fn end(&mut self, id: MsgId) {
+    /// Ends a message: no further attempts. Its record stays while an attempt is outstanding.
+    fn end_message(&mut self, id: MsgId) {
         if let Some(h) = self.held.get_mut(&id) {
-            h.over = true;
-            if h.flight.is_none() {
-                self.forget(id);
+            h.ended = true;
+            if h.in_flight.is_none() {
+                self.remove_message(id);
             }
         }
     }
 
-    fn forget(&mut self, id: MsgId) {
-        let key = self.held.remove(&id).and_then(|h| h.m.key);
-        key.into_iter().filter(|_| !self.owed.contains_key(&id)).for_each(|k| self.keys.leave(k, id));
+    fn remove_message(&mut self, id: MsgId) {
+        let key = self.held.remove(&id).and_then(|h| h.message.key);
+        key.into_iter()
+            .filter(|_| !self.unconfirmed_ends.contains_key(&id))
+            .for_each(|k| self.keys.leave(k, id));
     }
 
-    /// Gives a message up at once: handed back, with advice, where repeating is harmless.
-    fn give_up(&mut self, now: Ms, id: MsgId, out: &mut Vec<Action>) {
+    /// Ends a message without delivery at once: returns it, with a retry-after, where repeating it is
+    /// harmless, and else gives it up.
+    fn end_undelivered(&mut self, now: Ms, id: MsgId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
         let harmless = match self.class(h).effect {
             Effect::Safe => true,
@@ -350,447 +429,514 @@
             Effect::Unsafe => h.ran.is_none(),
         };
         if harmless {
-            let retry_in = (self.next_chance(now, h) - now).clamp(0.0, self.s.max_advice);
+            let retry_in = (self.earliest_send(now, h) - now).clamp(0.0, self.settings.max_advice);
             out.push(Action::Deny { id, retry_in });
         } else {
             out.push(Action::Fail(id));
         }
-        if let Some(k) = h.m.key.filter(|_| self.s.ends_confirmed) {
-            self.owed.insert(id, k);
+        if let Some(k) = h.message.key.filter(|_| self.settings.ends_confirmed) {
+            self.unconfirmed_ends.insert(id, k);
         }
-        self.end(id);
+        self.end_message(id);
     }
 
-    /// When its destination is next expected to take a message.
-    fn next_chance(&self, now: Ms, h: &Held) -> Ms {
-        let ready = |r: &Route, u: &Unit| r.outage.as_ref().map_or(now, |_| u.next_trial).max(u.shut_until());
-        self.routes_to(h).map(|r| ready(r, &self.units[r.unit])).fold(f64::MAX, f64::min)
+    /// When its destination is next expected to accept a message.
+    fn earliest_send(&self, now: Ms, h: &HeldMessage) -> Ms {
+        let ready = |ep: &Endpoint, g: &LimitGroup| {
+            ep.outage.as_ref().map_or(now, |_| g.next_trial).max(g.blocked_until())
+        };
+        self.eligible_endpoints(h).map(|ep| ready(ep, &self.groups[ep.group])).fold(f64::MAX, f64::min)
     }
 
-    /// Last moment at which a send makes sense: its time, or the end of the span that drops repeats.
-    fn last_send(&self, h: &Held) -> Ms {
+    /// Latest time for a useful attempt: the end of the message's validity, or of the window in which repeats
+    /// are dropped.
+    fn latest_send(&self, h: &HeldMessage) -> Ms {
         let c = self.class(h);
-        let until = h.m.valid_until - 2.0 * self.s.round;
+        let until = h.message.valid_until - 2.0 * self.settings.round;
         match (c.effect, h.ran) {
-            (Effect::Keyed { .. }, Some((sent, _))) => until.min(sent + c.window - 2.0 * self.s.round),
+            (Effect::Keyed { .. }, Some((sent, _))) => until.min(sent + c.window - 2.0 * self.settings.round),
             (Effect::Unsafe, Some(_)) => f64::MIN,
             _ => until,
         }
     }
 
-    fn expire(&mut self, now: Ms, out: &mut Vec<Action>) {
+    fn end_expired(&mut self, now: Ms, out: &mut Vec<Action>) {
         let mut due = Vec::new();
-        for (id, h) in self.waiting() {
-            let last = self.last_send(h);
-            // A destination whose routes are all replaced, or a stale list, has no route for a while.
-            let patience = if self.routes_to(h).next().is_some() { f64::MAX } else { self.class(h).promise };
-            let last = last.min(h.arrived + patience);
-            // Nothing can go there while there is time: the client hears of it at once, not at the end.
-            let hopeless = patience == f64::MAX && self.next_chance(now, h) > last;
-            if last <= now || hopeless || h.attempts >= self.s.most_attempts {
+        for (id, h) in self.pending() {
+            let last = self.latest_send(h);
+            // A destination may have no endpoint for a while, when all are being replaced or the list is
+            // stale.
+            let max_wait =
+                if self.eligible_endpoints(h).next().is_some() { f64::MAX } else { self.class(h).promise };
+            let last = last.min(h.arrived + max_wait);
+            // No endpoint accepts the message in time: the client gets its answer at once instead of at the
+            // deadline.
+            let unsendable = max_wait == f64::MAX && self.earliest_send(now, h) > last;
+            if last <= now || unsendable || h.attempts >= self.settings.most_attempts {
                 due.push(*id);
             } else {
                 self.wake_at(last);
             }
         }
         for id in due {
-            self.give_up(now, id, out);
+            self.end_undelivered(now, id, out);
         }
     }
 
-    /// Guards against one destination's backlog filling the room and shutting out messages for all others:
-    /// near the limit, the longest queue hands back what a delay costs least. May harm a queue that was
-    /// about to drain.
+    /// Keeps the backlog of one destination from filling the room and shutting out messages for all others:
+    /// near the limit, the longest queue ends the message for which a delay costs least. May hurt a queue
+    /// that was about to drain.
     fn make_room(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let most = (self.s.max_held as f64 * ROOM_SHARE) as usize;
-        while self.held.len() > most.max(self.s.slots) {
-            let Some((dest, _)) = self.queues().into_iter().max_by_key(|q| q.1) else { return };
+        let most = (self.settings.max_held as f64 * MAX_HELD_SHARE) as usize;
+        while self.held.len() > most.max(self.settings.slots) {
+            let Some((dest, _)) = self.queue_lengths().into_iter().max_by_key(|q| q.1) else { return };
             let order = self.ranked(now);
-            let Some(id) = order.into_iter().rfind(|id| self.held[id].m.dest == dest) else { return };
-            self.give_up(now, id, out);
+            let Some(id) = order.into_iter().rfind(|id| self.held[id].message.dest == dest) else { return };
+            self.end_undelivered(now, id, out);
         }
     }
 
-    fn ended(&mut self, now: Ms, e: &Ended, out: &mut Vec<Action>) {
-        if let Some(r) = self.routes.get(&e.route) {
-            let u = &mut self.units[r.unit];
+    fn attempt_ended(&mut self, now: Ms, e: &Ended, out: &mut Vec<Action>) {
+        if let Some(ep) = self.endpoints.get(&e.route) {
+            let g = &mut self.groups[ep.group];
             if e.wait > 0.0 {
-                u.pause_until = u.pause_until.max(now + e.wait + 2.0 * self.s.round);
+                g.pause_until = g.pause_until.max(now + e.wait + 2.0 * self.settings.round);
             }
-            u.hear(&e.report, e.outcome);
+            g.apply_report(&e.report, e.outcome);
         }
         let Some(h) = self.held.get_mut(&e.id) else { return };
-        let Some(flight) = h.flight.take_if(|f| f.attempt == e.attempt) else { return };
-        let zone = self.routes.get(&e.route).map_or(0, |r| r.row.zone);
+        let Some(flight) = h.in_flight.take_if(|f| f.attempt == e.attempt) else { return };
+        let zone = self.endpoints.get(&e.route).map_or(0, |ep| ep.row.zone);
         if !e.outcome.never_ran() {
             h.ran.get_or_insert((flight.sent, zone));
         }
         if e.unspent {
             h.attempts = flight.attempt;
-            let earned = if h.attempts == 0 { RETRY_EARN } else { 0.0 };
+            let earned = if h.attempts == 0 { RETRIES_PER_MESSAGE } else { 0.0 };
             self.retry.level -= earned;
         }
-        h.over |= e.over;
-        h.avoid = Some(e.route);
-        h.not_before = if e.outcome == Outcome::NotSent { now + NOT_SENT_REST } else { now };
-        let (over, key) = (h.over, h.m.key);
+        h.ended |= e.over;
+        h.last_endpoint = Some(e.route);
+        h.not_before = if e.outcome == Outcome::NotSent { now + NOT_SENT_DELAY } else { now };
+        let (over, key) = (h.ended, h.message.key);
         if matches!(e.outcome, Outcome::Late | Outcome::Reset | Outcome::Cancelled) {
-            key.into_iter().for_each(|k| self.keys.rest(k, now + self.s.key_quiet));
+            key.into_iter().for_each(|k| self.keys.set_quiet(k, now + self.settings.key_quiet));
         }
-        let idle = self.calls.get(&flight.call).and_then(|c| c.idle);
-        if self.close_call(now, flight.call) {
-            let door = fleet::at_the_door(self.s.reports, idle.is_none(), e);
-            self.learn_link(now, &flight, idle, e, door);
-            self.learn(now, &flight, e, door);
+        let idle = self.calls.get(&flight.call).and_then(|c| c.idle_before);
+        if self.record_call_outcome(now, flight.call) {
+            let before_limit = fleet::refused_before_limit(self.settings.reports, idle.is_none(), e);
+            self.record_connection_outcome(now, &flight, idle, e, before_limit);
+            self.record_outcome(now, &flight, e, before_limit);
         }
         if over {
-            self.forget(e.id);
+            self.remove_message(e.id);
         } else if !e.outcome.never_ran() {
-            self.after_run(now, e, &flight, out);
+            self.schedule_retry(now, e, &flight, out);
         }
     }
 
-    /// What follows an attempt that may have run: further attempts out of the retry budget, or the end. An
-    /// empty budget delays them, so that failures set off no storm. While an endpoint may not know of the end, none follows.
-    fn after_run(&mut self, now: Ms, e: &Ended, flight: &Flight, out: &mut Vec<Action>) {
-        if self.last_send(&self.held[&e.id]) <= now + e.rest {
-            return self.give_up(now, e.id, out);
+    /// Schedules a retry after an attempt that may have run, or ends the message. Retries use up the retry
+    /// budget; an empty budget delays them, so that failures cause no retry storm. No retry starts while the
+    /// endpoint may not know yet that the attempt ended.
+    fn schedule_retry(&mut self, now: Ms, e: &Ended, flight: &InFlight, out: &mut Vec<Action>) {
+        if self.latest_send(&self.held[&e.id]) <= now + e.rest {
+            return self.end_undelivered(now, e.id, out);
         }
         self.retry.level -= 1.0;
-        let drip = (-self.retry.level).max(0.0) * 1000.0 / RETRY_DRIP;
-        let not_before = now + drip.max(e.rest);
+        let budget_wait = (-self.retry.level).max(0.0) * 1000.0 / RETRIES_PER_SECOND;
+        let not_before = now + budget_wait.max(e.rest);
         self.held.entry(e.id).and_modify(|h| {
             h.failed_over |= flight.watchdog || h.cancelled;
             (h.cancelled, h.not_before) = (false, not_before);
         });
     }
 
-    /// One outcome of a call less to come; true for the first one, which speaks for the whole call.
-    fn close_call(&mut self, now: Ms, call: u64) -> bool {
+    /// Records one outcome of a call. True for the first one, which stands for the whole call.
+    fn record_call_outcome(&mut self, now: Ms, call: u64) -> bool {
         let Some(c) = self.calls.get_mut(&call) else { return false };
-        let first = !std::mem::replace(&mut c.heard, true);
-        c.left -= 1;
-        if c.left == 0 {
-            self.routes.entry(c.route).and_modify(|r| {
-                r.calls -= 1;
-                r.idle_since = Some(now);
+        let first = !std::mem::replace(&mut c.outcome_seen, true);
+        c.pending_outcomes -= 1;
+        if c.pending_outcomes == 0 {
+            self.endpoints.entry(c.endpoint).and_modify(|ep| {
+                ep.calls -= 1;
+                ep.idle_since = Some(now);
             });
-            self.done.insert(c.route);
+            self.idle_candidates.insert(c.endpoint);
             self.calls.remove(&call);
         }
         first
     }
 
-    fn learn(&mut self, now: Ms, f: &Flight, e: &Ended, door: bool) {
-        if let Some(o) = self.routes.get_mut(&f.route).and_then(|r| r.outage.as_mut()) {
-            o.trying = None;
+    fn record_outcome(&mut self, now: Ms, f: &InFlight, e: &Ended, before_limit: bool) {
+        if let Some(o) = self.endpoints.get_mut(&f.endpoint).and_then(|ep| ep.outage.as_mut()) {
+            o.trial_started = None;
         }
         match e.outcome {
-            Outcome::Delivered => self.success(now, f.route, f.sent, e.took),
-            Outcome::Cancelled => self.sample(now, f.route, e.took, false),
-            Outcome::Late if f.watchdog => self.sample(now, f.route, e.took, false),
+            Outcome::Delivered => self.record_success(now, f.endpoint, f.sent, e.took),
+            Outcome::Cancelled => self.record_sample(now, f.endpoint, e.took, false),
+            Outcome::Late if f.watchdog => self.record_sample(now, f.endpoint, e.took, false),
             Outcome::NotSent => {}
-            Outcome::Refused if door && self.full_table(now, f.route) => {}
+            Outcome::Refused if before_limit && self.back_off_full_table(now, f.endpoint) => {}
             Outcome::Refused => {
-                self.sample(now, f.route, f64::INFINITY, false);
-                let met = e.report.limit.is_some_and(|l| l > 0.0);
-                self.refused(now, f.route, f.sent, e.wait, met);
+                self.record_sample(now, f.endpoint, f64::INFINITY, false);
+                let limit_reached = e.report.limit.is_some_and(|l| l > 0.0);
+                self.record_refusal(now, f.endpoint, f.sent, e.wait, limit_reached);
             }
             Outcome::Error | Outcome::Reset | Outcome::Late | Outcome::NoConnection => {
-                self.sample(now, f.route, f64::INFINITY, false);
+                self.record_sample(now, f.endpoint, f64::INFINITY, false);
                 if e.outcome == Outcome::Late {
-                    self.halve(f.route);
+                    self.halve_window(f.endpoint);
                 }
-                self.failed(now, f.route, e.outcome);
+                self.record_failure(now, f.endpoint, e.outcome);
             }
         }
     }
 
-    /// Calls on connections that had been idle fail more often than others: idle ones are dropped unseen. One
-    /// that broke within its answer was not dropped.
-    fn learn_link(&mut self, now: Ms, f: &Flight, idle: Option<Ms>, e: &Ended, door: bool) {
-        let Some(r) = self.routes.get_mut(&f.route) else { return };
-        r.refused = Some(now).filter(|_| door || e.outcome == Outcome::NoConnection).or(r.refused);
-        // Where refusals tell a full table, a connection that was refused tells an outage.
-        if door || e.outcome == Outcome::NoConnection && !self.s.reports {
-            let kind = r.row.kind;
-            self.links.refused.insert(kind, now);
-            let idle = self.routes.iter().filter(|(_, r)| r.row.kind == kind && r.idle_since.is_some());
-            self.done.extend(idle.map(|r| *r.0));
-        }
-        let Some(failed) = fleet::on_a_link(e, f.watchdog) else { return };
-        let (on_idle, on_others) = self.links.count(idle.is_some(), failed, LINK_WEIGHT);
-        if let Some(rest) = idle.filter(|_| failed > 0.0 && on_idle > on_others + LINK_GAP) {
-            let shortest = self.links.lost_after(now, LINK_MEMORY).min(rest);
-            self.links.reaped = Some((now, shortest));
-        }
-    }
-
-    /// Closes the idle connections of the routes that were used, where they are in the way of others.
+    /// Detects connections that are dropped silently while idle: calls on such connections fail more often
+    /// than others. A connection that broke within its answer was not dropped while idle.
+    fn record_connection_outcome(
+        &mut self,
+        now: Ms,
+        f: &InFlight,
+        idle: Option<Ms>,
+        e: &Ended,
+        before_limit: bool,
+    ) {
+        let Some(ep) = self.endpoints.get_mut(&f.endpoint) else { return };
+        ep.connection_refused_at = Some(now)
+            .filter(|_| before_limit || e.outcome == Outcome::NoConnection)
+            .or(ep.connection_refused_at);
+        // Where endpoints report their limit, a full connection table shows as a refusal, so a failed
+        // connection means an outage.
+        if before_limit || e.outcome == Outcome::NoConnection && !self.settings.reports {
+            let kind = ep.row.kind;
+            self.connections.refused_by_kind.insert(kind, now);
+            let idle = self.endpoints.iter().filter(|(_, ep)| ep.row.kind == kind && ep.idle_since.is_some());
+            self.idle_candidates.extend(idle.map(|ep| *ep.0));
+        }
+        let Some(failed) = fleet::connection_failure(e, f.watchdog) else { return };
+        let (on_idle, on_others) = self.connections.record(idle.is_some(), failed, CONNECTION_FAILURE_WEIGHT);
+        if let Some(rest) = idle.filter(|_| failed > 0.0 && on_idle > on_others + IDLE_FAILURE_EXCESS) {
+            let shortest = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY).min(rest);
+            self.connections.idle_loss = Some((now, shortest));
+        }
+    }
+
+    /// Closes idle connections of recently used endpoints that would fill the endpoint's connection table.
     fn close_idle(&mut self, now: Ms, out: &mut Vec<Action>) {
-        for id in std::mem::take(&mut self.done) {
-            let Some(r) = self.routes.get_mut(&id).filter(|r| r.calls == 0) else { continue };
-            let kind = self.links.refused.get(&r.row.kind).copied();
-            if !fleet::keeps_idle(now, self.s.senders, r.refused, kind) {
-                r.idle_since = None;
+        for id in std::mem::take(&mut self.idle_candidates) {
+            let Some(ep) = self.endpoints.get_mut(&id).filter(|ep| ep.calls == 0) else { continue };
+            let kind = self.connections.refused_by_kind.get(&ep.row.kind).copied();
+            if !fleet::keeps_idle_connections(now, self.settings.senders, ep.connection_refused_at, kind) {
+                ep.idle_since = None;
                 out.push(Action::CloseIdle(id));
             }
         }
     }
 
-    /// Guards against taking a full table of connections for a limit or an outage. False: it is as if shut.
-    fn full_table(&mut self, now: Ms, route: RouteId) -> bool {
+    /// Backs off from an endpoint whose connection table is full, so that this is not taken for a reached
+    /// limit or an outage. False after too many such refusals in a row: they then count like any other
+    /// refusal.
+    fn back_off_full_table(&mut self, now: Ms, endpoint: RouteId) -> bool {
         let draw = self.random.next();
-        let Some(r) = self.routes.get(&route).filter(|r| r.fulls < fleet::FULL_ROUNDS) else { return false };
-        let until = now + fleet::door_rest(self.typical(r), r.fulls, REST_MOST, draw);
-        self.sample(now, route, f64::INFINITY, false);
-        let Some(r) = self.routes.get_mut(&route) else { return false };
-        r.fulls += 1;
-        let u = &mut self.units[r.unit];
-        u.pause_until = u.pause_until.max(until);
-        u.hold_back(now, until - now, self.s.senders, draw);
+        let Some(ep) =
+            self.endpoints.get(&endpoint).filter(|ep| ep.full_table_refusals < fleet::MAX_FULL_TABLE_ROUNDS)
+        else {
+            return false;
+        };
+        let until = now
+            + fleet::full_table_backoff(self.median_time(ep), ep.full_table_refusals, MAX_REFUSAL_WAIT, draw);
+        self.record_sample(now, endpoint, f64::INFINITY, false);
+        let Some(ep) = self.endpoints.get_mut(&endpoint) else { return false };
+        ep.full_table_refusals += 1;
+        let g = &mut self.groups[ep.group];
+        g.pause_until = g.pause_until.max(until);
+        g.record_refusal(now, until - now, self.settings.senders, draw);
         true
     }
 
-    fn halve(&mut self, route: RouteId) {
-        self.routes.entry(route).and_modify(|r| r.window = (r.window / 2.0).max(1.0));
+    fn halve_window(&mut self, endpoint: RouteId) {
+        self.endpoints.entry(endpoint).and_modify(|ep| ep.window = (ep.window / 2.0).max(1.0));
     }
 
-    fn sample(&mut self, now: Ms, route: RouteId, took: Ms, answered: bool) {
-        self.routes.entry(route).and_modify(|r| r.samples.add(now, took, answered, RING, SAMPLE_AGE));
+    fn record_sample(&mut self, now: Ms, endpoint: RouteId, took: Ms, answered: bool) {
+        self.endpoints
+            .entry(endpoint)
+            .and_modify(|ep| ep.samples.add(now, took, answered, MAX_SAMPLES, SAMPLE_AGE));
         if answered {
-            self.seen.add(now, took, answered, RING, SAMPLE_AGE);
+            self.all_samples.add(now, took, answered, MAX_SAMPLES, SAMPLE_AGE);
         }
     }
 
-    fn success(&mut self, now: Ms, route: RouteId, sent: Ms, took: Ms) {
-        let most = self.s.slots as f64 * 0.75;
-        if let Some(r) = self.routes.get_mut(&route) {
-            let most = if r.fails > FAIL_UNSAFE { most.min(self.s.slots as f64 / 2.0) } else { most };
-            r.window = (r.window + 1.0).min(most.max(1.0));
-            (r.last_good_send, r.fulls) = (r.last_good_send.max(sent), 0);
-            let u = &mut self.units[r.unit];
-            u.rounds = 0;
-            u.last_good_send = u.last_good_send.max(sent);
-            fleet::accepted(now, &mut u.good);
-        }
-        self.sample(now, route, took, true);
-        self.note(now, route, 0.0);
-        self.recover(now, route);
-    }
-
-    /// Share of failed attempts, newest first; fades, so that a route is not shunned for what is long past.
-    fn note(&mut self, now: Ms, route: RouteId, failed: f64) -> f64 {
-        let r = self.routes.get_mut(&route);
-        r.map_or(0.0, |r| r.note(now, failed, FAIL_WEIGHT, FAIL_HALF, FAIL_UNSAFE))
-    }
-
-    /// Guards against taking a network that loses connections here and there for routes that are down: a
-    /// process that has died refuses the next connection, so a lone reset says little; a row of them counts.
-    fn failed(&mut self, now: Ms, route: RouteId, outcome: Outcome) {
+    fn record_success(&mut self, now: Ms, endpoint: RouteId, sent: Ms, took: Ms) {
+        let most = self.settings.slots as f64 * 0.75;
+        if let Some(ep) = self.endpoints.get_mut(&endpoint) {
+            let most = if ep.failure_rate > UNRELIABLE_FAILURE_RATE {
+                most.min(self.settings.slots as f64 / 2.0)
+            } else {
+                most
+            };
+            ep.window = (ep.window + 1.0).min(most.max(1.0));
+            (ep.last_success_sent, ep.full_table_refusals) = (ep.last_success_sent.max(sent), 0);
+            let g = &mut self.groups[ep.group];
+            g.refusal_rounds = 0;
+            g.last_success_sent = g.last_success_sent.max(sent);
+            fleet::record_accepted(now, &mut g.accepted);
+        }
+        self.record_sample(now, endpoint, took, true);
+        self.record_attempt(now, endpoint, 0.0);
+        self.recover(now, endpoint);
+    }
+
+    /// Counts an attempt into the failure rate, which decays, so that an endpoint is not avoided for old
+    /// failures.
+    fn record_attempt(&mut self, now: Ms, endpoint: RouteId, failed: f64) -> f64 {
+        let ep = self.endpoints.get_mut(&endpoint);
+        ep.map_or(0.0, |ep| {
+            ep.record_attempt(now, failed, FAILURE_WEIGHT, FAILURE_HALF_LIFE, UNRELIABLE_FAILURE_RATE)
+        })
+    }
+
+    /// Counts a failure, and takes the endpoint out if it fails too often. A single reset says little,
+    /// because a process that has died refuses the next connection; only several in a row count. Else a
+    /// network that loses connections now and then would look like endpoints that are down.
+    fn record_failure(&mut self, now: Ms, endpoint: RouteId, outcome: Outcome) {
         let broke = outcome == Outcome::Reset;
-        let fails = self.note(now, route, if broke { FAIL_RESET } else { 1.0 });
-        let Some(r) = self.routes.get(&route) else { return };
-        // A route that is seldom called is judged by one failure.
-        let seldom = !broke && now - self.units[r.unit].last_good_send > FAIL_HALF;
-        if seldom || fails >= FAIL_OUT || r.outage.is_some() {
-            self.out(now, route, outcome != Outcome::NoConnection, now, broke);
-        }
-    }
-
-    /// Guards against pushing a shut or failing route: only single trials go there until one succeeds.
-    fn out(&mut self, now: Ms, route: RouteId, harmful: bool, not_before: Ms, soft: bool) {
-        let Some(r) = self.routes.get(&route) else { return };
-        let unit = r.unit;
-        let since = r.outage.as_ref().map_or(r.first_fail.unwrap_or(now), |o| o.since);
-        let soft = soft && r.outage.as_ref().is_none_or(|o| o.soft);
-        let gap = if soft { TRIAL_GAP } else { self.trial_gap(now, unit, since) };
+        let fails = self.record_attempt(now, endpoint, if broke { RESET_FAILURE } else { 1.0 });
+        let Some(ep) = self.endpoints.get(&endpoint) else { return };
+        // One failure is enough for an endpoint without a recent success.
+        let seldom = !broke && now - self.groups[ep.group].last_success_sent > FAILURE_HALF_LIFE;
+        if seldom || fails >= OUTAGE_FAILURE_RATE || ep.outage.is_some() {
+            self.mark_out(now, endpoint, outcome != Outcome::NoConnection, now, broke);
+        }
+    }
+
+    /// Takes an endpoint out, so that a failing one is not loaded further: only single trials go there until
+    /// one succeeds.
+    fn mark_out(
+        &mut self,
+        now: Ms,
+        endpoint: RouteId,
+        may_have_run: bool,
+        not_before: Ms,
+        only_resets: bool,
+    ) {
+        let Some(ep) = self.endpoints.get(&endpoint) else { return };
+        let group = ep.group;
+        let since = ep.outage.as_ref().map_or(ep.first_failure.unwrap_or(now), |o| o.since);
+        let only_resets = only_resets && ep.outage.as_ref().is_none_or(|o| o.only_resets);
+        let gap = if only_resets { MIN_TRIAL_GAP } else { self.trial_gap(now, group, since) };
         let next = not_before.max(now + gap);
-        let Some(r) = self.routes.get_mut(&route) else { return };
-        r.window = (r.window / 2.0).max(1.0);
-        r.ramp = r.ramp.take().filter(|_| soft);
-        let o = r.outage.get_or_insert(Outage { since, harmful, trying: None, shut: false, soft });
-        (o.trying, o.soft) = (None, soft);
-        o.harmful |= harmful;
-        o.shut |= not_before > now;
-        self.units[unit].next_trial = self.units[unit].next_trial.max(next);
-        if let Some(ids) = self.dests.get_mut(&r.row.dest) {
-            ids.retain(|id| *id != route);
-            ids.push(route);
-        }
-    }
-
-    /// A destination just back may be sent part of its usual rate; the trials of all are part of that.
-    fn trial_gap(&mut self, now: Ms, unit: usize, since: Ms) -> Ms {
-        let cold = (self.s.overload_factor * self.s.cold_from).clamp(0.05, 1.0);
-        let crowd = self.crowd_gap(now, unit, since - OUTAGE_AGE) * self.random.between(0.5, 1.5);
-        TRIAL_GAP.max(crowd / (CROWD_PART * cold))
-    }
-
-    /// How long a crowd that gathered since then takes, a turn for each at the rate that all send.
-    fn crowd_gap(&self, now: Ms, unit: usize, since: Ms) -> Ms {
-        let senders = self.s.senders as f64;
-        let all = self.units[unit].limit.unwrap_or(senders * self.demand(now, unit));
-        ((senders - 1.0) * 1000.0 / all.max(CROWD_LEAST)).min(now - since)
-    }
-
-    /// Calls a second that this sender has for what shares a limit, from the messages that came, accepted or
-    /// not. Times the number of senders it is the demand of all, in most hours under the capacity.
-    fn demand(&self, now: Ms, unit: usize) -> f64 {
-        let u = &self.units[unit];
-        let rate = self.wanted.rate(now, u.dest, self.dests.len(), DEMAND_PRIOR);
-        rate * u.routes as f64 / self.dests[&u.dest].len() as f64
-    }
-
-    /// A refusal: over the limit, or shut. The window halves, the pace falls to what was just accepted, and a
-    /// told wait, or one guessed by rounds of refusals, is kept by all that share the limit.
-    fn refused(&mut self, now: Ms, route: RouteId, sent: Ms, wait: Ms, met: bool) {
-        self.halve(route);
-        let Some(r) = self.routes.get_mut(&route) else { return };
-        let since = *r.first_fail.get_or_insert(now);
-        let (unit, known) = (r.unit, r.outage.is_some());
-        let rounds = self.units[unit].rounds;
-        let rest = (REST_FIRST * f64::from(1u32 << rounds.min(8))).min(REST_MOST);
-        let told = if wait > 0.0 { wait } else { rest };
-        let (draw, senders) = (self.random.next(), self.s.senders);
-        let crowd = self.crowd_gap(now, unit, since - told - REFUSED_AGE);
-        let spread = CROWD_GAP * crowd * self.random.next();
-        let u = &mut self.units[unit];
-        if sent >= u.cut_at {
-            u.cut_at = now;
-            // Who tells of the limit that was met is not shut.
-            u.rounds += u32::from(!met);
-            u.hold_back(now, told, senders, draw);
-            let pace = fleet::pace_cut(now, &u.good, senders, u.rounds);
-            u.pause_until = u.pause_until.max(now + told) + if u.limit.is_some() { 0.0 } else { spread };
+        let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
+        ep.window = (ep.window / 2.0).max(1.0);
+        ep.ramp = ep.ramp.take().filter(|_| only_resets);
+        let o = ep.outage.get_or_insert(Outage {
+            since,
+            may_have_run,
+            trial_started: None,
+            from_refusals: false,
+            only_resets,
+        });
+        (o.trial_started, o.only_resets) = (None, only_resets);
+        o.may_have_run |= may_have_run;
+        o.from_refusals |= not_before > now;
+        self.groups[group].next_trial = self.groups[group].next_trial.max(next);
+        if let Some(ids) = self.dests.get_mut(&ep.row.dest) {
+            ids.retain(|id| *id != endpoint);
+            ids.push(endpoint);
+        }
+    }
+
+    /// Time until the next trial. A destination that has just recovered takes only part of its usual rate,
+    /// and the trials of all dispatchers are part of that.
+    fn trial_gap(&mut self, now: Ms, group: usize, since: Ms) -> Ms {
+        let cold = (self.settings.overload_factor * self.settings.cold_from).clamp(0.05, 1.0);
+        let span =
+            self.one_call_each(now, group, since - OUTAGE_AGE_WHEN_SEEN) * self.random.between(0.5, 1.5);
+        MIN_TRIAL_GAP.max(span / (TRIAL_SHARE * cold))
+    }
+
+    /// Time in which each dispatcher gets one call, at the limit or at the rate that all together send; no
+    /// longer than the time since `since`.
+    fn one_call_each(&self, now: Ms, group: usize, since: Ms) -> Ms {
+        let dispatchers = self.settings.senders as f64;
+        let all = self.groups[group].limit.unwrap_or(dispatchers * self.demand_rate(now, group));
+        ((dispatchers - 1.0) * 1000.0 / all.max(MIN_DEMAND)).min(now - since)
+    }
+
+    /// Calls a second that this dispatcher has for a limit group, from the messages that arrived, accepted or
+    /// not. Times the number of dispatchers this is the total demand, which is under the capacity in most
+    /// hours.
+    fn demand_rate(&self, now: Ms, group: usize) -> f64 {
+        let g = &self.groups[group];
+        let rate = self.demand.rate(now, g.dest, self.dests.len(), DEMAND_PRIOR_WEIGHT);
+        rate * g.endpoint_count as f64 / self.dests[&g.dest].len() as f64
+    }
+
+    /// Handles a refusal, by a reached limit or an endpoint that accepts nothing. The window halves, the pace
+    /// falls to what was just accepted, and the whole limit group waits: for the retry-after, or for a time
+    /// guessed by the rounds of refusals.
+    fn record_refusal(&mut self, now: Ms, endpoint: RouteId, sent: Ms, wait: Ms, limit_reached: bool) {
+        self.halve_window(endpoint);
+        let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
+        let since = *ep.first_failure.get_or_insert(now);
+        let (group, already_out) = (ep.group, ep.outage.is_some());
+        let rounds = self.groups[group].refusal_rounds;
+        let guessed_wait = (FIRST_REFUSAL_WAIT * f64::from(1u32 << rounds.min(8))).min(MAX_REFUSAL_WAIT);
+        let pause = if wait > 0.0 { wait } else { guessed_wait };
+        let (draw, dispatchers) = (self.random.next(), self.settings.senders);
+        let span = self.one_call_each(now, group, since - pause - LOAD_AGE_AT_REFUSAL);
+        let spread = REFUSAL_SPREAD_FACTOR * span * self.random.next();
+        let g = &mut self.groups[group];
+        if sent >= g.pace_cut_at {
+            g.pace_cut_at = now;
+            // An endpoint that reports the limit that was reached is not out.
+            g.refusal_rounds += u32::from(!limit_reached);
+            g.record_refusal(now, pause, dispatchers, draw);
+            let pace = fleet::pace_after_refusal(now, &g.accepted, dispatchers, g.refusal_rounds);
+            g.pause_until = g.pause_until.max(now + pause) + if g.limit.is_some() { 0.0 } else { spread };
             // One call may go when the pause ends, however slow the pace; the pace is for those after it.
-            u.tokens.level = (1.0 - pace * (told + spread) / 1000.0).max(0.0);
-            u.tokens.at = now;
-            u.pace = Some(pace);
-        }
-        if known || wait > self.s.overload_for || u.rounds >= SHUT_ROUNDS {
-            let (until, whole) = (u.pause_until, wait > self.s.overload_for || u.rounds >= SHUT_ROUNDS);
-            let shut = self.sharing(route).into_iter().filter(|id| whole || *id == route);
-            shut.for_each(|id| self.out(now, id, false, until, false));
-        }
-    }
-
-    /// A call or probe went through. After an outage the route may be cold: calls drip, from the least share
-    /// of its capacity upward, against the demand that this sender sees (its own best rate misled at size).
-    fn recover(&mut self, now: Ms, route: RouteId) {
-        if self.routes.get(&route).is_some_and(|r| r.outage.is_some()) {
-            let shut = |id: &RouteId| self.routes[id].outage.as_ref().is_some_and(|o| o.shut);
-            let back = self.sharing(route).into_iter().filter(|id| *id == route || shut(id));
-            back.collect::<Vec<_>>().into_iter().for_each(|id| self.ramp_up(now, id));
-        }
-    }
-
-    /// The routes that share a route's limit: shut and open again they are one, also for senders of whom each
-    /// was refused on another of them.
-    fn sharing(&self, route: RouteId) -> Vec<RouteId> {
-        let Some(r) = self.routes.get(&route) else { return Vec::new() };
-        self.dests[&r.row.dest].iter().copied().filter(|id| self.routes[id].unit == r.unit).collect()
-    }
-
-    fn ramp_up(&mut self, now: Ms, route: RouteId) {
-        let Some(r) = self.routes.get_mut(&route) else { return };
-        let Some(o) = r.outage.take() else { return };
-        let unit = r.unit;
-        r.samples.ring.retain(|s| s.2);
-        r.first_fail = None;
-        r.fails = r.fails.min(FAIL_OUT / 2.0);
-        // Where nothing but connections broke, the route was up all the time and is not cold.
-        if o.soft {
+            g.tokens.level = (1.0 - pace * (pause + spread) / 1000.0).max(0.0);
+            g.tokens.at = now;
+            g.pace = Some(pace);
+        }
+        if already_out || wait > self.settings.overload_for || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS {
+            let (until, whole_group) = (
+                g.pause_until,
+                wait > self.settings.overload_for || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS,
+            );
+            let affected =
+                self.group_members(endpoint).into_iter().filter(|id| whole_group || *id == endpoint);
+            affected.for_each(|id| self.mark_out(now, id, false, until, false));
+        }
+    }
+
+    /// Ends the outage of an endpoint, and of those in its limit group that refusals took out, after a
+    /// successful call or probe. The endpoint may be cold, so calls ramp up from the least share of its
+    /// capacity, measured against the demand that this dispatcher sees; its own best rate was misleading with
+    /// many dispatchers.
+    fn recover(&mut self, now: Ms, endpoint: RouteId) {
+        if self.endpoints.get(&endpoint).is_some_and(|ep| ep.outage.is_some()) {
+            let refusing = |id: &RouteId| self.endpoints[id].outage.as_ref().is_some_and(|o| o.from_refusals);
+            let back = self.group_members(endpoint).into_iter().filter(|id| *id == endpoint || refusing(id));
+            back.collect::<Vec<_>>().into_iter().for_each(|id| self.start_ramp(now, id));
+        }
+    }
+
+    /// The endpoints that share the limit of this one. They go out and recover together, also where each
+    /// dispatcher was refused by a different one of them.
+    fn group_members(&self, endpoint: RouteId) -> Vec<RouteId> {
+        let Some(ep) = self.endpoints.get(&endpoint) else { return Vec::new() };
+        self.dests[&ep.row.dest].iter().copied().filter(|id| self.endpoints[id].group == ep.group).collect()
+    }
+
+    fn start_ramp(&mut self, now: Ms, endpoint: RouteId) {
+        let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
+        let Some(o) = ep.outage.take() else { return };
+        let group = ep.group;
+        ep.samples.ring.retain(|s| s.2);
+        ep.first_failure = None;
+        ep.failure_rate = ep.failure_rate.min(OUTAGE_FAILURE_RATE / 2.0);
+        // Where only connections broke, the endpoint was up all the time and is not cold.
+        if o.only_resets {
             return;
         }
-        let from = if now - o.since < self.s.overload_for { 0.5 } else { self.s.cold_from };
-        r.ramp = Some(Ramp { since: now, from, tokens: Bucket { level: self.random.next(), at: now } });
-        self.units[unit].next_trial = now + self.trial_gap(now, unit, o.since);
+        let initial_share =
+            if now - o.since < self.settings.overload_for { 0.5 } else { self.settings.cold_from };
+        ep.ramp = Some(Ramp {
+            since: now,
+            initial_share,
+            tokens: TokenBucket { level: self.random.next(), at: now },
+        });
+        self.groups[group].next_trial = now + self.trial_gap(now, group, o.since);
     }
 
-    fn probed(&mut self, now: Ms, route: RouteId, outcome: Outcome, report: &Report) {
-        let Some(r) = self.routes.get(&route) else { return };
-        self.units[r.unit].hear(report, outcome);
-        self.done.insert(route);
-        if r.outage.is_none() {
+    fn probe_ended(&mut self, now: Ms, endpoint: RouteId, outcome: Outcome, report: &Report) {
+        let Some(ep) = self.endpoints.get(&endpoint) else { return };
+        self.groups[ep.group].apply_report(report, outcome);
+        self.idle_candidates.insert(endpoint);
+        if ep.outage.is_none() {
             return;
         }
         if outcome == Outcome::Delivered {
-            self.recover(now, route);
+            self.recover(now, endpoint);
         } else {
-            self.out(now, route, false, now, false);
+            self.mark_out(now, endpoint, false, now, false);
         }
     }
 
-    /// Guards against calls that are taken and never answered: a call far older than its route's slow ones,
-    /// with no later call answered, makes the route untrusted at once, not at the deadline.
-    fn spot_hangs(&mut self, now: Ms, out: &mut Vec<Action>) {
+    /// Takes out endpoints that accept calls and never answer: one with a call far older than its slow ones,
+    /// and no later call answered, is out at once instead of at the deadline.
+    fn detect_hangs(&mut self, now: Ms, out: &mut Vec<Action>) {
         let mut hung = BTreeSet::new();
         for c in self.calls.values() {
-            let Some(r) = self.routes.get(&c.route) else { continue };
-            // Where a route is out, only its present trial counts: a hung one must not end all trials.
-            let counts = r.outage.as_ref().is_none_or(|o| o.trying.is_some_and(|t| c.sent >= t));
-            if !counts || r.last_good_send > c.sent {
+            let Some(ep) = self.endpoints.get(&c.endpoint) else { continue };
+            // For an endpoint that is out, only the present trial counts: an older overdue call must not end
+            // all trials.
+            let counts = ep.outage.as_ref().is_none_or(|o| o.trial_started.is_some_and(|t| c.sent >= t));
+            if !counts || ep.last_success_sent > c.sent {
                 continue;
             }
-            let at = c.sent + self.hang_span(r);
+            let at = c.sent + self.overdue_after(ep);
             if at <= now {
-                hung.insert(c.route);
+                hung.insert(c.endpoint);
             } else {
                 self.wake_at(at);
             }
         }
-        for route in hung {
-            self.note(now, route, 1.0);
-            self.out(now, route, true, now, false);
+        for endpoint in hung {
+            self.record_attempt(now, endpoint, 1.0);
+            self.mark_out(now, endpoint, true, now, false);
         }
-        if self.s.can_cancel {
-            self.cut_hung(now, out);
+        if self.settings.can_cancel {
+            self.cancel_overdue(now, out);
         }
     }
 
-    /// Guards against calls that hold a slot and will hardly be answered: one overdue by its route's curve
-    /// is called off for its one fail-over, and when slots run short whatever its class. May harm a route
-    /// that turned slow just now.
-    fn cut_hung(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let spare = (self.s.slots / SLOTS_SPARE).min(1);
-        let short = self.calls.len() + spare >= self.s.slots && self.held.len() > self.calls.len();
-        let mut cut = Vec::new();
-        for (id, h) in self.held.iter().filter(|(_, h)| !h.over && !h.cancelled) {
-            let Some(f) = &h.flight else { continue };
-            let Some(r) = self.routes.get(&f.route) else { continue };
-            let moves = self.class(h).effect != Effect::Unsafe;
-            let patience = if moves { 1.0 } else { HANG_UNSAFE };
-            let due = f.sent + patience * self.hang_span(r);
+    /// Cancels calls that hold a slot and will hardly be answered. An overdue attempt is cancelled for the
+    /// message's one fail-over, and when slots run short, whatever its class. May hurt an endpoint that has
+    /// just become slow.
+    fn cancel_overdue(&mut self, now: Ms, out: &mut Vec<Action>) {
+        let spare = (self.settings.slots / MIN_SLOTS_FOR_SPARE).min(1);
+        let short = self.calls.len() + spare >= self.settings.slots && self.held.len() > self.calls.len();
+        let mut to_cancel = Vec::new();
+        for (id, h) in self.held.iter().filter(|(_, h)| !h.ended && !h.cancelled) {
+            let Some(f) = &h.in_flight else { continue };
+            let Some(ep) = self.endpoints.get(&f.endpoint) else { continue };
+            let repeatable = self.class(h).effect != Effect::Unsafe;
+            let factor = if repeatable { 1.0 } else { AT_MOST_ONCE_OVERDUE_FACTOR };
+            let due = f.sent + factor * self.overdue_after(ep);
             if now < due {
                 self.wake_at(due);
-            } else if short || (moves && !h.failed_over && self.retry.level >= 1.0) {
-                cut.push((*id, f.attempt));
+            } else if short || (repeatable && !h.failed_over && self.retry.level >= 1.0) {
+                to_cancel.push((*id, f.attempt));
             }
         }
-        for (id, attempt) in cut {
+        for (id, attempt) in to_cancel {
             out.push(Action::Cancel { id, attempt });
             self.held.entry(id).and_modify(|h| h.cancelled = true);
         }
     }
 
-    fn hang_span(&self, r: &Route) -> Ms {
-        HANG_LEAST + HANG_TIMES * self.samples(r).slow.unwrap_or(FIRST_GUESS)
+    fn overdue_after(&self, ep: &Endpoint) -> Ms {
+        OVERDUE_BASE + OVERDUE_FACTOR * self.samples(ep).p95.unwrap_or(DEFAULT_CALL_TIME)
     }
 
-    /// Routes that are out are tried by probes where those are allowed, so that no message is risked.
-    fn probe(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let dests = if self.s.can_probe { self.queues() } else { BTreeMap::new() };
+    /// Probes endpoints that are out, where probes are allowed, so that no message is risked.
+    fn send_probes(&mut self, now: Ms, out: &mut Vec<Action>) {
+        let dests = if self.settings.can_probe { self.queue_lengths() } else { BTreeMap::new() };
         for id in dests.keys().filter_map(|d| self.dests.get(d)).flatten() {
-            let Some(r) = self.routes.get_mut(id).filter(|r| r.row.listing == Listing::Ready) else {
+            let Some(ep) = self.endpoints.get_mut(id).filter(|ep| ep.row.listing == Listing::Ready) else {
+                continue;
+            };
+            let g = &mut self.groups[ep.group];
+            let Some(o) = ep.outage.as_mut().filter(|o| o.may_have_run && o.trial_started.is_none()) else {
                 continue;
             };
-            let u = &mut self.units[r.unit];
-            let Some(o) = r.outage.as_mut().filter(|o| o.harmful && o.trying.is_none()) else { continue };
-            let at = u.next_trial.max(u.shut_until());
+            let at = g.next_trial.max(g.blocked_until());
             if at <= now {
-                o.trying = Some(now);
-                u.next_trial = now + TRIAL_GAP;
+                o.trial_started = Some(now);
+                g.next_trial = now + MIN_TRIAL_GAP;
                 out.push(Action::Probe(*id));
             } else {
                 self.wake.set(self.wake.get().min(at));
@@ -798,299 +944,357 @@
         }
     }
 
-    /// A message that may have run stays with the routes that would drop its repeat.
-    fn same_group(&self, h: &Held, zone: usize, r: &Route) -> bool {
+    /// Whether the endpoint would drop a repeat of a message that may have run at an endpoint in `zone`, or a
+    /// repeat is harmless.
+    fn in_dedup_group(&self, h: &HeldMessage, zone: usize, ep: &Endpoint) -> bool {
         match self.class(h).effect {
             Effect::Safe => true,
-            Effect::Keyed { by_zone } => !by_zone || r.row.zone == zone,
+            Effect::Keyed { by_zone } => !by_zone || ep.row.zone == zone,
             Effect::Unsafe => false,
         }
     }
 
-    /// The listed routes that may take it.
-    fn routes_to<'a>(&'a self, h: &'a Held) -> impl Iterator<Item = &'a Route> + 'a {
-        let all = self.dests.get(&h.m.dest).into_iter().flatten().map(|id| &self.routes[id]);
-        all.filter(|r| r.row.listing == Listing::Ready && h.ran.is_none_or(|(_, z)| self.same_group(h, z, r)))
+    /// The endpoints in service that may get the message.
+    fn eligible_endpoints<'a>(&'a self, h: &'a HeldMessage) -> impl Iterator<Item = &'a Endpoint> + 'a {
+        let all = self.dests.get(&h.message.dest).into_iter().flatten().map(|id| &self.endpoints[id]);
+        all.filter(|ep| {
+            ep.row.listing == Listing::Ready && h.ran.is_none_or(|(_, z)| self.in_dedup_group(h, z, ep))
+        })
     }
 
-    /// A route's own calls; where it has few samples, all answered calls of this sender lately.
-    fn samples<'a>(&'a self, r: &'a Route) -> &'a Samples {
+    /// The endpoint's own samples; with too few of them, all recently answered calls of this dispatcher.
+    fn samples<'a>(&'a self, ep: &'a Endpoint) -> &'a Samples {
         let known = |s: &&Samples| s.median.is_some();
-        let own = Some(&r.samples).filter(|s| s.ring.len() >= OWN_SAMPLES).filter(known);
-        own.or(Some(&self.seen).filter(known)).or(Some(&r.samples).filter(known)).unwrap_or(&self.guess)
+        let own = Some(&ep.samples).filter(|s| s.ring.len() >= MIN_OWN_SAMPLES).filter(known);
+        own.or(Some(&self.all_samples).filter(known))
+            .or(Some(&ep.samples).filter(known))
+            .unwrap_or(&self.default_samples)
     }
 
-    fn curve<'a>(&'a self, r: &'a Route) -> &'a Curve {
-        &self.samples(r).curve
+    fn curve<'a>(&'a self, ep: &'a Endpoint) -> &'a Curve {
+        &self.samples(ep).curve
     }
 
-    fn typical(&self, r: &Route) -> Ms {
-        self.samples(r).median.unwrap_or(FIRST_GUESS)
+    fn median_time(&self, ep: &Endpoint) -> Ms {
+        self.samples(ep).median.unwrap_or(DEFAULT_CALL_TIME)
     }
 
-    /// Calls that a destination may have out: under three quarters of the slots, half of them if one of its
-    /// routes is out, so that no destination that hangs holds them all.
-    fn dest_room(&self, dest: DestId) -> bool {
-        let sick = self.dests[&dest].iter().any(|r| self.routes[r].outage.is_some());
-        let slots = self.s.slots;
-        let most = if sick { slots / 2 } else { (slots * 3).div_ceil(4).saturating_sub(1) };
+    /// Whether a destination may have one more call outstanding. It may have under three quarters of the
+    /// slots, or half of them if one of its endpoints is out, so that a destination that hangs cannot use
+    /// them all.
+    fn destination_has_room(&self, dest: DestId) -> bool {
+        let has_outage = self.dests[&dest].iter().any(|ep| self.endpoints[ep].outage.is_some());
+        let slots = self.settings.slots;
+        let most = if has_outage { slots / 2 } else { (slots * 3).div_ceil(4).saturating_sub(1) };
         self.calls.values().filter(|c| c.dest == dest).count() < most.max(1)
     }
 
-    fn ramp_rate(&self, now: Ms, r: &Route, ramp: &Ramp) -> f64 {
-        let u = &self.units[r.unit];
-        let done = ((now - ramp.since) / self.s.cold.max(1.0)).min(1.0);
-        let part = ramp.from + (1.0 - ramp.from) * done;
-        // Its capacity is the limit or more; where none is told, the demand is taken for what it can do.
-        let senders = self.s.senders as f64;
-        let usual = u.limit.map_or(self.demand(now, r.unit), |l| l / senders).max(CROWD_LEAST / senders);
-        usual * part * self.s.overload_factor * RAMP_SHARE / u.routes.max(1) as f64
-    }
-
-    /// When the route can next take a call: pauses, pace, ramp, window and slots of the destination.
-    fn ready(&self, now: Ms, r: &Route, ahead: usize) -> Ms {
-        let u = &self.units[r.unit];
-        let (wait, mut gap) = u.paced(self.s.senders);
-        let mut at = u.shut_until().max(now + wait);
-        if let Some(ramp) = &r.ramp {
-            let rate = self.ramp_rate(now, r, ramp);
+    fn ramp_rate(&self, now: Ms, ep: &Endpoint, ramp: &Ramp) -> f64 {
+        let g = &self.groups[ep.group];
+        let done = ((now - ramp.since) / self.settings.cold.max(1.0)).min(1.0);
+        let ramp_share = ramp.initial_share + (1.0 - ramp.initial_share) * done;
+        // The capacity is at least the limit; where none is known, the demand stands in for it.
+        let dispatchers = self.settings.senders as f64;
+        let base_rate = g
+            .limit
+            .map_or(self.demand_rate(now, ep.group), |l| l / dispatchers)
+            .max(MIN_DEMAND / dispatchers);
+        base_rate * ramp_share * self.settings.overload_factor * RAMP_OVERLOAD_SHARE
+            / g.endpoint_count.max(1) as f64
+    }
+
+    /// When the endpoint can next accept a call, by its waits, pace, ramp and window, and by the slots of the
+    /// destination; with `ahead` messages planned before this one.
+    fn next_ready(&self, now: Ms, ep: &Endpoint, ahead: usize) -> Ms {
+        let g = &self.groups[ep.group];
+        let (wait, mut gap) = g.pacing(self.settings.senders);
+        let mut at = g.blocked_until().max(now + wait);
+        if let Some(ramp) = &ep.ramp {
+            let rate = self.ramp_rate(now, ep, ramp);
             at = at.max(now + (1.0 - ramp.tokens.level) * 1000.0 / rate);
             gap = gap.max(1000.0 / rate);
         }
-        if r.calls >= Unit::most_out(r) || !self.dest_room(r.row.dest) {
-            let turn = (self.typical(r) / r.window.max(1.0)).max(self.s.round).max(1.0);
+        if ep.calls >= LimitGroup::max_concurrent_calls(ep) || !self.destination_has_room(ep.row.dest) {
+            let turn = (self.median_time(ep) / ep.window.max(1.0)).max(self.settings.round).max(1.0);
             at = at.max(now + turn);
             gap = gap.max(turn);
         }
-        at + ahead as f64 * gap / self.s.kind(r.row.kind).batch as f64
+        at + ahead as f64 * gap / self.settings.kind(ep.row.kind).batch as f64
     }
 
-    /// Brings pace and ramp of a destination's routes up to now; the others stay untouched.
+    /// Refills the tokens of limit shares, paces and ramps of a destination's endpoints up to now.
     fn refill(&mut self, now: Ms, dest: DestId) {
         for id in self.dests.get(&dest).cloned().unwrap_or_default() {
-            let r = &self.routes[&id];
-            let guess = (self.s.reports && !self.units[r.unit].told).then(|| self.guess_limit(now, r));
-            let u = &mut self.units[r.unit];
-            u.limit = guess.or(u.limit);
-            if let Some(limit) = u.limit {
-                u.share.fill(now, limit, self.s.senders);
-            } else if let Some(p) = u.pace {
-                let dt = (now - u.tokens.at).clamp(0.0, 1000.0) / 1000.0;
-                u.tokens.fill(now, p, (p * 0.5).max(1.0));
-                let quiet = (now - u.cut_at).max(0.0) / 1000.0;
-                u.pace = Some(fleet::pace_grown(p, dt, quiet, self.s.refused_price));
+            let ep = &self.endpoints[&id];
+            let guess = (self.settings.reports && !self.groups[ep.group].limit_reported)
+                .then(|| self.guess_limit(now, ep));
+            let g = &mut self.groups[ep.group];
+            g.limit = guess.or(g.limit);
+            if let Some(limit) = g.limit {
+                g.share.refill(now, limit, self.settings.senders);
+            } else if let Some(p) = g.pace {
+                let dt = (now - g.tokens.at).clamp(0.0, 1000.0) / 1000.0;
+                g.tokens.refill(now, p, (p * 0.5).max(1.0));
+                let quiet = (now - g.pace_cut_at).max(0.0) / 1000.0;
+                g.pace = Some(fleet::pace_after_quiet(p, dt, quiet, self.settings.refused_price));
             }
-            let Some(rate) = r.ramp.as_ref().map(|p| self.ramp_rate(now, r, p)) else { continue };
-            let Some(r) = self.routes.get_mut(&id) else { continue };
-            r.ramp = r.ramp.take().filter(|p| now - p.since <= self.s.cold);
-            if let Some(p) = &mut r.ramp {
-                p.tokens.fill(now, rate, 1.0);
+            let Some(rate) = ep.ramp.as_ref().map(|p| self.ramp_rate(now, ep, p)) else { continue };
+            let Some(ep) = self.endpoints.get_mut(&id) else { continue };
+            ep.ramp = ep.ramp.take().filter(|p| now - p.since <= self.settings.cold);
+            if let Some(p) = &mut ep.ramp {
+                p.tokens.refill(now, rate, 1.0);
             }
         }
     }
 
-    /// A limit that was not told yet is taken to be like those of its kind, or as high as what all want.
-    fn guess_limit(&self, now: Ms, r: &Route) -> f64 {
-        let like = self.routes.values().filter(|o| o.row.kind == r.row.kind && self.units[o.unit].told);
-        let known = fleet::median(like.filter_map(|o| self.units[o.unit].limit).collect());
-        known.unwrap_or((self.demand(now, r.unit) * self.s.senders as f64).max(CROWD_LEAST))
+    /// Assumes for an unknown limit the median of the known ones of the same kind, or else the total demand.
+    fn guess_limit(&self, now: Ms, ep: &Endpoint) -> f64 {
+        let like = self
+            .endpoints
+            .values()
+            .filter(|o| o.row.kind == ep.row.kind && self.groups[o.group].limit_reported);
+        let known = fleet::median(like.filter_map(|o| self.groups[o.group].limit).collect());
+        known.unwrap_or((self.demand_rate(now, ep.group) * self.settings.senders as f64).max(MIN_DEMAND))
     }
 
-    fn fee(&self, r: &Route) -> f64 {
-        let apart = self.s.kind(r.row.kind).apart;
-        let zone = self.s.zone_fees.get(r.row.zone).copied().filter(|_| apart).unwrap_or(0.0);
-        let cross = if r.row.zone != self.s.zone { self.s.cross_zone } else { 0.0 };
+    fn fee(&self, ep: &Endpoint) -> f64 {
+        let apart = self.settings.kind(ep.row.kind).apart;
+        let zone = self.settings.zone_fees.get(ep.row.zone).copied().filter(|_| apart).unwrap_or(0.0);
+        let cross = if ep.row.zone != self.settings.zone { self.settings.cross_zone } else { 0.0 };
         (zone + cross) * self.mean_worth
     }
 
-    /// May this message test a route that is out? Not one that could be lost there, but as a last resort.
-    fn may_try(&self, now: Ms, h: &Held, o: &Outage) -> bool {
+    /// Whether this message may be the trial of an endpoint that is out. An at-most-once message that could
+    /// be lost there may only as a last resort.
+    fn may_be_trial(&self, now: Ms, h: &HeldMessage, o: &Outage) -> bool {
         let unsafe_class = self.class(h).effect == Effect::Unsafe;
-        let last_chance = h.m.valid_until - now < 1_000.0;
-        h.attempts + 1 < self.s.most_attempts && (!o.harmful || !unsafe_class || last_chance)
+        let last_chance = h.message.valid_until - now < 1_000.0;
+        h.attempts + 1 < self.settings.most_attempts && (!o.may_have_run || !unsafe_class || last_chance)
     }
 
-    /// The first route by plain-waiting payoff, counting the time until it can take the call and its fee.
-    fn plan(&self, now: Ms, h: &Held, ahead: &BTreeMap<RouteId, usize>) -> Plan {
-        let mut hold = f64::MAX;
+    /// The endpoint with the best payoff of plain waiting, counting its fee and the time until it can accept
+    /// the call. An endpoint that is out and due for a trial takes precedence.
+    fn plan(&self, now: Ms, h: &HeldMessage, ahead: &BTreeMap<RouteId, usize>) -> Plan {
+        let mut next_check = f64::MAX;
         let mut best: Option<(f64, f64, RouteId, Ms)> = None;
-        for r in self.routes_to(h) {
-            let id = &r.row.route;
-            if let Some(o) = &r.outage {
-                let u = &self.units[r.unit];
-                let at = u.next_trial.max(u.shut_until());
-                if !(self.s.can_probe && o.harmful) && o.trying.is_none() && self.may_try(now, h, o) {
-                    if at <= now && self.dest_room(h.m.dest) {
+        for ep in self.eligible_endpoints(h) {
+            let id = &ep.row.route;
+            if let Some(o) = &ep.outage {
+                let g = &self.groups[ep.group];
+                let at = g.next_trial.max(g.blocked_until());
+                if !(self.settings.can_probe && o.may_have_run)
+                    && o.trial_started.is_none()
+                    && self.may_be_trial(now, h, o)
+                {
+                    if at <= now && self.destination_has_room(h.message.dest) {
                         return (now, Some(*id), true);
                     }
-                    hold = hold.min(at.max(now + self.s.round));
+                    next_check = next_check.min(at.max(now + self.settings.round));
                 }
                 continue;
             }
-            if r.fails_now(now, FAIL_HALF) > FAIL_UNSAFE && self.class(h).effect == Effect::Unsafe {
-                hold = hold.min(now + FAIL_HALF / 4.0);
+            if ep.decayed_failure_rate(now, FAILURE_HALF_LIFE) > UNRELIABLE_FAILURE_RATE
+                && self.class(h).effect == Effect::Unsafe
+            {
+                next_check = next_check.min(now + FAILURE_HALF_LIFE / 4.0);
                 continue;
             }
-            let joins = self.open.get(id).is_some_and(|c| self.calls[c].left < self.s.kind(r.row.kind).batch);
-            let at = if joins { now } else { self.ready(now, r, ahead.get(id).copied().unwrap_or(0)) };
-            let again = if h.avoid == Some(*id) { 0.8 } else { 1.0 };
-            let u = &self.units[r.unit];
-            let beyond = u.limit.map_or(0.0, |_| u.share.beyond()) * self.s.refused_price * self.mean_worth;
-            let pay = again * self.curve(r).payoff(|t| self.worth(h, at + t)) - self.fee(r) - beyond;
-            let load = r.last_used;
+            let joins = self
+                .open_calls
+                .get(id)
+                .is_some_and(|c| self.calls[c].pending_outcomes < self.settings.kind(ep.row.kind).batch);
+            let at = if joins { now } else { self.next_ready(now, ep, ahead.get(id).copied().unwrap_or(0)) };
+            let repeat_factor = if h.last_endpoint == Some(*id) { 0.8 } else { 1.0 };
+            let g = &self.groups[ep.group];
+            let excess_cost =
+                g.limit.map_or(0.0, |_| g.share.excess()) * self.settings.refused_price * self.mean_worth;
+            let payoff =
+                repeat_factor * self.curve(ep).payoff(|t| self.worth(h, at + t)) - self.fee(ep) - excess_cost;
+            let last_used = ep.last_used;
             let better = best.is_none_or(|(p, l, _, _)| {
-                let margin = CLEAR_GAIN * p.abs();
-                pay > p + margin || (pay > p - margin && load < l)
+                let margin = MIN_PAYOFF_GAIN * p.abs();
+                payoff > p + margin || (payoff > p - margin && last_used < l)
             });
             if better {
-                best = Some((pay, load, *id, at));
+                best = Some((payoff, last_used, *id, at));
             }
         }
-        let (at, route) = best.map_or((f64::MAX, None), |b| (b.3, Some(b.2)));
-        (if at <= now { now } else { at.min(hold) }, route, false)
+        let (at, endpoint) = best.map_or((f64::MAX, None), |b| (b.3, Some(b.2)));
+        (if at <= now { now } else { at.min(next_check) }, endpoint, false)
     }
 
-    /// Its key's turn: once everything taken earlier is over, and the key has rested.
-    fn key_free(&self, now: Ms, h: &Held) -> Ms {
-        let Some((front, quiet)) = h.m.key.and_then(|k| self.keys.turn(k)) else { return now };
+    /// When the ordering key lets the message be sent: once all earlier messages of the key have ended and,
+    /// for a first attempt, the quiet period of the key is over.
+    fn key_free(&self, now: Ms, h: &HeldMessage) -> Ms {
+        let Some((front, quiet)) = h.message.key.and_then(|k| self.keys.front(k)) else { return now };
         match front {
-            Some(first) if first != h.m.id => f64::MAX,
+            Some(first) if first != h.message.id => f64::MAX,
             _ if h.attempts == 0 => quiet,
             _ => now,
         }
     }
 
-    /// Guards against calls cut off by the end of this process: an unsafe message would be lost by it, so it
-    /// starts only if a slow call would still be answered; others start while a usual one would.
-    fn can_finish(&self, now: Ms, h: &Held) -> bool {
+    /// Whether an attempt would end before this process does. An at-most-once message would be lost if it did
+    /// not, so it starts only if even a slow call would still be answered; others start if a usual call
+    /// would.
+    fn can_finish(&self, now: Ms, h: &HeldMessage) -> bool {
         let Some(closing) = self.closing else { return true };
-        let usual = self.routes_to(h).map(|r| self.typical(r)).fold(0.0, f64::max);
-        let slow = self.routes_to(h).map(|r| self.hang_span(r)).fold(0.0, f64::max);
+        let usual = self.eligible_endpoints(h).map(|ep| self.median_time(ep)).fold(0.0, f64::max);
+        let slow = self.eligible_endpoints(h).map(|ep| self.overdue_after(ep)).fold(0.0, f64::max);
         now + if self.class(h).effect == Effect::Unsafe { slow } else { usual } < closing
     }
 
-    /// Messages that may be sent, by what a delay would cost them for each unit of slot time that they need.
+    /// Pending messages, ordered by what a delay would cost for each unit of slot time that they need.
     fn ranked(&self, now: Ms) -> Vec<MsgId> {
         let mut order: Vec<(f64, Ms, MsgId)> = Vec::new();
-        for (id, h) in self.waiting() {
-            let quick = self.routes_to(h).map(|r| self.typical(r)).fold(f64::MAX, f64::min);
-            let at = now + quick;
-            let delay = RANK_AHEAD * self.class(h).promise;
-            let stake = self.worth(h, at) - self.worth(h, at + delay) + RANK_WORTH * self.worth(h, at);
-            order.push((stake / (quick + RANK_CALL), h.m.valid_until, *id));
+        for (id, h) in self.pending() {
+            let call_time =
+                self.eligible_endpoints(h).map(|ep| self.median_time(ep)).fold(f64::MAX, f64::min);
+            let at = now + call_time;
+            let delay = RANK_DELAY_SHARE * self.class(h).promise;
+            let stake = self.worth(h, at) - self.worth(h, at + delay) + RANK_WORTH_SHARE * self.worth(h, at);
+            order.push((stake / (call_time + RANK_CALL_OVERHEAD), h.message.valid_until, *id));
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         order.into_iter().map(|o| o.2).collect()
     }
 
     fn dispatch(&mut self, now: Ms, out: &mut Vec<Action>) {
-        // The next outcome wakes up who waits for a slot.
-        if self.calls.len() >= self.s.slots {
+        // The next outcome frees a slot and starts another step.
+        if self.calls.len() >= self.settings.slots {
             return;
         }
         let mut ahead: BTreeMap<RouteId, usize> = BTreeMap::new();
         let mut queued: BTreeMap<DestId, usize> = BTreeMap::new();
-        // Those that no route may take now are counted apart: others of their destination may still go.
-        let mut barred: BTreeMap<(DestId, usize, Option<usize>), usize> = BTreeMap::new();
-        let waiting = self.queues();
+        // Messages that no endpoint may get now are counted apart, because others of their destination may
+        // still be sent.
+        let mut unroutable: BTreeMap<(DestId, usize, Option<usize>), usize> = BTreeMap::new();
+        let waiting = self.queue_lengths();
         waiting.keys().for_each(|dest| self.refill(now, *dest));
         for id in self.ranked(now) {
             let h = &self.held[&id];
-            let choice = (h.m.dest, h.m.class, h.ran.map(|(_, zone)| zone));
-            let planned = |count: Option<&usize>| count.is_some_and(|n| *n >= PLANS_AHEAD);
-            if !self.can_finish(now, h) || planned(queued.get(&h.m.dest)) || planned(barred.get(&choice)) {
+            let choice = (h.message.dest, h.message.class, h.ran.map(|(_, zone)| zone));
+            let planned = |count: Option<&usize>| count.is_some_and(|n| *n >= MAX_PLANNED_PER_DEST);
+            if !self.can_finish(now, h)
+                || planned(queued.get(&h.message.dest))
+                || planned(unroutable.get(&choice))
+            {
                 continue;
             }
-            let free = self.key_free(now, h).max(h.not_before).max(self.next_chance(now, h));
+            let free = self.key_free(now, h).max(h.not_before).max(self.earliest_send(now, h));
             if free > now {
                 self.wake_at(free);
                 continue;
             }
-            let (at, route, trial) = self.plan(now, h, &ahead);
-            let Some(route) = route.filter(|_| at <= now) else {
-                match route {
-                    Some(r) => {
-                        *ahead.entry(r).or_default() += 1;
-                        *queued.entry(h.m.dest).or_default() += 1;
+            let (at, endpoint, trial) = self.plan(now, h, &ahead);
+            let Some(endpoint) = endpoint.filter(|_| at <= now) else {
+                match endpoint {
+                    Some(id) => {
+                        *ahead.entry(id).or_default() += 1;
+                        *queued.entry(h.message.dest).or_default() += 1;
                     }
-                    None => *barred.entry(choice).or_default() += 1,
+                    None => *unroutable.entry(choice).or_default() += 1,
                 }
                 self.wake_at(at);
                 continue;
             };
-            let batch = self.s.kind(self.routes[&route].row.kind).batch;
-            let joins = self.open.get(&route).is_some_and(|c| self.calls[c].left < batch);
-            let gathered = h.arrived + GATHER * self.class(h).promise;
-            if !joins && !trial && gathered > now && waiting[&h.m.dest] < batch {
+            let batch = self.settings.kind(self.endpoints[&endpoint].row.kind).batch;
+            let joins =
+                self.open_calls.get(&endpoint).is_some_and(|c| self.calls[c].pending_outcomes < batch);
+            let gathered = h.arrived + BATCH_WAIT_SHARE * self.class(h).promise;
+            if !joins && !trial && gathered > now && waiting[&h.message.dest] < batch {
                 self.wake_at(gathered);
-            } else if joins || self.calls.len() < self.s.slots {
-                self.send(now, id, route, trial, joins, out);
+            } else if joins || self.calls.len() < self.settings.slots {
+                self.send(now, id, endpoint, trial, joins, out);
             }
         }
     }
 
-    fn send(&mut self, now: Ms, id: MsgId, route: RouteId, trial: bool, joins: bool, out: &mut Vec<Action>) {
-        let cap = if trial { None } else { self.theta(now, &self.held[&id], route) };
-        let lost_after = self.links.lost_after(now, LINK_MEMORY) * LINK_SLACK;
-        let Some(r) = self.routes.get_mut(&route) else { return };
-        let mut idle = r.idle_since.filter(|_| r.calls == 0 && !joins).map(|t| now - t);
-        idle = idle.filter(|t| *t > LINK_LEAST && (self.s.keep_idle <= 0.0 || *t < self.s.keep_idle));
-        // Guards against calls lost on a connection that was dropped unseen: a new one costs no more.
-        if idle.take_if(|t| *t > lost_after).is_some() {
-            out.push(Action::CloseIdle(route));
-        }
-        r.last_used = now;
-        if let Some(o) = r.outage.as_mut() {
-            o.trying = Some(now);
-            self.units[r.unit].next_trial = now + TRIAL_GAP;
-        }
-        let call = if joins { self.open[&route] } else { self.next_call };
+    fn send(
+        &mut self,
+        now: Ms,
+        id: MsgId,
+        endpoint: RouteId,
+        trial: bool,
+        joins: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let cap = if trial { None } else { self.theta(now, &self.held[&id], endpoint) };
+        let max_idle = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY) * IDLE_LOSS_MARGIN;
+        let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
+        let mut idle = ep.idle_since.filter(|_| ep.calls == 0 && !joins).map(|t| now - t);
+        idle = idle
+            .filter(|t| *t > MIN_IDLE && (self.settings.keep_idle <= 0.0 || *t < self.settings.keep_idle));
+        // A connection that has been idle for longer than others that were lost may have been dropped
+        // silently; a new one costs no more than a lost call.
+        if idle.take_if(|t| *t > max_idle).is_some() {
+            out.push(Action::CloseIdle(endpoint));
+        }
+        ep.last_used = now;
+        if let Some(o) = ep.outage.as_mut() {
+            o.trial_started = Some(now);
+            self.groups[ep.group].next_trial = now + MIN_TRIAL_GAP;
+        }
+        let call = if joins { self.open_calls[&endpoint] } else { self.next_call };
         if joins {
             if let Some(c) = self.calls.get_mut(&call) {
-                c.left += 1;
+                c.pending_outcomes += 1;
             }
         } else {
             self.next_call += 1;
-            r.calls += 1;
-            self.units[r.unit].tokens.level -= 1.0;
-            self.units[r.unit].share.spend();
-            self.units[r.unit].use_room(now);
-            if let Some(ramp) = &mut r.ramp {
+            ep.calls += 1;
+            self.groups[ep.group].tokens.level -= 1.0;
+            self.groups[ep.group].share.spend();
+            self.groups[ep.group].consume_room(now);
+            if let Some(ramp) = &mut ep.ramp {
                 ramp.tokens.level -= 1.0;
             }
-            self.calls.insert(call, Call { route, dest: r.row.dest, left: 1, sent: now, heard: false, idle });
-            self.open.insert(route, call);
+            self.calls.insert(
+                call,
+                Call {
+                    endpoint,
+                    dest: ep.row.dest,
+                    pending_outcomes: 1,
+                    sent: now,
+                    outcome_seen: false,
+                    idle_before: idle,
+                },
+            );
+            self.open_calls.insert(endpoint, call);
         }
         let Some(h) = self.held.get_mut(&id) else { return };
         if h.attempts == 0 {
-            self.retry.level = (self.retry.level + RETRY_EARN).min(RETRY_MOST);
+            self.retry.level = (self.retry.level + RETRIES_PER_MESSAGE).min(MAX_RETRIES);
         }
-        h.flight = Some(Flight { attempt: h.attempts, route, call, sent: now, watchdog: cap.is_some() });
+        h.in_flight =
+            Some(InFlight { attempt: h.attempts, endpoint, call, sent: now, watchdog: cap.is_some() });
         h.attempts += 1;
-        out.push(Action::Send { id, route, cap });
-        self.wake_at(now + HANG_LEAST);
+        out.push(Action::Send { id, route: endpoint, cap });
+        self.wake_at(now + OVERDUE_BASE);
     }
 
-    /// The watchdog; none for an unsafe message, nor once the one fail-over or the budget is spent.
-    fn theta(&self, now: Ms, h: &Held, route: RouteId) -> Option<Ms> {
+    /// The watchdog of an attempt: none for an at-most-once message, nor once the one fail-over or the retry
+    /// budget is used up.
+    fn theta(&self, now: Ms, h: &HeldMessage, endpoint: RouteId) -> Option<Ms> {
         let c = self.class(h);
-        let spent = h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.s.most_attempts;
+        let spent = h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.most_attempts;
         if spent || c.effect == Effect::Unsafe {
             return None;
         }
-        let first = self.routes.get(&route).filter(|r| r.samples.ring.len() >= THETA_SAMPLES)?;
-        let left = h.m.valid_until - now;
+        let first =
+            self.endpoints.get(&endpoint).filter(|ep| ep.samples.ring.len() >= MIN_WATCHDOG_SAMPLES)?;
+        let left = h.message.valid_until - now;
         let worth = |t: Ms| self.worth(h, now + t);
-        let fit = self
-            .routes_to(h)
-            .filter(|r| r.row.route != route && r.outage.is_none() && self.same_group(h, first.row.zone, r));
-        let paid = fit.map(|r| (self.curve(r).payoff(worth) - self.fee(r), r));
+        let fit = self.eligible_endpoints(h).filter(|ep| {
+            ep.row.route != endpoint && ep.outage.is_none() && self.in_dedup_group(h, first.row.zone, ep)
+        });
+        let paid = fit.map(|ep| (self.curve(ep).payoff(worth) - self.fee(ep), ep));
         let best = paid.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.row.route.cmp(&a.1.row.route)));
         let own = self.curve(first);
         let second = best.map_or(own, |b| self.curve(b.1));
-        let bends = [left, (h.born + c.promise - now).max(0.0)];
-        let theta = watchdog(own, second, &bends, worth)?;
+        let breakpoints = [left, (h.age_from + c.promise - now).max(0.0)];
+        let theta = watchdog(own, second, &breakpoints, worth)?;
         let keyed = matches!(c.effect, Effect::Keyed { .. });
-        (!keyed || theta < c.window - 4.0 * self.s.round).then_some(theta)
+        (!keyed || theta < c.window - 4.0 * self.settings.round).then_some(theta)
     }
 }
--- a/src/brain/adopt.rs
+++ b/src/brain/adopt.rs
@@ -1,24 +1,25 @@
-//! Takes changed settings over while messages are held. Nothing is decided here.
+//! Adopts changed settings while messages are held. Nothing is decided here.
 
 use super::Brain;
 use crate::api::Settings;
-use crate::state::Bucket;
+use crate::state::TokenBucket;
 
 impl Brain {
-    /// From now on these settings hold. Classes, zones, kinds and tenants keep their numbers; new ones come behind.
-    pub fn adopt(&mut self, s: Settings) {
-        self.quota.resize(s.tenant_quota.len().max(self.quota.len()), Bucket::default());
-        // What messages are worth on average is learned again from here on, by the new worths.
+    /// Replaces the settings, except for the seed. Classes, zones, kinds and tenants keep their indices; new
+    /// ones are appended.
+    pub fn adopt(&mut self, settings: Settings) {
+        self.quota.resize(settings.tenant_quota.len().max(self.quota.len()), TokenBucket::default());
+        // The learned mean worth is scaled to the new worths, and learned further from there.
         let worth =
             |s: &Settings| s.classes.iter().map(|c| c.worth).sum::<f64>() / s.classes.len().max(1) as f64;
-        self.mean_worth *= worth(&s) / worth(&self.s).max(f64::MIN_POSITIVE);
-        self.s = Settings { seed: self.s.seed, ..s };
+        self.mean_worth *= worth(&settings) / worth(&self.settings).max(f64::MIN_POSITIVE);
+        self.settings = Settings { seed: self.settings.seed, ..settings };
     }
 }
 
 impl Brain {
-    /// From now on so many calls may be out and so many messages held.
+    /// Sets how many calls may be outstanding and how many messages may be held.
     pub fn allow(&mut self, slots: usize, held: usize) {
-        (self.s.slots, self.s.max_held) = (slots, held);
+        (self.settings.slots, self.settings.max_held) = (slots, held);
     }
 }
