--- a/src/api.rs
+++ b/src/api.rs
@@ -1,167 +1,173 @@
-//! The interface of the decision module: settings, events and actions, in the words of the field.
+//! The interface of the decision module: settings, events and actions.
 //!
-//! All times are milliseconds; a clock value may start anywhere and only grows. Nothing here decides anything.
+//! All times are in milliseconds, on a clock that may start anywhere and never goes back. Nothing is decided
+//! here.
 
-/// A time of the clock, or a span, in milliseconds.
+/// A time on that clock, or a span, in milliseconds.
 pub type Ms = f64;
-/// Number of a message; never used again once the message is over.
+/// Number of a message; not used again after the message has ended.
 pub type MsgId = u64;
-/// Number of a route (one address of a destination), as the host chose it.
+/// Number of an endpoint, chosen by the host.
 pub type RouteId = u32;
 /// Number of a destination.
 pub type DestId = u64;
 
-/// A route that is gone from the list is forgotten after this span: what was told of it, waits too, holds for its id
-/// if it comes back, and ids that never come back must not pile up.
+/// An endpoint that left the endpoint list is remembered for this span, so that what is known of it, waits
+/// included, still holds if its id returns. It is not remembered for longer, because ids that never return
+/// must not accumulate.
 pub const GONE_KEPT: Ms = 30_000.0;
 
-/// What repeating a message of a class would do.
+/// What repeating a message of a class does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated without harm.
+    /// Idempotent: may be repeated.
     Safe,
-    /// Repeats are dropped for `window`, by every route of the destination or by those of one zone.
+    /// Deduplicated: repeats are dropped for `window`, by every endpoint of the destination or by those of
+    /// one zone.
     Keyed {
-        /// Only routes in the zone of the first one drop the repeat.
+        /// Only endpoints in the zone of the first one drop the repeat.
         by_zone: bool,
     },
-    /// Must not take effect twice, and nobody drops a repeat.
+    /// At-most-once: must not take effect twice, and no endpoint drops a repeat.
     Unsafe,
 }
 
 /// A class of messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Delivered within this span of its arrival, a message earns all of its worth.
+    /// Span after the arrival within which a delivery earns the whole worth.
     pub promise: Ms,
-    /// Span after which it is worth nothing.
+    /// Span after the arrival from which a delivery earns nothing.
     pub deadline: Ms,
     /// What a repeat does.
     pub effect: Effect,
-    /// For [`Effect::Keyed`]: how long repeats are dropped.
+    /// For [`Effect::Keyed`]: span in which repeats are dropped.
     pub window: Ms,
-    /// Messages with one key go one at a time, in order.
+    /// Messages with the same ordering key are sent one at a time, in order.
     pub in_order: bool,
     /// Share of the worth that is left at the deadline.
     pub late_worth: f64,
     /// Worth of a message.
     pub worth: f64,
-    /// The promise grows by this multiple of the message's own work, up to the deadline.
+    /// Multiple of the message's own processing time by which the promise is extended, up to the deadline.
     pub aim_stretch: f64,
 }
 
-/// How worth falls between promise and deadline.
+/// How the worth falls between promise and deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Decay {
-    /// Evenly, down to the late worth.
+    /// Linearly, down to the late worth.
     #[default]
     Line,
-    /// By half with each further promise, not under the late worth.
+    /// By half with each further span of the promise, but not below the late worth.
     Halves,
 }
 
-/// What a kind of destination is like.
+/// Properties of a kind of destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kind {
-    /// Its routes have limits, paces and outages of their own.
+    /// Each endpoint has a limit, a pace and outages of its own.
     pub apart: bool,
-    /// Messages that one call carries at most.
+    /// Largest number of messages in one call.
     pub batch: usize,
 }
 
-/// What the list of routes says in its weights.
+/// Meaning of the weights in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Weights {
-    /// Nothing.
+    /// They have no meaning.
     #[default]
     None,
-    /// Calls a second that the destination, or the route apart, takes from all senders together.
+    /// Calls a second that the destination, or an endpoint with a limit of its own, accepts from all
+    /// dispatchers together.
     Rate,
-    /// The same, but up to half too high or too low.
+    /// The same, but up to 50 % too high or too low.
     RoughRate,
 }
 
-/// What a sender is told when it starts.
+/// The settings of a dispatcher.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
     /// Seed of all randomness.
     pub seed: u64,
-    /// How many senders share the work.
+    /// Number of dispatchers that share the work.
     pub senders: usize,
-    /// Least span between two batches of events.
+    /// Shortest span between two batches of events.
     pub round: Ms,
     /// The classes; messages name them by index.
     pub classes: Vec<Class>,
-    /// How worth falls.
+    /// How the worth falls.
     pub decay: Decay,
-    /// The kinds of destination; routes name them by index.
+    /// The kinds of destination; endpoints name them by index.
     pub kinds: Vec<Kind>,
-    /// Fee for each message that a route apart takes on, by zone, in shares of a mean message.
+    /// Fee for each message that an endpoint with a limit of its own accepts, by zone, in shares of a mean
+    /// message.
     pub zone_fees: Vec<f64>,
-    /// The sender's own zone.
+    /// The dispatcher's own zone.
     pub zone: usize,
     /// Price of a call across zones, in shares of a mean message.
     pub cross_zone: f64,
-    /// Price of a call that is turned away, in shares of a mean message.
+    /// Price of a refused call, in shares of a mean message.
     pub refused_price: f64,
     /// Price of a new connection, in shares of a mean message.
     pub handshake_price: f64,
-    /// An idle connection is closed after this span by this side; 0: never.
+    /// Span after which this side closes an idle connection; 0: never.
     pub keep_idle: Ms,
-    /// Allowed messages a second for each tenant, over all senders.
+    /// Messages a second allowed to each tenant, over all dispatchers.
     pub tenant_quota: Vec<f64>,
     /// Share of its worth that a message beyond the quota keeps.
     pub over_share_worth: f64,
-    /// Messages that were handed in before are marked.
+    /// Messages that were submitted before are marked.
     pub marks_again: bool,
-    /// Answers tell of the limit ([`Report`]), where there is one.
+    /// Answers report the limit ([`Report`]), where there is one.
     pub reports: bool,
-    /// Calls out at once.
+    /// Calls that may be outstanding at once.
     pub slots: usize,
-    /// Messages held at once.
+    /// Messages that may be held at once.
     pub max_held: usize,
-    /// Attempts for one message.
+    /// Largest number of attempts for one message.
     pub most_attempts: u32,
-    /// Attempts can be called off.
+    /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// Routes can be probed.
+    /// Endpoints can be probed.
     pub can_probe: bool,
-    /// The longest advice on when to come again that clients follow; 0 if none is passed on.
+    /// Longest retry-after that clients follow; 0 if none is passed on.
     pub max_advice: Ms,
-    /// A connection not made within this span is given up.
+    /// Span after which an attempt to connect is abandoned.
     pub connect_timeout: Ms,
-    /// The list of routes comes only when asked for.
+    /// The endpoint list is sent only on request.
     pub list_on_request: bool,
-    /// Without a subscription, the list counts as known after this span.
+    /// Without a subscription, a change of the endpoint list counts as known after this span.
     pub ask_within: Ms,
-    /// What the weights of the list mean.
+    /// Meaning of the weights.
     pub weights: Weights,
-    /// A final answer may be this late.
+    /// Longest delay allowed to a final answer.
     pub answer_slack: Ms,
-    /// Sends to a draining route must have ended after this span.
+    /// Span after which no more attempts may be sent to a draining endpoint.
     pub drain_grace: Ms,
-    /// A cold route falls over above this multiple of what it can take,
+    /// A cold endpoint is overloaded by more than this multiple of what it can process.
     pub overload_factor: f64,
-    /// held for this span.
+    /// Span for which an endpoint stands such an overload.
     pub overload_for: Ms,
-    /// Least share of its capacity that a route has after an outage.
+    /// Share of its capacity that an endpoint has at least after an outage.
     pub cold_from: f64,
-    /// Span after which it has all of it.
+    /// Span after which an endpoint has its whole capacity again.
     pub cold: Ms,
-    /// Rest of a key after an attempt that may still run.
+    /// Quiet period of a key after an attempt that may still run.
     pub key_quiet: Ms,
-    /// A message that the module ends is over only once its client has heard: [`Event::Heard`].
+    /// A message that the module ends is over only after its client confirmed the answer: [`Event::Heard`].
     pub ends_confirmed: bool,
 }
 
 impl Settings {
-    /// Span within which a message earns all of its worth, if its own work is guessed to take so long.
+    /// Span within which a message earns its whole worth, if `work` is the estimate of its own processing
+    /// time.
     pub fn promise(&self, class: usize, work: Ms) -> Ms {
         let c = &self.classes[class];
         (c.promise + c.aim_stretch * work).min(c.deadline.max(c.promise))
     }
 
-    /// What a delivery earns at an age; nothing after the deadline.
+    /// Worth of a delivery at the age `age`; 0 after the deadline.
     pub fn worth(&self, class: usize, work: Ms, age: Ms) -> f64 {
         let c = &self.classes[class];
         let promise = self.promise(class, work);
@@ -177,29 +183,29 @@
         }
     }
 
-    /// The kind of that index; the last one serves for the rest.
+    /// The kind with that index; the last kind for indices beyond the list.
     pub fn kind(&self, index: usize) -> Kind {
         let shared = Kind { apart: false, batch: 1 };
         self.kinds.get(index).or(self.kinds.last()).copied().unwrap_or(shared)
     }
 }
 
-/// State of a listed route.
+/// State of an endpoint in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Listing {
-    /// May be sent to.
+    /// In service.
     #[default]
     Ready,
-    /// Nothing new may be sent.
+    /// Gets no new attempts.
     Draining,
-    /// Not there any more.
+    /// Not in the list any more.
     Gone,
 }
 
-/// One row of the list of routes.
+/// One row of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Row {
-    /// The route.
+    /// The endpoint.
     pub route: RouteId,
     /// Its zone.
     pub zone: usize,
@@ -218,24 +224,24 @@
 pub enum Outcome {
     /// Delivered.
     Delivered,
-    /// Answered with an error; may have run.
+    /// Answered with an error; the message may have run.
     Error,
-    /// Turned away unseen; never ran.
+    /// Refused; the message never ran.
     Refused,
-    /// No answer in time; may have run or run still.
+    /// No answer in time; the message may have run or still run.
     Late,
-    /// No connection; never ran.
+    /// No connection; the message never ran.
     NoConnection,
-    /// The connection broke; may have run.
+    /// The connection broke; the message may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; the message may have run.
     Cancelled,
-    /// Not sent; never ran.
+    /// Not sent; the message never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// The outcome proves that the message never ran.
+    /// Whether the outcome proves that the message never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Refused | Outcome::NoConnection | Outcome::NotSent)
     }
@@ -250,56 +256,58 @@
     pub class: usize,
     /// Its tenant, where there are any.
     pub tenant: Option<usize>,
-    /// What it is about, for classes in order.
+    /// Its ordering key, for classes in order.
     pub key: Option<u64>,
-    /// It may be delivered until then.
+    /// End of its validity.
     pub valid_until: Ms,
     /// Its destination.
     pub dest: DestId,
-    /// It was handed in before.
+    /// It was submitted before.
     pub again: bool,
-    /// A guess of its own work, where the host gives one; else 0.
+    /// Estimate of its own processing time, where the host has one; else 0.
     pub work: Ms,
 }
 
-/// What a destination told of its limit with an answer; late and noisy. Each value may be absent.
+/// A destination's report of its limit in an answer. It may be out of date and inexact, and each value may be
+/// absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Report {
-    /// Share of the allowance that is left.
+    /// Share of the limit that is left.
     pub left: Option<f64>,
-    /// Limit in calls a second, from all senders together; 0: no limit but the capacity.
+    /// Limit in calls a second, for all dispatchers together; 0: no limit but the capacity.
     pub limit: Option<f64>,
 }
 
-/// How one attempt of a message ended.
+/// How an attempt of a message ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ended {
     /// The message.
     pub id: MsgId,
     /// Which attempt, from 0.
     pub attempt: u32,
-    /// The route.
+    /// The endpoint.
     pub route: RouteId,
     /// How.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub took: Ms,
-    /// The message is over.
+    /// The message is over and gets no further attempt.
     pub over: bool,
-    /// The wait that was told; 0 if none.
+    /// The retry-after of the answer; 0 if none.
     pub wait: Ms,
-    /// What came with it of the limit.
+    /// The report of the limit that came with it.
     pub report: Report,
-    /// Some of an answer had come: the connection was alive, whatever became of it.
+    /// A part of an answer had arrived, so the connection was alive, whatever the outcome.
     pub heard: bool,
-    /// Nothing of it went out, for a reason on this side: it does not count among the message's attempts.
+    /// Nothing of it was sent, for a reason on this side: it does not count among the message's attempts.
     pub unspent: bool,
-    /// For so long the message goes nowhere else: the endpoint may not count the attempt as over yet.
+    /// Quiet period of the message, in which it is sent to no endpoint: this one may not count the attempt as
+    /// over yet.
     pub rest: Ms,
 }
 
 impl Ended {
-    /// An end of which nothing more is known: at once, no wait, no report, nothing of an answer.
+    /// An end with no further details: took no time, no retry-after, no report, no part of an answer.
     pub fn of(id: MsgId, attempt: u32, route: RouteId, outcome: Outcome) -> Ended {
         let (took, over, wait, heard, unspent, rest) = (0.0, false, 0.0, false, false, 0.0);
         Ended {
@@ -318,7 +326,8 @@
     }
 }
 
-/// A message that an earlier process of this sender had taken on. Given in the order of taking.
+/// A message that an earlier process of this dispatcher accepted. Such messages are passed in the order of
+/// acceptance.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Resumed {
     /// The message.
@@ -327,103 +336,106 @@
     pub attempts: u32,
     /// Send time and zone of the first attempt that may have run.
     pub ran: Option<(Ms, usize)>,
-    /// Its end was decided, and its client has not heard yet.
+    /// Its end is decided, and its client has not confirmed the answer.
     pub ended: bool,
 }
 
-/// Something the sender is told.
+/// An input of the decision module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list: rows, and whether they replace the list held.
+    /// Rows of the endpoint list, which update the known list or replace it.
     List {
         /// The rows.
         rows: Vec<Row>,
-        /// They are the whole list.
+        /// They are the whole list and replace the known one.
         whole: bool,
-        /// The list came from memory and may be stale.
+        /// They come from the cached endpoint list and may be stale.
         cached: bool,
     },
-    /// Asking for the list failed, or the subscription broke.
+    /// A request for the endpoint list failed, or the subscription broke.
     ListFailed,
-    /// A message came in.
+    /// A message arrived.
     Arrived(Message),
-    /// A message of an earlier process is held again.
+    /// A message of an earlier process is taken over.
     Resumed(Resumed),
-    /// An earlier process of this sender has ended: what it called may run still, so every key rests first.
+    /// An earlier process of this dispatcher ended. Its calls may still run, so every key starts with a quiet
+    /// period.
     Restarted,
-    /// The client of a message that the module ended has heard of it, where ends are confirmed.
+    /// The client confirmed the answer to a message that the module ended; only where `ends_confirmed` is
+    /// set.
     Heard(MsgId),
     /// This process ends at that time and leaves what it holds to the next one.
     Closing(Ms),
     /// An attempt ended.
     Ended(Ended),
-    /// How much the ceilings of this sender let go to a route; nothing is said of a route without any.
+    /// What the dispatcher's own quota allows to an endpoint. No such event comes for an endpoint without a
+    /// quota.
     Room {
-        /// The route.
+        /// The endpoint.
         route: RouteId,
-        /// Calls that may start to it, or to all that share its limit, from now on.
+        /// Calls that may start from now on, to the endpoint or to all that share its limit.
         calls: u32,
-        /// With none: when there may be room again.
+        /// If `calls` is 0: when more calls may start.
         again: Ms,
-        /// Connections that it may have.
+        /// Upper bound of connections to the endpoint.
         links: u32,
     },
     /// A probe ended.
     Probed {
-        /// The route.
+        /// The endpoint.
         route: RouteId,
         /// How.
         outcome: Outcome,
         /// Time since it was sent.
         took: Ms,
-        /// What came with it of the limit.
+        /// The report of the limit that came with it.
         report: Report,
     },
-    /// The client went away, or the final answer is overdue.
+    /// The client left, or its final answer is overdue.
     ClientGone(MsgId),
-    /// A timer that was asked for is due.
+    /// A requested timer is due.
     Timer(u64),
 }
 
-/// Something the sender wants done.
+/// An output of the decision module, which the host carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Call a route with a message; without a cap, until its time is up.
+    /// Send a message to an endpoint; without `cap`, until the end of its validity.
     Send {
         /// The message.
         id: MsgId,
-        /// The route.
+        /// The endpoint.
         route: RouteId,
-        /// Attempt time-out.
+        /// Timeout of the attempt.
         cap: Option<Ms>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MsgId,
         /// Which attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: handed back, may be handed in again.
+    /// Final answer: the message is returned, and the client may submit it again.
     Deny {
         /// The message.
         id: MsgId,
-        /// Span that the client should stay away; 0: no advice.
+        /// Retry-after for the client; 0: none.
         retry_in: Ms,
     },
-    /// Final answer: given up, no promise about its effect.
+    /// Final answer: the message is given up, with no statement about its effect.
     Fail(MsgId),
-    /// Check a route.
+    /// Probe an endpoint.
     Probe(RouteId),
-    /// Close this sender's idle connections to a route.
+    /// Close this dispatcher's idle connections to an endpoint.
     CloseIdle(RouteId),
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Watch,
-    /// Ask for a timer.
+    /// Request a timer.
     Timer {
-        /// When.
+        /// When it is due.
         at: Ms,
-        /// Given back when due.
+        /// Passed back when it is due.
         token: u64,
     },
 }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1219,7 +1219,7 @@
         joins: bool,
         out: &mut Vec<Action>,
     ) {
-        let cap = if trial { None } else { self.theta(now, &self.held[&id], endpoint) };
+        let cap = if trial { None } else { self.watchdog_timeout(now, &self.held[&id], endpoint) };
         let max_idle = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY) * IDLE_LOSS_MARGIN;
         let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
         let mut idle = ep.idle_since.filter(|_| ep.calls == 0 && !joins).map(|t| now - t);
@@ -1275,7 +1275,7 @@
 
     /// The watchdog of an attempt: none for an at-most-once message, nor once the one fail-over or the retry
     /// budget is used up.
-    fn theta(&self, now: Ms, h: &HeldMessage, endpoint: RouteId) -> Option<Ms> {
+    fn watchdog_timeout(&self, now: Ms, h: &HeldMessage, endpoint: RouteId) -> Option<Ms> {
         let c = self.class(h);
         let spent = h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.most_attempts;
         if spent || c.effect == Effect::Unsafe {
--- a/src/curve.rs
+++ b/src/curve.rs
@@ -1,16 +1,19 @@
-//! The product-limit estimate of a route's call times. Mathematics only: nothing is decided here.
+//! The product-limit (Kaplan-Meier) estimate of an endpoint's call times. Mathematics only: nothing is
+//! decided here.
 
 use crate::api::Ms;
 
-/// A route's distribution of call times: steps of probability; what is missing to 1 lies past any deadline.
+/// The distribution of an endpoint's call times as probability steps. Probability that is missing to 1 lies
+/// after any deadline.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Curve {
-    /// Times, ascending, and the probability of an answer at each.
+    /// Times in ascending order, each with the probability of an answer at that time.
     pub steps: Vec<(Ms, f64)>,
 }
 
 impl Curve {
-    /// Product-limit estimate from `(time, answered)`; a cut attempt is `(time, false)`, a failure `(∞, false)`.
+    /// The product-limit estimate from samples `(time, answered)`. An attempt that was cut short is the
+    /// censored sample `(time, false)`; a failure is `(∞, false)`.
     pub fn product_limit(samples: &[(Ms, bool)]) -> Curve {
         let mut sorted = samples.to_vec();
         sorted.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
@@ -26,12 +29,12 @@
         Curve { steps }
     }
 
-    /// Probability of no answer by `t`.
+    /// Probability that there is no answer by `t`.
     pub fn survival(&self, t: Ms) -> f64 {
         1.0 - self.steps.iter().take_while(|s| s.0 <= t).map(|s| s.1).sum::<f64>()
     }
 
-    /// Time by which the share `q` of the answered calls was answered.
+    /// Time by which the share `q` of the answered calls was answered; `None` if there are none.
     pub fn quantile(&self, q: f64) -> Option<Ms> {
         let all: f64 = self.steps.iter().map(|s| s.1).sum();
         let mut sum = 0.0;
@@ -44,7 +47,7 @@
         None
     }
 
-    /// Expected worth of a call sent now, if `worth(t)` is what an answer after `t` earns.
+    /// Expected worth of a call sent now, where `worth(t)` is the worth of an answer after `t`.
     pub fn payoff(&self, worth: impl Fn(Ms) -> f64) -> f64 {
         self.steps.iter().map(|&(t, mass)| mass * worth(t)).sum()
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -31,7 +31,7 @@
 
 // Connections.
 
-/// Evidence on lost or refused connections holds for this span.
+/// Evidence on lost idle connections, and with many dispatchers on refused ones, holds for this span.
 pub(crate) const CONNECTION_MEMORY: Ms = 120_000.0;
 /// Number of dispatchers that may fill a connection table by keeping one connection each.
 const MANY_DISPATCHERS: usize = 16;
@@ -145,7 +145,9 @@
 pub(crate) struct LimitShare {
     /// Calls that may be sent; a negative level is credit that is in use.
     level: f64,
+    /// Time of the last refill.
     at: Ms,
+    /// Calls that may be sent beyond the even part.
     credit: f64,
     /// Factor on the even part.
     gain: f64,
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -1,52 +1,55 @@
-//! The rules on what may be sent, repeated, closed or started now, in one place; no I/O, no clock.
+//! The rules on what may be sent, repeated, closed or ended now, in one place; no I/O, no clock.
 //!
-//! Every path that begins an attempt or a probe, writes a request, closes a client's connection or ends the process asks here
-//! first, whatever it decided before: a decision may be older than an event that has crossed it. What is not allowed is not
-//! done, and counted by its reason ([`Counts`]). What was found done although it was not allowed is a violation.
+//! Every path that starts an attempt or a probe, writes a request, closes a client's connection or ends the
+//! process checks here first, whatever was decided before: since a decision was made, another event may have
+//! overtaken it. What is not allowed is not done, and is counted by reason ([`Counts`]). What turns out to
+//! have been done although it was not allowed is a violation.
 //!
-//! Idle connections to endpoints are closed without asking: they owe nothing. One with a request out gives that request up, and
-//! the next attempt waits until its endpoint counts the last one as over ([`Confirmation`]). An MQTT client's connection, too: its session outlives it, with what is owed to it.
+//! Idle connections to endpoints are closed without a check, because no answer is outstanding on them.
+//! Closing one with an outstanding request abandons that request, and the next attempt waits until the
+//! endpoint counts the last one as over ([`Confirmation`]). An MQTT client's connection needs no check
+//! either: its session, and the answers owed to it, outlive the connection.
 
 use crate::api::{Effect, Listing, Ms};
 use std::collections::BTreeMap;
 
-/// Why something may not be done now.
+/// Why an action is not allowed now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// The message has its end.
+    /// The end of the message is decided.
     Ended,
-    /// An attempt of the message is out.
+    /// An attempt of the message is outstanding.
     Outstanding,
-    /// An attempt of the message has ended here, and its endpoint may not know yet.
+    /// An attempt of the message has ended here, but its endpoint may not know yet.
     Unconfirmed,
-    /// Its time is up.
+    /// Its validity has ended.
     Expired,
-    /// It has had all its attempts.
+    /// It has used up its attempts.
     Exhausted,
-    /// It may have run, and must not run twice.
+    /// It may have run, and is at-most-once.
     MayHaveRun,
-    /// It may have run, and nobody drops a repeat any more.
+    /// It may have run, and the window in which repeats are dropped is over.
     WindowOver,
-    /// It may have run elsewhere, and a repeat would not be dropped here.
+    /// It may have run at another endpoint, and this one would not drop the repeat.
     OtherGroup,
-    /// An earlier message of its key is not over.
+    /// An earlier message of its key has not ended.
     OutOfTurn,
-    /// The endpoint, or what it shares its limit with, has told a wait.
+    /// A retry-after of the endpoint, or of one that shares its limit, has not passed.
     Waiting,
-    /// The endpoint drains, is gone from the list or is out by hand.
+    /// The endpoint is draining, off the endpoint list or blocked by an operator.
     NotInService,
-    /// The process ends, or has handed over.
+    /// The process is ending, or has handed over.
     Leaving,
-    /// A request was read, and its answer is owed or not written yet.
+    /// A request was read, and its answer is not written yet.
     AnswerOwed,
-    /// Calls are out or held, and there is time for them.
+    /// Attempts are outstanding or messages are held, and there is time to finish them.
     Unfinished,
-    /// Ends are not in the folder yet: the next process would not know of them.
+    /// Ends of messages are not in the state folder yet, so the next process would not know of them.
     Unrecorded,
 }
 
 impl Reason {
-    /// The word of the log and of the figures.
+    /// Its name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Reason::Ended => "ended",
@@ -68,58 +71,58 @@
     }
 }
 
-/// A message that an attempt is to be made of.
+/// A message for which an attempt is planned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Message<'a> {
-    /// Its end was decided.
+    /// Its end is decided.
     pub ended: bool,
-    /// An attempt of it is out.
+    /// An attempt of it is outstanding.
     pub outstanding: bool,
-    /// An attempt of it has ended here, and its endpoint may not know yet.
+    /// An attempt of it has ended here, but its endpoint may not know yet.
     pub unconfirmed: bool,
-    /// It may be delivered until then.
+    /// End of its validity.
     pub valid_until: Ms,
-    /// Attempts that went out.
+    /// Attempts made so far.
     pub attempts: u32,
-    /// What a second run does.
+    /// What a repeat does.
     pub effect: Effect,
-    /// For so long after the first attempt a repeat is dropped by who got that.
+    /// Span after the first attempt in which its receiver drops a repeat.
     pub window: Ms,
-    /// The first attempt that may have run: when it went out, and its endpoint's zone.
+    /// The first attempt that may have run: its send time, and the zone of its endpoint.
     pub ran: Option<(Ms, &'a str)>,
-    /// An earlier message of its key is not over.
+    /// An earlier message of its key has not ended.
     pub has_earlier: bool,
 }
 
-/// The endpoint that it is to go to.
+/// The endpoint of a planned attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Endpoint<'a> {
-    /// What the list, or the operator's hand, says of it.
+    /// Its state on the endpoint list, or as set by an operator.
     pub listing: Listing,
     /// Its zone.
     pub zone: &'a str,
-    /// A wait that is on.
+    /// End of a retry-after that is in force.
     pub wait_until: Option<Ms>,
 }
 
-/// What holds for all messages.
+/// What applies to all messages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Process {
-    /// It begins nothing from then on.
+    /// When it stops to start attempts.
     pub closing: Option<Ms>,
-    /// Attempts of a message at most.
+    /// Largest number of attempts for one message.
     pub most_attempts: u32,
-    /// Times are this exact.
+    /// Resolution of times, in milliseconds.
     pub round: Ms,
 }
 
-/// May an attempt of the message go to the endpoint now?
+/// Whether an attempt of the message may be sent to the endpoint now.
 ///
 /// # Errors
 ///
-/// The first rule against it.
+/// The first rule that forbids it.
 pub fn may_send(now: Ms, message: &Message, endpoint: &Endpoint, process: &Process) -> Result<(), Reason> {
-    let against = [
+    let rules = [
         (message.ended, Reason::Ended),
         (message.outstanding, Reason::Outstanding),
         (message.unconfirmed, Reason::Unconfirmed),
@@ -130,13 +133,13 @@
         (endpoint.wait_until.is_some_and(|until| now < until), Reason::Waiting),
         (message.has_earlier, Reason::OutOfTurn),
     ];
-    match against.iter().find(|(holds, _)| *holds) {
+    match rules.iter().find(|(holds, _)| *holds) {
         Some((_, reason)) => Err(*reason),
         None => may_repeat(now, message, endpoint, process),
     }
 }
 
-/// May a message that may have run go out again, to this endpoint?
+/// Whether a message that may have run may be sent again, to this endpoint.
 fn may_repeat(now: Ms, message: &Message, endpoint: &Endpoint, process: &Process) -> Result<(), Reason> {
     let Some((_, zone)) = message.ran else { return Ok(()) };
     match message.effect {
@@ -148,11 +151,11 @@
     }
 }
 
-/// May the endpoint be probed now? A probe counts as a call.
+/// Whether the endpoint may be probed now. A probe counts as a call.
 ///
 /// # Errors
 ///
-/// The rule against it.
+/// The rule that forbids it.
 pub fn may_probe(now: Ms, endpoint: &Endpoint) -> Result<(), Reason> {
     match endpoint.wait_until {
         Some(until) if now < until => Err(Reason::Waiting),
@@ -161,7 +164,7 @@
     }
 }
 
-/// The last moment at which a byte of an attempt may be written: its connection may come up late.
+/// Latest time at which a byte of an attempt may be written: its connection may be established late.
 pub fn write_by(message: &Message, process: &Process) -> Ms {
     match (message.effect, message.ran) {
         (Effect::Keyed { .. }, Some((sent, _))) => {
@@ -171,11 +174,12 @@
     }
 }
 
-/// May bytes of an attempt be written now? Asked before each write: its connection may come up late.
+/// Whether bytes of an attempt may be written now. Checked before each write, because its connection may be
+/// established late.
 ///
 /// # Errors
 ///
-/// Its last moment is over.
+/// The latest time for it has passed.
 pub fn may_write(now: Ms, write_by: Ms) -> Result<(), Reason> {
     if now > write_by {
         return Err(Reason::WindowOver);
@@ -183,46 +187,50 @@
     Ok(())
 }
 
-/// The process may be held up for so long between reading its clock and writing; deadlines and windows allow for it.
-const HELD_UP: Ms = 150.0;
-/// Calls that come so soon after a wait was told were on their way.
-const ON_ITS_WAY: Ms = 100.0;
+/// Longest assumed delay of the process between reading its clock and writing; deadlines and windows allow
+/// for it.
+const MAX_PROCESS_DELAY: Ms = 150.0;
+/// Calls sent within this span after a retry-after arrived were already on their way.
+const RETRY_AFTER_GRACE: Ms = 100.0;
 
-/// An attempt whose last byte was written, as it is booked.
+/// An attempt whose last byte was written, as it is recorded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Written {
-    /// Its last moment: see [`write_by`].
+    /// Latest time for writing it: see [`write_by`].
     pub write_by: Ms,
-    /// When the wait was told that is on at its endpoint.
+    /// When the retry-after that is in force at its endpoint arrived.
     pub wait_told: Option<Ms>,
-    /// An earlier message of its key is not over.
+    /// An earlier message of its key has not ended.
     pub has_earlier: bool,
-    /// An earlier attempt of its message has ended here, and its endpoint may not know yet.
+    /// An earlier attempt of its message has ended here, but its endpoint may not know yet.
     pub unconfirmed: bool,
 }
 
-/// The rule that the writing of an attempt has broken.
+/// The rule that writing the attempt has broken, if any.
 pub fn broken_by(now: Ms, written: &Written) -> Option<Reason> {
     let broken = [
-        (now > written.write_by + HELD_UP, Reason::WindowOver),
-        (written.wait_told.is_some_and(|told| now > told + ON_ITS_WAY + HELD_UP), Reason::Waiting),
+        (now > written.write_by + MAX_PROCESS_DELAY, Reason::WindowOver),
+        (
+            written.wait_told.is_some_and(|told| now > told + RETRY_AFTER_GRACE + MAX_PROCESS_DELAY),
+            Reason::Waiting,
+        ),
         (written.has_earlier, Reason::OutOfTurn),
         (written.unconfirmed, Reason::Unconfirmed),
     ];
     broken.iter().find(|(holds, _)| *holds).map(|(_, reason)| *reason)
 }
 
-/// Who ended the connection of an attempt that was written and not answered.
+/// Which side ended the connection of an attempt that was written and not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndedFirst {
-    /// This process: it has ended its sending, and the endpoint answers that with an end of its own.
+    /// This process: it has shut down its sending side, and the endpoint answers that by ending its own.
     Dispatcher,
-    /// The endpoint, or whatever stands for it on the path: no further sign of it can come.
+    /// The endpoint, or a proxy on the path: no further confirmation can arrive.
     Endpoint,
 }
 
 impl EndedFirst {
-    /// The word of the log.
+    /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
             EndedFirst::Dispatcher => "dispatcher",
@@ -231,22 +239,22 @@
     }
 }
 
-/// How it is known that an endpoint counts an attempt as over. Before that the message goes out nowhere else: two connections
-/// have no order, so that the end on one may be seen behind the request on the other.
+/// How it is known that an endpoint counts an attempt as over. Until then the message is sent to no endpoint:
+/// two connections have no order, so the end of one may be seen after the request on the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Confirmation {
-    /// Its last byte was not written: no endpoint has begun it.
+    /// Its last byte was not written, so no endpoint has begun it.
     NeverBegun,
-    /// The endpoint has answered.
+    /// The endpoint answered.
     Answered,
-    /// The endpoint has ended the connection after this side did.
+    /// The endpoint ended the connection after this side did.
     EndedByEndpoint,
-    /// No sign can come or came: the time has passed in which the end gets there.
+    /// No confirmation arrived or can arrive: the time in which the end reaches the endpoint has passed.
     TimedOut,
 }
 
 impl Confirmation {
-    /// The word of the log and of the figures.
+    /// Its name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Confirmation::NeverBegun => "never_begun",
@@ -257,34 +265,34 @@
     }
 }
 
-/// The end of an attempt that was written and not answered is waited for no longer than this, before it counts as known to its
-/// endpoint: one that hangs or is cut off never tells, and where it ended the connection first no further sign can come. Longer
-/// than any path delays bytes one way; the end takes the path once. What the last answers took tells nothing of a path that has
-/// become slow meanwhile.
+/// Longest wait until an endpoint counts an attempt as over that was written and not answered. An endpoint
+/// that hangs or is cut off never confirms, and after an endpoint ended the connection first no confirmation
+/// can arrive. The span is longer than any path delays bytes one way, which is the way the end takes. It is
+/// not derived from the last answer times, because the path may have become slow since.
 pub const CONFIRM_MOST: Ms = 700.0;
-/// The endpoint's own end may have crossed this side's, and does not prove that it has seen that. So long after it the endpoint
-/// has.
+/// The endpoint's own end of the connection may have crossed this side's, so it does not prove that the
+/// endpoint has seen the latter. After this span the endpoint has.
 pub const CONFIRM_CROSSED: Ms = 100.0;
-/// The same as [`CONFIRM_MOST`] for what a process had out as it ended: the system ends its connections at once, and the next
-/// process has taken a while to start.
-const CONFIRM_INHERITED: Ms = 500.0;
+/// The same as [`CONFIRM_MOST`] for attempts that another process left outstanding when it ended: the system
+/// ends its connections at once, and the next process has taken a while to start.
+const INHERITED_CONFIRM_TIMEOUT: Ms = 500.0;
 
-/// When an attempt that ends now, written and not answered, counts as over for its endpoint at the latest.
+/// When an attempt that ends now, written and not answered, counts as over at its endpoint at the latest.
 pub fn confirmed_by(now: Ms) -> Ms {
     now + CONFIRM_MOST
 }
 
-/// The same once the endpoint has ended its side behind this one.
+/// The same once the endpoint has ended its side after this one.
 pub fn confirmed_behind(now: Ms, by: Ms) -> Ms {
     by.min(now + CONFIRM_CROSSED)
 }
 
-/// The same for what another process had out, which is found to have ended now.
+/// The same for attempts of another process that is found to have ended now.
 pub fn inherited_by(now: Ms) -> Ms {
-    now + CONFIRM_INHERITED
+    now + INHERITED_CONFIRM_TIMEOUT
 }
 
-/// How the end of such an attempt is known to its endpoint, once its time is over.
+/// How the end of such an attempt became known to its endpoint, once its wait is over.
 pub fn confirmation(first: EndedFirst, endpoint_ended: bool) -> Confirmation {
     match first {
         EndedFirst::Dispatcher if endpoint_ended => Confirmation::EndedByEndpoint,
@@ -292,33 +300,34 @@
     }
 }
 
-/// After SIGTERM: calls that are out may end until then,
+/// After SIGTERM, outstanding attempts may finish for this span.
 pub const LEAVE_AFTER: Ms = 3_300.0;
-/// and with nothing held the process leaves after this; until then clients still come.
+/// After SIGTERM, the process accepts clients for this span, and ends after it if it holds no message.
 pub const LINGER: Ms = 700.0;
 
-/// A process that was told to leave.
+/// A process that was told to end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Leaving {
-    /// For so long.
+    /// Time since it was told.
     pub told_for: Ms,
-    /// Calls that it holds, and of these the ones with an attempt out.
+    /// Messages that it holds.
     pub held: usize,
-    /// See `held`.
+    /// Messages of `held` with an outstanding attempt.
     pub outstanding: usize,
-    /// Another process serves on the folder, which takes over what this one holds.
+    /// A sibling process serves on the state folder and takes over what this one holds.
     pub has_company: bool,
-    /// Something was read that is not decided on or answered.
+    /// A request was read that is not decided on or answered.
     pub undecided: bool,
-    /// The folder has not taken all records of what became of its calls.
+    /// Records of the ends of messages are not all in the state folder.
     pub unrecorded: bool,
 }
 
-/// May the process end now? At [`LEAVE_AFTER`] in any case: what was read is answered then, and the rest is the next one's.
+/// Whether the process may end now. At [`LEAVE_AFTER`] it may in any case: requests that were read get an
+/// answer then, and the next process takes over the rest.
 ///
 /// # Errors
 ///
-/// What it stays for.
+/// What it still has to do.
 pub fn may_end(leaving: &Leaving) -> Result<(), Reason> {
     if leaving.told_for >= LEAVE_AFTER {
         return Ok(());
@@ -341,18 +350,18 @@
 pub enum Close {
     /// The client ended or broke it.
     ByClient,
-    /// All that it asked for is answered, and it or this process wants to go.
+    /// All its requests are answered, and the client or this process ends the connection.
     Answered,
-    /// It rested, said nothing or stood in the middle of a request for too long.
+    /// It was idle, silent or in the middle of a request for too long.
     TimedOut,
-    /// Others need its descriptor.
+    /// Its file descriptor is needed for another connection.
     NoRoom,
     /// The process drains.
     Draining,
 }
 
 impl Close {
-    /// The word of the log and of the figures.
+    /// Its name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             Close::ByClient => "by_client",
@@ -367,7 +376,7 @@
 /// A client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Connection {
-    /// A request was read whole, and its verdict is not there yet.
+    /// A whole request was read, and its answer is not decided yet.
     pub awaits_answer: bool,
     /// Bytes of answers that are not written yet.
     pub unwritten: usize,
@@ -375,11 +384,11 @@
     pub stalled: bool,
 }
 
-/// May a client's connection be closed for this cause now?
+/// Whether a client's connection may be closed for this reason now.
 ///
 /// # Errors
 ///
-/// An answer is owed: its message would be lost.
+/// An answer is outstanding and would be lost.
 pub fn may_close(connection: &Connection, why: Close) -> Result<(), Reason> {
     let owed = connection.awaits_answer || (connection.unwritten > 0 && !connection.stalled);
     if why != Close::ByClient && owed {
@@ -388,25 +397,25 @@
     Ok(())
 }
 
-/// What was refused and what was done, since the start.
+/// Counts since the start of what was not allowed and of what was done.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Attempts, probes and closes that were asked for and not allowed.
+    /// Attempts, probes and closes that were not allowed.
     pub refused: BTreeMap<Reason, u64>,
-    /// Clients' connections closed, by cause.
+    /// Closed connections of clients, by reason.
     pub closed: BTreeMap<Close, u64>,
-    /// Attempts that ended, by how it is known that their endpoints count them as over.
+    /// Attempts that ended, by how their endpoints are known to count them as over.
     pub confirmed: BTreeMap<Confirmation, u64>,
-    /// What was done although it was not allowed; 0 unless this program is wrong.
+    /// What was done although it was not allowed; 0 unless this program has a fault.
     pub violations: BTreeMap<Reason, u64>,
 }
 
 impl Counts {
-    /// Counts an answer of this module and passes it on.
+    /// Counts the result of a check and passes it on.
     ///
     /// # Errors
     ///
-    /// As it was given.
+    /// The result, if it is an error.
     pub fn note(&mut self, answer: Result<(), Reason>) -> Result<(), Reason> {
         if let Err(reason) = answer {
             *self.refused.entry(reason).or_default() += 1;
@@ -414,24 +423,24 @@
         answer
     }
 
-    /// A connection was closed.
+    /// Counts a closed connection.
     pub fn closed(&mut self, why: Close) {
         *self.closed.entry(why).or_default() += 1;
     }
 
-    /// An attempt is over, for its endpoint too.
+    /// Counts an attempt that is over for its endpoint, too.
     pub fn confirmed(&mut self, how: Confirmation) {
         *self.confirmed.entry(how).or_default() += 1;
     }
 
-    /// Something was done that this rule forbids.
+    /// Counts an action that this rule forbids.
     pub fn violated(&mut self, reason: Reason) {
         *self.violations.entry(reason).or_default() += 1;
     }
 
-    /// For the operators' figures.
+    /// The counts as metrics.
     pub fn json(&self) -> serde_json::Value {
-        let by = |counts: &BTreeMap<Reason, u64>| -> serde_json::Value {
+        let by_reason = |counts: &BTreeMap<Reason, u64>| -> serde_json::Value {
             counts
                 .iter()
                 .map(|(r, n)| (r.name().to_string(), (*n).into()))
@@ -443,10 +452,10 @@
         let confirmed: serde_json::Map<_, _> =
             self.confirmed.iter().map(|(c, n)| (c.name().to_string(), (*n).into())).collect();
         serde_json::json!({
-            "refused": by(&self.refused),
+            "refused": by_reason(&self.refused),
             "closed": closed,
             "confirmed": confirmed,
-            "violations": by(&self.violations)
+            "violations": by_reason(&self.violations)
         })
     }
 }
@@ -473,10 +482,10 @@
     }
 
     #[test]
-    fn each_rule_stops_an_attempt_by_itself() {
+    fn each_rule_alone_forbids_an_attempt() {
         let m = message(Effect::Safe);
         assert_eq!(may_send(0.0, &m, &ENDPOINT, &PROCESS), Ok(()));
-        let stopped = [
+        let forbidden = [
             (Message { ended: true, ..m }, ENDPOINT, PROCESS, Reason::Ended),
             (Message { outstanding: true, ..m }, ENDPOINT, PROCESS, Reason::Outstanding),
             (Message { unconfirmed: true, ..m }, ENDPOINT, PROCESS, Reason::Unconfirmed),
@@ -488,15 +497,15 @@
             (m, Endpoint { wait_until: Some(0.1), ..ENDPOINT }, PROCESS, Reason::Waiting),
             (m, ENDPOINT, Process { closing: Some(0.0), ..PROCESS }, Reason::Leaving),
         ];
-        for (message, endpoint, process, reason) in stopped {
+        for (message, endpoint, process, reason) in forbidden {
             assert_eq!(may_send(0.0, &message, &endpoint, &process), Err(reason));
         }
-        let over = Endpoint { wait_until: Some(0.0), ..ENDPOINT };
-        assert_eq!(may_send(0.0, &m, &over, &PROCESS), Ok(()), "a wait that is over");
+        let wait_over = Endpoint { wait_until: Some(0.0), ..ENDPOINT };
+        assert_eq!(may_send(0.0, &m, &wait_over, &PROCESS), Ok(()), "a retry-after that has passed");
     }
 
     #[test]
-    fn what_may_have_run_goes_again_as_its_effect_allows() {
+    fn a_message_that_may_have_run_is_repeated_as_its_effect_allows() {
         let ran = |effect| Message { ran: Some((100.0, "a")), ..message(effect) };
         let may = |now, m: &Message, zone| may_send(now, m, &Endpoint { zone, ..ENDPOINT }, &PROCESS);
         assert_eq!(may(900.0, &ran(Effect::Safe), "b"), Ok(()));
@@ -510,7 +519,7 @@
     }
 
     #[test]
-    fn what_was_written_too_late_within_a_wait_or_out_of_turn_is_a_violation() {
+    fn a_write_that_is_late_within_a_wait_or_out_of_order_is_a_violation() {
         let written = Written { write_by: 1_000.0, wait_told: None, has_earlier: false, unconfirmed: false };
         assert_eq!(
             (may_write(1_000.0, 1_000.0), may_write(1_000.1, 1_000.0)),
@@ -525,22 +534,22 @@
     }
 
     #[test]
-    fn an_unanswered_attempt_is_over_with_a_sign_of_its_endpoint_or_after_a_while() {
+    fn an_unanswered_attempt_is_over_after_a_confirmation_or_a_timeout() {
         let by = confirmed_by(10.0);
         assert_eq!(by, 10.0 + CONFIRM_MOST);
         assert_eq!(confirmed_behind(20.0, by), 20.0 + CONFIRM_CROSSED);
-        assert_eq!(confirmed_behind(by - 1.0, by), by, "never longer than without the sign");
+        assert_eq!(confirmed_behind(by - 1.0, by), by, "never longer than without the confirmation");
         assert_eq!(confirmation(EndedFirst::Dispatcher, true), Confirmation::EndedByEndpoint);
         assert_eq!(confirmation(EndedFirst::Dispatcher, false), Confirmation::TimedOut);
         assert_eq!(
             confirmation(EndedFirst::Endpoint, true),
             Confirmation::TimedOut,
-            "it is no answer to ours"
+            "the end of the endpoint does not confirm ours"
         );
     }
 
     #[test]
-    fn a_process_ends_when_nothing_is_owed_or_its_time_is_up() {
+    fn a_process_ends_when_its_work_is_done_or_its_time_is_up() {
         let idle = Leaving {
             told_for: LINGER,
             held: 0,
@@ -564,24 +573,24 @@
         assert_eq!(
             may_end(&Leaving { held: 2, has_company: true, ..idle }),
             Ok(()),
-            "the other one takes over"
+            "the sibling process takes over"
         );
     }
 
     #[test]
-    fn a_connection_with_an_answer_owed_is_closed_by_its_client_only() {
+    fn only_the_client_closes_a_connection_with_an_outstanding_answer() {
         let idle = Connection { awaits_answer: false, unwritten: 0, stalled: false };
-        let asked = Connection { awaits_answer: true, ..idle };
+        let awaiting = Connection { awaits_answer: true, ..idle };
         let writing = Connection { unwritten: 3, ..idle };
         for why in [Close::Answered, Close::TimedOut, Close::NoRoom, Close::Draining] {
             assert_eq!(may_close(&idle, why), Ok(()));
-            assert_eq!(may_close(&asked, why), Err(Reason::AnswerOwed));
+            assert_eq!(may_close(&awaiting, why), Err(Reason::AnswerOwed));
             assert_eq!(may_close(&writing, why), Err(Reason::AnswerOwed));
             assert_eq!(may_close(&Connection { stalled: true, ..writing }, why), Ok(()));
         }
-        assert_eq!(may_close(&asked, Close::ByClient), Ok(()));
+        assert_eq!(may_close(&awaiting, Close::ByClient), Ok(()));
         let mut counts = Counts::default();
-        let _ = counts.note(may_close(&asked, Close::NoRoom));
+        let _ = counts.note(may_close(&awaiting, Close::NoRoom));
         counts.closed(Close::ByClient);
         assert_eq!(counts.json()["refused"]["answer_owed"], 1);
         assert_eq!(counts.json()["closed"]["by_client"], 1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! A dispatcher that delivers messages to many outside destinations.
+//! A dispatcher that delivers messages to many external destinations.
 //!
-//! [`brain::Brain`] decides; [`api`] is all that it is told and all that it answers. It opens no connection and reads
-//! no clock. Two hosts pass events in and carry actions out: [`wire`], a line protocol for the simulator, and
-//! [`dispatch`], the core of the real dispatcher, which [`journal`] lets outlast its process and [`net`] puts on
-//! sockets. [`config`] reads what either is told.
+//! [`brain::Brain`] makes the decisions; [`api`] has all its inputs and outputs. It opens no connection and
+//! reads no clock. Two hosts pass events in and carry out actions: [`wire`], a line protocol for the
+//! simulator, and [`dispatch`], the core of the real dispatcher. [`journal`] lets the state of the core
+//! outlast the process, and [`net`] connects the core to sockets. [`config`] reads the settings of both
+//! hosts.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -219,7 +219,8 @@
     pub(crate) fn record_refusal(&mut self, now: Ms, wait: Ms, dispatchers: usize, draw: f64) {
         match self.limit.filter(|_| self.limit_reported) {
             Some(limit) => self.share.refused(now, wait, limit, dispatchers, draw),
-            // The limit is only a guess, so the refused call is not counted against it.
+            // The limit was never reported and is only a guess, so the refused call is not counted against
+            // it.
             None => self.share.refund(),
         }
     }
