--- a/src/brain.rs
+++ b/src/brain.rs
@@ -616,8 +616,8 @@
         }
         let Some(failed) = fleet::connection_failure(e, f.watchdog) else { return };
         let (on_idle, on_others) = self.connections.record(idle.is_some(), failed, CONNECTION_FAILURE_WEIGHT);
-        if let Some(rest) = idle.filter(|_| failed > 0.0 && on_idle > on_others + IDLE_FAILURE_EXCESS) {
-            let shortest = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY).min(rest);
+        if let Some(idle_time) = idle.filter(|_| failed > 0.0 && on_idle > on_others + IDLE_FAILURE_EXCESS) {
+            let shortest = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY).min(idle_time);
             self.connections.idle_loss = Some((now, shortest));
         }
     }
@@ -701,13 +701,14 @@
     /// because a process that has died refuses the next connection; only several in a row count. Else a
     /// network that loses connections now and then would look like endpoints that are down.
     fn record_failure(&mut self, now: Ms, endpoint: RouteId, outcome: Outcome) {
-        let broke = outcome == Outcome::Reset;
-        let fails = self.record_attempt(now, endpoint, if broke { RESET_FAILURE } else { 1.0 });
+        let was_reset = outcome == Outcome::Reset;
+        let failure_rate = self.record_attempt(now, endpoint, if was_reset { RESET_FAILURE } else { 1.0 });
         let Some(ep) = self.endpoints.get(&endpoint) else { return };
         // One failure is enough for an endpoint without a recent success.
-        let seldom = !broke && now - self.groups[ep.group].last_success_sent > FAILURE_HALF_LIFE;
-        if seldom || fails >= OUTAGE_FAILURE_RATE || ep.outage.is_some() {
-            self.mark_out(now, endpoint, outcome != Outcome::NoConnection, now, broke);
+        let no_recent_success =
+            !was_reset && now - self.groups[ep.group].last_success_sent > FAILURE_HALF_LIFE;
+        if no_recent_success || failure_rate >= OUTAGE_FAILURE_RATE || ep.outage.is_some() {
+            self.mark_out(now, endpoint, outcome != Outcome::NoConnection, now, was_reset);
         }
     }
 
@@ -1277,19 +1278,20 @@
     /// budget is used up.
     fn watchdog_timeout(&self, now: Ms, h: &HeldMessage, endpoint: RouteId) -> Option<Ms> {
         let c = self.class(h);
-        let spent = h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.most_attempts;
-        if spent || c.effect == Effect::Unsafe {
+        let used_up =
+            h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.most_attempts;
+        if used_up || c.effect == Effect::Unsafe {
             return None;
         }
         let first =
             self.endpoints.get(&endpoint).filter(|ep| ep.samples.ring.len() >= MIN_WATCHDOG_SAMPLES)?;
         let left = h.message.valid_until - now;
         let worth = |t: Ms| self.worth(h, now + t);
-        let fit = self.eligible_endpoints(h).filter(|ep| {
+        let candidates = self.eligible_endpoints(h).filter(|ep| {
             ep.row.route != endpoint && ep.outage.is_none() && self.in_dedup_group(h, first.row.zone, ep)
         });
-        let paid = fit.map(|ep| (self.curve(ep).payoff(worth) - self.fee(ep), ep));
-        let best = paid.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.row.route.cmp(&a.1.row.route)));
+        let payoffs = candidates.map(|ep| (self.curve(ep).payoff(worth) - self.fee(ep), ep));
+        let best = payoffs.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.row.route.cmp(&a.1.row.route)));
         let own = self.curve(first);
         let second = best.map_or(own, |b| self.curve(b.1));
         let breakpoints = [left, (h.age_from + c.promise - now).max(0.0)];
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -211,7 +211,7 @@
     let broken = [
         (now > written.write_by + MAX_PROCESS_DELAY, Reason::WindowOver),
         (
-            written.wait_told.is_some_and(|told| now > told + RETRY_AFTER_GRACE + MAX_PROCESS_DELAY),
+            written.wait_told.is_some_and(|arrived| now > arrived + RETRY_AFTER_GRACE + MAX_PROCESS_DELAY),
             Reason::Waiting,
         ),
         (written.has_earlier, Reason::OutOfTurn),
--- a/src/state.rs
+++ b/src/state.rs
@@ -92,8 +92,8 @@
         half: Ms,
         recovered: f64,
     ) -> f64 {
-        let faded = self.decayed_failure_rate(now, half);
-        self.failure_rate = faded + weight * (failed - faded);
+        let decayed = self.decayed_failure_rate(now, half);
+        self.failure_rate = decayed + weight * (failed - decayed);
         self.failure_rate_at = now;
         if failed > 0.0 {
             self.first_failure.get_or_insert(now);
