--- a/crates/replica/src/clock.rs
+++ b/crates/replica/src/clock.rs
@@ -1,39 +1,41 @@
-//! A hybrid logical clock: times that several dispatchers agree on the order of, though their clocks differ.
+//! A hybrid logical clock: timestamps whose order all dispatchers agree on, although their wall clocks
+//! differ.
 //!
-//! A stamp is the largest wall clock that its writer had seen, a count for stamps within one millisecond, and the writer's
-//! name, which orders what nothing else does. Two operators who set one endpoint down and up on two dispatchers at once get
-//! the same outcome everywhere; one who saw the other's wish and sets it anew wins, whatever the clocks say.
+//! A timestamp is the largest wall clock time that its writer had seen, a counter for timestamps within one
+//! millisecond, and the writer's name, which breaks ties. When two operators set and lift a block of one
+//! endpoint on two dispatchers at once, the outcome is the same everywhere. An operator order given after an
+//! earlier one was received wins, whatever the wall clocks show.
 
 use crate::Ms;
 
-/// A peer's clock may be ahead by this much; a stamp beyond it is nonsense and moves no clock.
-pub const AHEAD_MOST: Ms = 60_000;
+/// How far a peer's clock may be ahead. A timestamp beyond that is invalid and does not advance the clock.
+pub const MAX_AHEAD_MS: Ms = 60_000;
 
-/// A moment that all agree on the order of.
+/// A timestamp in an order that all dispatchers agree on.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Stamp {
-    /// The largest wall clock that its writer had seen, in milliseconds since 1970.
+pub struct Timestamp {
+    /// The largest wall clock time that its writer had seen, in milliseconds since 1970.
     pub wall: Ms,
-    /// Counts stamps of one wall clock.
+    /// Counts timestamps with the same wall clock time.
     pub count: u32,
-    /// Who wrote it.
+    /// The name of the dispatcher that wrote it.
     pub writer: String,
 }
 
-/// One dispatcher's clock.
+/// The clock of one dispatcher.
 #[derive(Debug, Clone)]
-pub struct Clock {
-    last: Stamp,
+pub struct HybridClock {
+    last: Timestamp,
 }
 
-impl Clock {
-    /// A clock of this dispatcher.
-    pub fn new(name: &str) -> Clock {
-        Clock { last: Stamp { writer: name.into(), ..Stamp::default() } }
+impl HybridClock {
+    /// Creates the clock of the dispatcher with this name.
+    pub fn new(name: &str) -> HybridClock {
+        HybridClock { last: Timestamp { writer: name.into(), ..Timestamp::default() } }
     }
 
-    /// A stamp for what happens now, after all that was heard.
-    pub fn tick(&mut self, now: Ms) -> Stamp {
+    /// A timestamp for an event now, later than all timestamps observed so far.
+    pub fn tick(&mut self, now: Ms) -> Timestamp {
         if now > self.last.wall {
             (self.last.wall, self.last.count) = (now, 0);
         } else {
@@ -42,13 +44,14 @@
         self.last.clone()
     }
 
-    /// Another's stamp was heard: what happens here from now on comes after it. False if it cannot be meant.
-    pub fn hear(&mut self, now: Ms, stamp: &Stamp) -> bool {
-        if stamp.wall > now.saturating_add(AHEAD_MOST) {
+    /// Observes a peer's timestamp: later timestamps of this clock come after it. Returns false for an
+    /// invalid timestamp.
+    pub fn observe(&mut self, now: Ms, timestamp: &Timestamp) -> bool {
+        if timestamp.wall > now.saturating_add(MAX_AHEAD_MS) {
             return false;
         }
-        if (stamp.wall, stamp.count) > (self.last.wall, self.last.count) {
-            (self.last.wall, self.last.count) = (stamp.wall, stamp.count);
+        if (timestamp.wall, timestamp.count) > (self.last.wall, self.last.count) {
+            (self.last.wall, self.last.count) = (timestamp.wall, timestamp.count);
         }
         true
     }
@@ -58,21 +61,24 @@
 mod tests {
     use super::*;
 
-    /// Guards against a wish that loses to an older one because its dispatcher's clock is behind.
+    /// Guards against an operator order that loses to an older one because its dispatcher's clock is behind.
     #[test]
-    fn who_has_heard_the_other_comes_later_whatever_the_clocks_say() {
-        let (mut a, mut b) = (Clock::new("a"), Clock::new("b"));
+    fn a_timestamp_after_an_observed_one_is_later_whatever_the_wall_clocks_show() {
+        let (mut a, mut b) = (HybridClock::new("a"), HybridClock::new("b"));
         // b's clock is 10 s behind.
         let down = a.tick(20_000);
-        assert!(b.hear(10_000, &down));
+        assert!(b.observe(10_000, &down));
         let up = b.tick(10_001);
         assert!(up > down);
         let again = a.tick(20_000);
         assert!(again > down && again < a.tick(20_001));
-        // Not heard of each other at one moment: the name decides, the same way everywhere.
-        let (x, y) = (Clock::new("x").tick(5), Clock::new("y").tick(5));
+        // Concurrent timestamps with the same time: the writer's name decides, the same way everywhere.
+        let (x, y) = (HybridClock::new("x").tick(5), HybridClock::new("y").tick(5));
         assert!(x < y);
-        assert!(!b.hear(10_000, &Stamp { wall: 10_000 + AHEAD_MOST + 1, ..down }), "nonsense");
-        assert!(b.tick(10_002).wall <= 20_000, "and it moved nothing");
+        assert!(
+            !b.observe(10_000, &Timestamp { wall: 10_000 + MAX_AHEAD_MS + 1, ..down }),
+            "invalid timestamp"
+        );
+        assert!(b.tick(10_002).wall <= 20_000, "it did not advance the clock");
     }
 }
--- a/crates/replica/src/copies.rs
+++ b/crates/replica/src/copies.rs
@@ -1,33 +1,34 @@
-//! Copies of taken messages, and the rule for copies that differ.
+//! Copies of accepted messages, and the rule that merges differing copies.
 //!
-//! A copy's stage only moves forward: taken, started, ended. Its fence only rises. So two copies of one message meet in the
-//! same one whichever is merged into which, in any order and however often: a join. Two different final answers are a
-//! defect that is counted; the one that says more of the effect stays, the same one everywhere.
+//! A copy's stage only advances: taken, started, ended. Its fence only rises. Merging is therefore a join:
+//! two copies of one message converge to the same state, in whichever direction, in whichever order and
+//! however often they are merged. Two different final answers are a defect that is counted; the answer that
+//! says more about the effect wins on every dispatcher.
 
-/// Who may act on a message: the higher fence. One epoch has one fence for each owner, and the name orders them.
+/// Decides who may act on a message: the higher fence wins. The owner's name orders fences of the same epoch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Fence {
-    /// Grows with each taking over.
+    /// Rises with each takeover.
     pub epoch: u64,
-    /// Whose it is.
+    /// The dispatcher that owns the message under this fence.
     pub owner: String,
 }
 
-/// How a message ended, in the order in which the one that says more of its effect comes later.
+/// How a message ended. Answers that say more about its effect come later in the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum End {
-    /// It never ran: the client may come again after so many milliseconds.
+    /// Returned: it never ran, and the client may submit it again after this many milliseconds.
     HandedBack(u64),
-    /// No promise about its effect.
+    /// Given up: no statement about its effect.
     GivenUp,
-    /// It took effect.
+    /// Delivered: it took effect.
     Delivered,
 }
 
-/// How far a message has come.
+/// The progress of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// Taken on, and no attempt was begun, as far as the holder knows.
+    /// Accepted; no attempt was begun as far as the holder knows.
     Taken,
     /// An attempt may have run.
     Started,
@@ -35,76 +36,76 @@
     Ended(End),
 }
 
-/// What never changes of a message.
+/// The immutable part of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Content {
-    /// Who handed it in; empty for the platform's clients.
+    /// The client that submitted it; empty for the platform's clients.
     pub client: String,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// Its tenant, by name.
+    /// The name of its tenant.
     pub tenant: String,
-    /// The key of its order.
+    /// Its ordering key.
     pub key: Option<u64>,
     /// Its idempotency key.
     pub idempotency: String,
     /// Its destination.
     pub dest: u64,
-    /// It may be delivered until then: milliseconds since 1970.
+    /// Its deadline, in milliseconds since 1970.
     pub valid_until: u64,
-    /// Its number where it was taken: the order of a key.
+    /// Its sequence number at the dispatcher that accepted it; orders the messages of one key.
     pub no: u64,
-    /// Who took it on.
+    /// The dispatcher that accepted it.
     pub taker: String,
-    /// In which of its lives the arbiter may grant.
+    /// The incarnation of the arbiter that may grant it.
     pub arbiter_born: u64,
-    /// Where its final answer goes.
+    /// Where to send its final answer.
     pub reply: Vec<u8>,
-    /// The body.
+    /// The message body.
     pub body: Vec<u8>,
 }
 
-/// One copy.
+/// One copy of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Copy {
-    /// The id under which it was handed in.
+    /// The id under which the client submitted it.
     pub id: String,
-    /// Who holds copies, the arbiter first; not the one that took it.
+    /// The dispatchers that hold copies, the arbiter first; without the one that accepted the message.
     pub holders: Vec<String>,
     /// Who may act on it.
     pub fence: Fence,
-    /// How far it has come.
+    /// Its progress.
     pub stage: Stage,
-    /// The message.
+    /// The message itself.
     pub content: Content,
 }
 
-/// What a merge came to.
+/// The result of a merge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Merged {
-    /// Nothing new.
-    Same,
-    /// The copy has moved forward.
-    Newer,
-    /// Both had ended, differently: a defect.
+pub enum MergeOutcome {
+    /// Nothing changed.
+    Unchanged,
+    /// The stage or the fence advanced.
+    Advanced,
+    /// The copies have different final answers, which is a defect.
     Conflict,
 }
 
 impl Copy {
-    /// Takes in what another copy of the message knows.
-    pub fn merge(&mut self, other: &Copy) -> Merged {
+    /// Merges the state of another copy of the same message into this one.
+    pub fn merge(&mut self, other: &Copy) -> MergeOutcome {
         let differ = matches!((self.stage, other.stage), (Stage::Ended(a), Stage::Ended(b)) if a != b);
         let (stage, fence) = (self.stage.max(other.stage), (&self.fence).max(&other.fence).clone());
         let newer = stage != self.stage || fence != self.fence;
         (self.stage, self.fence) = (stage, fence);
         match (differ, newer) {
-            (true, _) => Merged::Conflict,
-            (false, true) => Merged::Newer,
-            (false, false) => Merged::Same,
+            (true, _) => MergeOutcome::Conflict,
+            (false, true) => MergeOutcome::Advanced,
+            (false, false) => MergeOutcome::Unchanged,
         }
     }
 
-    /// Bytes that it takes, about.
+    /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         let c = &self.content;
         let texts = [&self.id, &c.client, &c.class, &c.tenant, &c.idempotency, &self.fence.owner];
--- a/crates/replica/src/digest.rs
+++ b/crates/replica/src/digest.rs
@@ -1,26 +1,27 @@
-//! Comparing two stores without sending them: a tree of hashes over ranges of ids, as Merkle's.
+//! Compares two stores without transferring them, by a Merkle tree over hash ranges of message ids.
 //!
-//! Each id falls into one of 4,096 buckets by its hash; a bucket's hash is the sum of those of its entries (id, stage and
-//! fence), so it can be kept up to date and does not hang on any order. Sixteen buckets make a branch, sixteen branches a
-//! limb, sixteen limbs the root. Two stores compare roots, then the limbs that differ, and so on down to the buckets, and
-//! send the entries of those alone: the cost grows with what differs, not with what is held.
+//! Each id belongs to one of 4,096 buckets by its hash. A bucket's hash is the sum of the hashes of its
+//! entries (id, stage and fence), so it does not depend on their order and could be updated incrementally.
+//! The tree has a fan-out of 16 and three levels below the root. Two stores compare the children of the root,
+//! then the children of the nodes that differ, and so on down to the buckets, and send only the entries of
+//! differing buckets: the cost grows with the differences, not with the number of copies.
 
 use crate::copies::{Copy, Stage};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Children of one node.
-pub const FAN: usize = 16;
+/// Children of each inner node.
+pub const FAN_OUT: usize = 16;
 /// Levels below the root.
 pub const DEPTH: u32 = 3;
-/// Leaves.
-pub const BUCKETS: usize = FAN.pow(DEPTH);
+/// Number of leaves.
+pub const BUCKETS: usize = FAN_OUT.pow(DEPTH);
 
 /// The bucket of an id.
 pub fn bucket(id: &str) -> usize {
     (xxh3_64(id.as_bytes()) >> (64 - 4 * DEPTH)) as usize
 }
 
-/// The hash of a copy's id and state.
+/// The hash of a copy's id, stage and fence.
 pub fn hash(copy: &Copy) -> u64 {
     let stage = match copy.stage {
         Stage::Taken => 1,
@@ -37,40 +38,41 @@
     xxh3_64_with_seed(copy.id.as_bytes(), fence ^ u64::wrapping_mul(stage, 0x9E37_79B9_7F4A_7C15))
 }
 
-/// The hashes of a store.
+/// The hash tree of a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tree {
+pub struct HashTree {
     leaves: Vec<u64>,
 }
 
-impl Tree {
-    /// Of these copies.
-    pub fn of<'a>(copies: impl Iterator<Item = &'a Copy>) -> Tree {
+impl HashTree {
+    /// Builds the tree of these copies.
+    pub fn from_copies<'a>(copies: impl Iterator<Item = &'a Copy>) -> HashTree {
         let mut leaves = vec![0u64; BUCKETS];
         copies.for_each(|c| leaves[bucket(&c.id)] = leaves[bucket(&c.id)].wrapping_add(hash(c)));
-        Tree { leaves }
+        HashTree { leaves }
     }
 
-    /// The hashes of the children of a node: `level` 0 is the root, and `at` counts the nodes of its level. None for a node
-    /// that is not there.
+    /// The hashes of a node's children. `level` 0 is the root, and `at` is the node's index within its level.
+    /// `None` if there is no such node.
     pub fn children(&self, level: u32, at: usize) -> Option<Vec<u64>> {
-        if level >= DEPTH || at >= FAN.pow(level) {
+        if level >= DEPTH || at >= FAN_OUT.pow(level) {
             return None;
         }
-        let width = BUCKETS / FAN.pow(level + 1);
-        let from = at * FAN * width;
-        Some((0..FAN).map(|n| sum(&self.leaves[from + n * width..from + (n + 1) * width])).collect())
+        let width = BUCKETS / FAN_OUT.pow(level + 1);
+        let from = at * FAN_OUT * width;
+        Some((0..FAN_OUT).map(|n| combine(&self.leaves[from + n * width..from + (n + 1) * width])).collect())
     }
 
-    /// Of the children of a node, those that differ from a peer's hashes.
-    pub fn differing(&self, level: u32, at: usize, theirs: &[u64]) -> Vec<usize> {
+    /// The children of a node whose hashes differ from a peer's, by their index within the next level.
+    pub fn differing_children(&self, level: u32, at: usize, theirs: &[u64]) -> Vec<usize> {
         let Some(ours) = self.children(level, at) else { return Vec::new() };
-        let differ = |(n, h): (usize, &u64)| (theirs.get(n) != Some(h)).then_some(at * FAN + n);
+        let differ = |(n, h): (usize, &u64)| (theirs.get(n) != Some(h)).then_some(at * FAN_OUT + n);
         ours.iter().enumerate().filter_map(differ).collect()
     }
 }
 
-fn sum(leaves: &[u64]) -> u64 {
-    // One hash of many, so that two changes do not cancel out on the way up.
+fn combine(leaves: &[u64]) -> u64 {
+    // The combination depends on the order, so that two changes do not cancel each other out at a higher
+    // level.
     leaves.iter().fold(0, |h: u64, l| h.rotate_left(5).wrapping_mul(0x0100_0000_01B3) ^ l)
 }
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -1,233 +1,249 @@
-//! One dispatcher's keeper of copies: what it says to its peers, what it hears of them, and what follows for the messages
-//! that it owns or holds for others. No I/O: it is told the time and what came, and gives back what to send and what to do.
+//! The replication state machine of one dispatcher: the peer messages that it sends and processes, and what
+//! follows for the messages that it owns or replicates for others. It does no I/O: the caller passes in the
+//! time and received peer messages, and takes out what to send and the resulting events.
 //!
-//! **Leases.** Each dispatcher tells each other one every [`BEAT_EVERY`] that it is there. Who heard so answers. An owner acts
-//! on a message only while every other one that has a copy has answered within [`LEASE`], or counts as gone; nobody counts
-//! one as gone that it has heard of within [`GONE_AFTER`], which is longer, and only while it hears of most of the
-//! installation itself. So two sides of a split both take messages on, each with holders of its own side, and of one
-//! message that lies on both sides only the side with the majority acts.
+//! **Leases.** Each dispatcher sends every peer a heartbeat each [`HEARTBEAT_INTERVAL_MS`], and the peer
+//! answers it. An owner acts on a message only while every other dispatcher with a copy has answered within
+//! [`LEASE_MS`] or counts as gone. A dispatcher counts a peer as gone only if it received nothing from it for
+//! [`GONE_AFTER`], which is longer than the lease, and only while it hears from a majority of the
+//! installation itself. Both sides of a network partition therefore accept messages, each with holders on its
+//! own side, and only the majority side acts on a message that has copies on both.
 //!
-//! **Grants.** An unsafe message is started only with its arbiter's grant (see [`crate::owner`]). An arbiter that has begun a
-//! new life knows nothing of its grants and gives none for messages of before: the copy says which life it was.
+//! **Grants.** An at-most-once message is started only with its arbiter's grant (see [`crate::owner`]). A
+//! restarted arbiter has lost its grants and gives none for messages from before the restart: the copy names
+//! the incarnation of the arbiter that may grant.
 //!
-//! **Catch-up.** Two dispatchers compare what lies with both of them by [`crate::digest`], at first contact and now and then,
-//! and send what differs, a few buckets at a time.
-
-use crate::copies::{Content, Copy, End, Fence, Merged, Stage};
-use crate::digest::{self, Tree, DEPTH, FAN};
-use crate::owner::{Holes, Kind, Part, Step, Word};
-use crate::view::{Node, Standing, Todo, View};
-use crate::wire::{self, Beat, Buckets, Differ, Done, Envelope, Hashes, HeldAt, Say, WireCopy, VERSION};
+//! **Anti-entropy.** Two dispatchers compare the copies that both should have through [`crate::digest`], at
+//! first contact and then periodically, and send the copies that differ, a limited number of buckets at a
+//! time.
+
+use crate::copies::{Content, Copy, End, Fence, MergeOutcome, Stage};
+use crate::digest::{self, HashTree, DEPTH, FAN_OUT};
+use crate::owner::{Faults, Kind, PeerMessage, Replica, Step};
+use crate::view::{MemberState, Membership, Node, Output};
+use crate::wire::{
+    self, BucketRequest, BucketsSent, CopyAck, DifferingChildren, Envelope, Hashes, Heartbeat, Say, WireCopy,
+    VERSION,
+};
 use crate::Ms;
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Each peer is told so often that this one is there.
-pub const BEAT_EVERY: Ms = 250;
-/// An owner counts on a peer for so long after it said the word that the peer answered.
-pub const LEASE: Ms = 2_500;
-/// A peer that was heard of within this does not count as gone, whatever the view says.
+/// Interval between heartbeats to each peer.
+pub const HEARTBEAT_INTERVAL_MS: Ms = 250;
+/// How long an owner relies on a peer, counted from the time at which the answered heartbeat was sent.
+pub const LEASE_MS: Ms = 2_500;
+/// A peer that was heard from within this time does not count as gone, whatever the membership view says.
 pub const GONE_AFTER: Ms = 3_000;
-/// One that has not answered for so long is given no new copies.
-const FRESH: Ms = 700;
-/// Words that were not answered are said again after so long.
-const AGAIN_EVERY: Ms = 500;
-/// Copies of messages whose owner is gone are looked for so often.
-const LOOK_EVERY: Ms = 200;
-/// Two that have met are compared so often,
-const COMPARE_EVERY: Ms = 5_000;
-/// and a comparison that got stuck is begun anew after so long.
-const COMPARE_MOST: Ms = 2_000;
-/// Buckets that are asked for at once,
-const WANT_MOST: usize = 64;
-/// and hashes of entries that are said of them, at most.
-const HAVE_MOST: usize = 65_536;
-/// What lies with a peer is looked through anew after so long.
-const TABLE_FOR: Ms = 500;
-/// A copy without a final answer is kept for so long after its time.
-const GRACE: Ms = 60_000;
-/// Others' answers about a message are awaited for so long.
-const LOOK_MOST: Ms = 150;
-/// Lives of a peer that are over and still known.
-const PAST_MOST: usize = 8;
-/// Messages that are settled, or said again, in one look at most: a connection has to carry them.
-const PACED_MOST: usize = 2_000;
-/// Most messages that are told a peer in one go when it is heard of again.
-const TOLD_AGAIN_MOST: usize = 50_000;
-
-/// Who this dispatcher is, and how it keeps copies.
+/// A peer that has not answered a heartbeat within this time is not chosen as a holder of new copies.
+const HOLDER_FRESHNESS_MS: Ms = 700;
+/// Unacknowledged peer messages are sent again after this time.
+const RESEND_INTERVAL_MS: Ms = 500;
+/// Interval between scans for messages whose owner is gone, and between checks for peer messages to send
+/// again.
+const SCAN_INTERVAL_MS: Ms = 200;
+/// Interval between comparisons of the copies that two peers share.
+const COMPARISON_INTERVAL_MS: Ms = 5_000;
+/// A comparison that makes no progress for this long is restarted.
+const COMPARISON_TIMEOUT_MS: Ms = 2_000;
+/// Buckets requested in one message of a comparison, at most.
+const MAX_BUCKETS_PER_REQUEST: usize = 64;
+/// Entry hashes sent for the requested buckets, at most.
+const MAX_HASHES_PER_REQUEST: usize = 65_536;
+/// A digest of the copies shared with a peer is rebuilt after this time.
+const DIGEST_CACHE_MS: Ms = 500;
+/// A copy without a final answer is kept this long after its message expired.
+const EXPIRED_RETENTION_MS: Ms = 60_000;
+/// How long to wait for the peers' answers to a query about a message.
+const QUERY_TIMEOUT_MS: Ms = 150;
+/// Past incarnations that are remembered of each peer, so that late peer messages from them are ignored.
+const MAX_PAST_INCARNATIONS: usize = 8;
+/// Messages that are settled, or sent again, in one scan at most: a connection has to carry them.
+const MAX_MESSAGES_PER_SCAN: usize = 2_000;
+/// Copies with a newer fence that are sent to a returning peer in one go, at most.
+const MAX_FENCES_RESENT: usize = 50_000;
+
+/// The identity and the replication settings of a dispatcher.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// Its name.
+    /// The dispatcher's name.
     pub me: String,
-    /// Where the others reach it.
+    /// The address at which peers reach it.
     pub address: String,
-    /// A number that no other life of it has, above 0.
+    /// Random number that identifies this incarnation of the dispatcher in peer messages; above 0.
     pub born: u64,
-    /// Which of its lives, for the view: the higher one wins.
+    /// Incarnation number for the membership protocol: the higher one wins.
     pub life: u64,
-    /// The installation; what comes from another one is refused.
+    /// The installation; peer messages from another one are rejected.
     pub installation: String,
-    /// How many dispatchers the installation has.
+    /// Number of dispatchers in the installation.
     pub size: usize,
-    /// Names and addresses of those that are asked for the others.
+    /// Names and addresses of the peers that are asked for the other members.
     pub seeds: Vec<(String, String)>,
-    /// Copies of each message beside the owner's.
+    /// Copies of each message besides the owner's.
     pub copies: usize,
-    /// Bytes of copies held for others, at most.
+    /// Maximum total size, in bytes, of the copies held here.
     pub most_bytes: usize,
-    /// For draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// After a start, restored messages wait so long at most to hear what became of them.
+    /// How long, after a start, restored messages wait at most for the peers' copies before the dispatcher
+    /// serves.
     pub catch_up: Ms,
 }
 
-/// What has come of it, for the dispatcher.
+/// An event for the dispatcher to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
-    /// For the log: what changed in the view.
+    /// A change of the membership or of a peer's state, as text for the log.
     View(String),
-    /// Another one holds a copy of this message.
+    /// A peer acknowledged its copy of this message.
     Held(String),
     /// This message may be started now.
     Start(String),
-    /// This one's final answer is due, without a call.
+    /// This message has to be given up: it gets its final answer without an attempt.
     GiveUp(String),
-    /// This message is another's now, or has ended there: nothing more is owed here.
+    /// Another dispatcher owns this message, or it has ended there: this dispatcher drops it.
     Leave(String),
-    /// A message is this dispatcher's from now on: to be written down before anything is done for it.
+    /// This dispatcher has become the owner of a message; the host records that before it acts on the
+    /// message.
     Take(Box<Copy>, Step),
-    /// An endpoint was set down, or up.
+    /// An operator block was set (true) or lifted (false) for this endpoint.
     Ban(String, bool),
-    /// What was restored is settled, or the time for it is over.
+    /// Restored messages are settled (true), or the time limit for it has passed (false).
     CaughtUp(bool),
-    /// All that were asked of this message have answered, or their time is over.
+    /// All peers answered the query about this message, or its timeout has passed.
     Looked(String),
-    /// Fresher evidence of a member than any that was here.
+    /// A peer sent newer health data of a destination than was known here.
     Health(String, Learnt),
 }
 
-/// What was learnt of a member.
+/// Health data of a destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Learnt {
-    /// Calls a second that it answered of late, at the one that says so.
+    /// Messages per second that the destination answered recently, as measured by the dispatcher that reports
+    /// it.
     pub rate: f64,
-    /// Since when it has been away, if it is.
+    /// Since when the destination has been unavailable, if it is.
     pub away: Option<Ms>,
-    /// When that was learnt.
+    /// When this was observed.
     pub at: Ms,
 }
 
-/// What it has counted.
+/// Counters of the replication.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Copies taken in for others.
+    /// Copies accepted for peers.
     pub taken_in: u64,
-    /// Messages taken over.
+    /// Messages whose ownership was taken over.
     pub taken_over: u64,
-    /// Own messages left to another that has taken over.
+    /// Own messages dropped because another dispatcher took them over.
     pub left: u64,
     /// Grants given.
     pub granted: u64,
-    /// Grants refused.
+    /// Grant requests denied.
     pub denied: u64,
-    /// Two different final answers of one message.
+    /// Messages with two different final answers.
     pub conflicts: u64,
-    /// Copies that found no room.
+    /// Copies rejected for lack of room.
     pub no_room: u64,
-    /// Words that cannot be meant.
+    /// Invalid peer messages.
     pub nonsense: u64,
-    /// Words of lives that are over, which came late.
+    /// Peer messages from past incarnations, which arrived late.
     pub stale: u64,
-    /// Messages of others asked about.
+    /// Queries about messages that are unknown here.
     pub queries: u64,
     /// Copies sent to a peer that lacked them.
     pub caught_up: u64,
-    /// Bytes of frames said.
+    /// Bytes of the frames sent.
     pub bytes: u64,
-    /// Messages that lay nowhere else when they were taken on.
+    /// Messages that were accepted when no peer could hold a copy.
     pub alone: u64,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
     address: Option<String>,
-    /// Which of its lives; 0: never heard of.
-    born: u64,
-    heard: Option<Ms>,
-    /// When the word was said that it answered last.
-    leased: Option<Ms>,
-    /// It has answered since the connection to it was last lost.
-    fresh: bool,
-    /// Lives of it that are over.
-    past: Vec<u64>,
-    /// Its own open messages, as it said last.
-    open: u64,
-    beat_at: Ms,
+    /// The number that identifies the peer's current incarnation ([`Spec::born`]); 0 before anything was
+    /// received from it.
+    incarnation: u64,
+    last_received: Option<Ms>,
+    /// When the heartbeat that it answered last was sent.
+    lease_start: Option<Ms>,
+    /// It has answered a heartbeat since the connection to it was last lost.
+    answering: bool,
+    /// Its past incarnations.
+    past_incarnations: Vec<u64>,
+    /// Own messages without a final answer, as it last reported.
+    open_messages: u64,
+    heartbeat_due: Ms,
     gone: bool,
-    /// It has to hear of passed fences before its lease is renewed.
-    behind: bool,
-    /// It and this one have compared once in this life of both.
-    met: bool,
-    round: Option<Round>,
-    round_at: Ms,
-    table: Option<Table>,
+    /// It has to receive the fences that replaced its own before its lease is renewed.
+    needs_fences: bool,
+    /// A comparison with it has completed since both were started.
+    compared: bool,
+    comparison: Option<Comparison>,
+    comparison_due: Ms,
+    digest: Option<PeerDigest>,
 }
 
-/// What lies with a peer and here, by buckets; it is not made anew for each word.
+/// Digest of the copies shared with a peer, and their ids by bucket. It is cached, not rebuilt for each peer
+/// message.
 #[derive(Debug)]
-struct Table {
+struct PeerDigest {
     at: Ms,
-    tree: Tree,
+    tree: HashTree,
     ids: BTreeMap<u32, Vec<String>>,
 }
 
-/// A comparison that is on.
+/// A comparison in progress.
 #[derive(Debug, Default)]
-struct Round {
+struct Comparison {
+    /// When it started, or last requested buckets.
     since: Ms,
-    /// Hashes that were said and not answered.
-    open: usize,
-    /// Buckets that differ, and whether some were asked for.
-    wants: Vec<u32>,
-    wanted: Vec<u32>,
+    /// Hash messages that were sent and not answered.
+    unanswered: usize,
+    /// Differing buckets that were not requested yet.
+    to_request: Vec<u32>,
+    /// Buckets that were requested and have not arrived completely.
+    requested: Vec<u32>,
 }
 
-/// See the module.
+/// See the module documentation.
 pub struct Keeper {
     spec: Spec,
-    view: View,
+    membership: Membership,
     peers: BTreeMap<String, Peer>,
-    parts: BTreeMap<String, Part>,
+    replicas: BTreeMap<String, Replica>,
     bytes: usize,
-    /// Own messages that others have not confirmed as they are now: whom, and when it was said last.
-    unheard: BTreeMap<String, BTreeMap<String, Ms>>,
-    /// Own unsafe messages whose arbiter was asked.
-    asked: BTreeSet<String>,
-    /// Own messages of an earlier life of which it is not known yet what became of them.
+    /// Own messages whose current state is not acknowledged by all peers that hold them: the peers, and when
+    /// to send it to each again.
+    unconfirmed: BTreeMap<String, BTreeMap<String, Ms>>,
+    /// Own at-most-once messages whose arbiter was asked for a grant.
+    grant_requests: BTreeSet<String>,
+    /// Own messages restored from an earlier incarnation whose outcome is not known yet.
     unsettled: BTreeSet<String>,
-    settled_by: Option<Ms>,
-    /// Since when it hears of most of the installation.
+    settle_deadline: Option<Ms>,
+    /// Since when this dispatcher has heard from a majority of the installation.
     majority_since: Option<Ms>,
-    /// Messages that others were asked about: who has not answered, and until when that is awaited.
-    looking: BTreeMap<String, (BTreeSet<String>, Ms)>,
-    /// Of each member: the freshest evidence, its own or another's.
+    /// Messages that peers were asked about: the peers that have not answered, and the time limit.
+    queries: BTreeMap<String, (BTreeSet<String>, Ms)>,
+    /// By destination: the newest health data, observed here or received.
     health: BTreeMap<String, Learnt>,
-    /// Of each endpoint: the newest wish.
-    bans: BTreeMap<String, (crate::clock::Stamp, bool)>,
-    clock: crate::clock::Clock,
-    out: Vec<(String, Envelope)>,
-    news: Vec<News>,
-    again_at: Ms,
-    look_at: Ms,
-    fade_at: Ms,
-    /// What was done so far.
+    /// By endpoint: the newest operator block or its removal.
+    operator_blocks: BTreeMap<String, (crate::clock::Timestamp, bool)>,
+    clock: crate::clock::HybridClock,
+    outbox: Vec<(String, Envelope)>,
+    events: Vec<News>,
+    resend_due: Ms,
+    scan_due: Ms,
+    expiry_due: Ms,
+    /// Counters since the start.
     pub counts: Counts,
 }
 
 impl Keeper {
-    /// One that knows nobody yet; `now`: the wall clock.
+    /// A keeper that knows no peer's state yet; `now` is the wall clock.
     pub fn new(now: Ms, spec: Spec) -> Keeper {
         let node = |(name, address): &(String, String)| Node {
             name: name.clone(),
@@ -235,61 +251,62 @@
             life: 0,
         };
         let me = Node { name: spec.me.clone(), address: spec.address.clone(), life: spec.life };
-        let view = View::new(now, me, spec.seeds.iter().map(node).collect(), spec.seed);
+        let membership = Membership::new(now, me, spec.seeds.iter().map(node).collect(), spec.seed);
         let peer = |(name, address): &(String, String)| {
             (name.clone(), Peer { address: Some(address.clone()), ..Peer::default() })
         };
         let peers = spec.seeds.iter().filter(|s| s.0 != spec.me).map(peer).collect();
         Keeper {
-            clock: crate::clock::Clock::new(&spec.me),
-            settled_by: Some(now + spec.catch_up),
-            view,
+            clock: crate::clock::HybridClock::new(&spec.me),
+            settle_deadline: Some(now + spec.catch_up),
+            membership,
             peers,
             spec,
-            parts: BTreeMap::new(),
+            replicas: BTreeMap::new(),
             bytes: 0,
-            unheard: BTreeMap::new(),
-            asked: BTreeSet::new(),
+            unconfirmed: BTreeMap::new(),
+            grant_requests: BTreeSet::new(),
             unsettled: BTreeSet::new(),
             majority_since: None,
-            looking: BTreeMap::new(),
+            queries: BTreeMap::new(),
             health: BTreeMap::new(),
-            bans: BTreeMap::new(),
-            out: Vec::new(),
-            news: Vec::new(),
-            again_at: now,
-            look_at: now,
-            fade_at: now,
+            operator_blocks: BTreeMap::new(),
+            outbox: Vec::new(),
+            events: Vec::new(),
+            resend_due: now,
+            scan_due: now,
+            expiry_due: now,
             counts: Counts::default(),
         }
     }
 
-    /// What is to be said, and to whom.
+    /// Removes and returns the peer messages to send, each with its recipient.
     pub fn take_out(&mut self) -> Vec<(String, Envelope)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// What is to be done.
+    /// Removes and returns the events to act on.
     pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
-    /// Peers and where they are reached.
+    /// Names and addresses of the peers.
     pub fn addresses(&self) -> impl Iterator<Item = (&String, &String)> {
         self.peers.iter().filter_map(|(n, p)| Some((n, p.address.as_ref()?)))
     }
 
-    /// All peers with how they stand.
+    /// All peers with their state.
     pub fn standing(&self) -> Vec<(String, &'static str)> {
-        let seen: BTreeMap<String, Standing> =
-            self.view.members().into_iter().map(|(n, s)| (n.name, s)).collect();
+        let seen: BTreeMap<String, MemberState> =
+            self.membership.members().into_iter().map(|(n, s)| (n.name, s)).collect();
         let of = |(name, p): (&String, &Peer)| {
             let standing = match (p.gone, seen.get(name)) {
                 (true, _) => "gone",
-                // By the view, but this one is cut off itself, or has not been sure for long enough.
-                (false, Some(Standing::Gone)) => "unheard",
-                (false, Some(Standing::Alive)) => "alive",
-                (false, Some(Standing::Suspect)) => "suspect",
+                // Gone by the membership view, but this dispatcher lacks a majority or has not had one for
+                // long enough.
+                (false, Some(MemberState::Gone)) => "unheard",
+                (false, Some(MemberState::Alive)) => "alive",
+                (false, Some(MemberState::Suspect)) => "suspect",
                 (false, None) => "unknown",
             };
             (name.clone(), standing)
@@ -297,221 +314,232 @@
         self.peers.iter().map(of).collect()
     }
 
-    /// Members that are away, by the freshest evidence of any dispatcher.
+    /// Destinations that are unavailable by the newest health data of any dispatcher.
     pub fn away(&self) -> Vec<&str> {
         self.health.iter().filter(|h| h.1.away.is_some()).map(|h| h.0.as_str()).collect()
     }
 
-    /// Messages of its own, copies held for others, and their bytes.
+    /// Number of own messages, number of copies held for peers, and the total size in bytes.
     pub fn holds(&self) -> (usize, usize, usize) {
-        let own = self.parts.values().filter(|p| p.owns()).count();
-        (own, self.parts.len() - own, self.bytes)
+        let own = self.replicas.values().filter(|p| p.is_owner()).count();
+        (own, self.replicas.len() - own, self.bytes)
     }
 
-    /// Does it hear of most of the installation?
+    /// Whether this dispatcher hears from a majority of the installation.
     pub fn has_majority(&self, now: Ms) -> bool {
-        let heard = self.peers.values().filter(|p| p.leased_at(now)).count();
+        let heard = self.peers.values().filter(|p| p.has_lease(now)).count();
         2 * (heard + 1) > self.spec.size
     }
 
-    fn say(&mut self, to: &str, say: Say) {
+    fn send(&mut self, to: &str, payload: Say) {
         let envelope = Envelope {
             version: VERSION,
             installation: self.spec.installation.clone(),
             from: self.spec.me.clone(),
             life: self.spec.born,
-            say: Some(say),
+            payload: Some(payload),
         };
         self.counts.bytes += envelope.encoded_len() as u64 + 8;
-        self.out.push((to.to_string(), envelope));
+        self.outbox.push((to.to_string(), envelope));
     }
 
-    /// On the wire a message's time is what is left of it: clocks differ.
-    fn write(&self, now: Ms, part: &Part) -> WireCopy {
-        let mut wire = WireCopy::from(&part.copy);
-        wire.valid_until = part.copy.content.valid_until.saturating_sub(now);
-        wire.once = part.kind == Kind::Unsafe;
+    /// The wire format of a copy. It carries the remaining time of the message, as the peers' clocks differ.
+    fn to_wire(&self, now: Ms, replica: &Replica) -> WireCopy {
+        let mut wire = WireCopy::from(&replica.copy);
+        wire.valid_until = replica.copy.content.valid_until.saturating_sub(now);
+        wire.once = replica.kind == Kind::Unsafe;
         wire
     }
 
-    fn hold(&mut self, now: Ms, to: &str, id: &str) {
-        if let Some(wire) = self.parts.get(id).map(|p| self.write(now, p)) {
-            self.say(to, Say::Hold(wire));
+    fn send_copy(&mut self, now: Ms, to: &str, id: &str) {
+        if let Some(wire) = self.replicas.get(id).map(|p| self.to_wire(now, p)) {
+            self.send(to, Say::Store(wire));
         }
     }
 
-    /// All others that have a copy, or had it first.
-    fn others(&self, part: &Part) -> Vec<String> {
-        let all = std::iter::once(&part.copy.content.taker).chain(&part.copy.holders);
+    /// All other dispatchers that hold a copy, including the one that accepted the message.
+    fn other_holders(&self, replica: &Replica) -> Vec<String> {
+        let all = std::iter::once(&replica.copy.content.taker).chain(&replica.copy.holders);
         all.filter(|n| **n != self.spec.me).cloned().collect()
     }
 
-    /// Does it lie here and with that peer?
-    fn lies_with(&self, part: &Part, peer: &str) -> bool {
-        let (taker, holders) = (&part.copy.content.taker, &part.copy.holders);
+    /// Whether both this dispatcher and that peer should have a copy.
+    fn is_shared_with(&self, replica: &Replica, peer: &str) -> bool {
+        let (taker, holders) = (&replica.copy.content.taker, &replica.copy.holders);
         let has = |n: &str| taker == n || holders.iter().any(|h| h == n);
         has(peer) && has(&self.spec.me)
     }
 
-    /// Says an own message as it is now to all others that have it.
-    fn tell(&mut self, now: Ms, id: &str) {
-        let Some(part) = self.parts.get(id) else { return };
-        let others = self.others(part);
+    /// Sends the current state of an own message to all other dispatchers that hold it.
+    fn replicate(&mut self, now: Ms, id: &str) {
+        let Some(replica) = self.replicas.get(id) else { return };
+        let others = self.other_holders(replica);
         let reached: BTreeMap<String, Ms> = others
             .iter()
             .filter(|o| self.peers.get(*o).is_some_and(|p| !p.gone))
-            .map(|o| (o.clone(), now + AGAIN_EVERY))
+            .map(|o| (o.clone(), now + RESEND_INTERVAL_MS))
             .collect();
         for to in reached.keys().cloned().collect::<Vec<_>>() {
-            self.hold(now, &to, id);
+            self.send_copy(now, &to, id);
         }
         if reached.is_empty() {
-            self.unheard.remove(id);
+            self.unconfirmed.remove(id);
         } else {
-            self.unheard.insert(id.to_string(), reached);
+            self.unconfirmed.insert(id.to_string(), reached);
         }
     }
 
-    /// This dispatcher has taken a message on: its holders are chosen and told. True where it may be started at once.
+    /// Chooses the holders of a message that this dispatcher accepted and sends them copies. Returns whether
+    /// the message may be started at once.
     pub fn taken(&mut self, now: Ms, id: &str, content: Content, kind: Kind) -> bool {
-        // Those of one key lie with the same ones, so that one of them takes all over, in their order.
+        // All messages of one ordering key get the same holders, so that one dispatcher takes all of them
+        // over, in order.
         let name = content.key.map_or_else(|| xxh3_64(id.as_bytes()), |k| xxh3_64(&k.to_le_bytes()));
         let rank = |n: &String| (xxh3_64_with_seed(n.as_bytes(), name), n.clone());
-        let is_near = |p: &Peer| p.fresh && p.leased.is_some_and(|t| now < t + FRESH);
-        let mut near: Vec<(u64, String)> =
-            self.peers.iter().filter(|(_, p)| is_near(p)).map(|(n, _)| rank(n)).collect();
-        near.sort();
-        let holders: Vec<String> = near.into_iter().rev().take(self.spec.copies).map(|n| n.1).collect();
+        let is_reachable =
+            |p: &Peer| p.answering && p.lease_start.is_some_and(|t| now < t + HOLDER_FRESHNESS_MS);
+        let mut candidates: Vec<(u64, String)> =
+            self.peers.iter().filter(|(_, p)| is_reachable(p)).map(|(n, _)| rank(n)).collect();
+        candidates.sort();
+        let holders: Vec<String> = candidates.into_iter().rev().take(self.spec.copies).map(|n| n.1).collect();
         self.counts.alone += u64::from(holders.is_empty());
-        let arbiter_born = holders.first().and_then(|h| self.peers.get(h)).map_or(0, |p| p.born);
+        let arbiter_born = holders.first().and_then(|h| self.peers.get(h)).map_or(0, |p| p.incarnation);
         let content = Content { taker: self.spec.me.clone(), arbiter_born, ..content };
         let fence = Fence { epoch: 0, owner: self.spec.me.clone() };
         let copy = Copy { id: id.to_string(), holders, fence, stage: Stage::Taken, content };
         let me = self.spec.me.clone();
-        self.put(Part::taken(&me, copy, kind));
-        self.tell(now, id);
-        self.want_grant(now, id)
+        self.insert(Replica::new(&me, copy, kind));
+        self.replicate(now, id);
+        self.request_grant(now, id)
     }
 
-    /// An own message of an earlier life: nothing is done for it until the others have said what became of it.
+    /// Adds an own message of an earlier incarnation. It is not acted on until the peers have sent what they
+    /// know of it.
     pub fn restored(&mut self, id: &str, content: Content, kind: Kind, stage: Stage) {
         let content = Content { taker: self.spec.me.clone(), ..content };
         let fence = Fence { epoch: 0, owner: self.spec.me.clone() };
         let copy = Copy { id: id.to_string(), holders: Vec::new(), fence, stage, content };
         let me = self.spec.me.clone();
-        self.put(Part::taken(&me, copy, kind));
+        self.insert(Replica::new(&me, copy, kind));
         self.unsettled.insert(id.to_string());
-        if self.settled_by.is_none() {
-            // Left by a process that served beside this one: the others are asked anew.
-            self.settled_by = Some(0);
-            self.peers.values_mut().for_each(|p| (p.met, p.round, p.round_at) = (false, None, 0));
+        if self.settle_deadline.is_none() {
+            // The message was left by the sibling process after this one had settled: the peers are compared
+            // anew.
+            self.settle_deadline = Some(0);
+            self.peers
+                .values_mut()
+                .for_each(|p| (p.compared, p.comparison, p.comparison_due) = (false, None, 0));
         }
     }
 
-    /// Asks for a grant where one is needed; true where none is.
-    fn want_grant(&mut self, now: Ms, id: &str) -> bool {
-        let Some(part) = self.parts.get(id) else { return true };
-        match part.step(true) {
-            Step::Ask(arbiter) => {
-                let wire = self.write(now, part);
-                self.asked.insert(id.to_string());
-                self.say(&arbiter, Say::Ask(wire));
+    /// Requests a grant if the message needs one; returns whether it needs none.
+    fn request_grant(&mut self, now: Ms, id: &str) -> bool {
+        let Some(replica) = self.replicas.get(id) else { return true };
+        match replica.next_step(true) {
+            Step::RequestGrant(arbiter) => {
+                let wire = self.to_wire(now, replica);
+                self.grant_requests.insert(id.to_string());
+                self.send(&arbiter, Say::RequestGrant(wire));
                 false
             }
             _ => true,
         }
     }
 
-    fn put(&mut self, part: Part) {
-        let (id, size) = (part.copy.id.clone(), part.copy.size());
+    fn insert(&mut self, replica: Replica) {
+        let (id, size) = (replica.copy.id.clone(), replica.copy.size());
         self.bytes += size;
-        if let Some(old) = self.parts.insert(id, part) {
+        if let Some(old) = self.replicas.insert(id, replica) {
             self.bytes -= old.copy.size();
         }
     }
 
-    fn forget(&mut self, id: &str) {
-        if let Some(old) = self.parts.remove(id) {
+    fn remove(&mut self, id: &str) {
+        if let Some(old) = self.replicas.remove(id) {
             self.bytes -= old.copy.size();
         }
-        self.unheard.remove(id);
-        self.asked.remove(id);
+        self.unconfirmed.remove(id);
+        self.grant_requests.remove(id);
         self.unsettled.remove(id);
     }
 
-    /// May an attempt of this message begin now? A message that it knows nothing of is not its concern.
+    /// Whether an attempt of this message may begin now. A message without a copy here is not restricted.
     pub fn may_act(&self, now: Ms, id: &str) -> bool {
-        let Some(part) = self.parts.get(id) else { return true };
+        let Some(replica) = self.replicas.get(id) else { return true };
         let majority = self.has_majority(now);
-        let counted = |n: &String| self.peers.get(n).is_some_and(|p| p.gone && majority || p.leased_at(now));
-        let lease = self.others(part).iter().all(counted);
-        if self.unsettled.contains(id) || !lease || !part.owns() {
+        let safe_to_act =
+            |n: &String| self.peers.get(n).is_some_and(|p| p.gone && majority || p.has_lease(now));
+        let lease = self.other_holders(replica).iter().all(safe_to_act);
+        if self.unsettled.contains(id) || !lease || !replica.is_owner() {
             return false;
         }
-        // One that has begun is not asked about again: its outcome is the owner's to find out.
-        part.copy.stage == Stage::Started && part.kind == Kind::Unsafe || part.step(lease) == Step::Start
+        // A started at-most-once message needs no further grant: its owner finds out the outcome.
+        replica.copy.stage == Stage::Started && replica.kind == Kind::Unsafe
+            || replica.next_step(lease) == Step::Start
     }
 
-    /// Are there others on whom own messages wait? While there are none, nothing that is out has to be looked at.
+    /// Whether there are peers without a valid lease that may hold own messages back. If not, running
+    /// attempts need no check.
     pub fn shaky(&self, now: Ms) -> bool {
-        self.peers.values().any(|p| !p.gone && p.born != 0 && !p.leased_at(now))
+        self.peers.values().any(|p| !p.gone && p.incarnation != 0 && !p.has_lease(now))
     }
 
-    /// An attempt of an own message begins.
+    /// Records that an attempt of an own message begins.
     pub fn started(&mut self, now: Ms, id: &str) {
-        let Some(part) = self.parts.get_mut(id) else { return };
-        if part.copy.stage == Stage::Taken {
-            part.started();
-            self.tell(now, id);
+        let Some(replica) = self.replicas.get_mut(id) else { return };
+        if replica.copy.stage == Stage::Taken {
+            replica.mark_started();
+            self.replicate(now, id);
         }
     }
 
-    /// An own message has its final answer.
+    /// Records the final answer of an own message.
     pub fn ended(&mut self, now: Ms, id: &str, end: End) {
-        let Some(part) = self.parts.get_mut(id).filter(|p| p.owns()) else { return };
-        if matches!(part.copy.stage, Stage::Ended(_)) {
+        let Some(replica) = self.replicas.get_mut(id).filter(|p| p.is_owner()) else { return };
+        if matches!(replica.copy.stage, Stage::Ended(_)) {
             return;
         }
-        let before = part.copy.size();
-        part.ended(end);
-        part.copy.content.body = Vec::new();
-        self.bytes = self.bytes + part.copy.size() - before;
-        self.asked.remove(id);
+        let before = replica.copy.size();
+        replica.mark_ended(end);
+        replica.copy.content.body = Vec::new();
+        self.bytes = self.bytes + replica.copy.size() - before;
+        self.grant_requests.remove(id);
         self.unsettled.remove(id);
-        self.tell(now, id);
+        self.replicate(now, id);
     }
 
-    /// What a copy held here says of a message handed in: how far it has come, if another dispatcher took it on.
+    /// The stage of a message, if a copy of it is held here.
     pub fn knows(&self, id: &str) -> Option<Stage> {
-        self.parts.get(id).map(|p| p.copy.stage)
+        self.replicas.get(id).map(|p| p.copy.stage)
     }
 
-    /// What it knows of a message.
-    pub fn part(&self, id: &str) -> Option<&Part> {
-        self.parts.get(id)
+    /// The copy of a message with its ownership state.
+    pub fn replica(&self, id: &str) -> Option<&Replica> {
+        self.replicas.get(id)
     }
 
-    /// Asks those that are there what they know of a message of which nothing is known here; false where there is nobody to
-    /// ask. [`News::Looked`] says when they have answered.
+    /// Asks the reachable peers about a message that is unknown here; false if there is none to ask.
+    /// [`News::Looked`] reports that they have answered.
     pub fn look_for(&mut self, now: Ms, id: &str) -> bool {
         let asked: BTreeSet<String> =
-            self.peers.iter().filter(|(_, p)| p.fresh && p.leased_at(now)).map(|p| p.0.clone()).collect();
+            self.peers.iter().filter(|(_, p)| p.answering && p.has_lease(now)).map(|p| p.0.clone()).collect();
         if asked.is_empty() {
             return false;
         }
         self.counts.queries += 1;
-        asked.iter().for_each(|to| self.say(to, Say::Query(id.to_string())));
-        self.looking.insert(id.to_string(), (asked, now + LOOK_MOST));
+        asked.iter().for_each(|to| self.send(to, Say::Query(id.to_string())));
+        self.queries.insert(id.to_string(), (asked, now + QUERY_TIMEOUT_MS));
         true
     }
 
-    fn looked(&mut self, id: String) {
-        if self.looking.remove(&id).is_some() {
-            self.news.push(News::Looked(id));
+    fn finish_query(&mut self, id: String) {
+        if self.queries.remove(&id).is_some() {
+            self.events.push(News::Looked(id));
         }
     }
 
-    /// What was learnt of a member here; others hear of a change, and one that comes hears of all.
+    /// Records health data of a destination that was observed here. Peers get it when the availability
+    /// changes, and a peer that starts gets all of it.
     pub fn learnt(&mut self, member: &str, learnt: Learnt) {
         let old = self.health.insert(member.to_string(), learnt);
         if old.map(|o| o.away.is_some()).unwrap_or(false) != learnt.away.is_some() {
@@ -525,122 +553,128 @@
         let age = now.saturating_sub(l.at);
         let away = l.away.map(|a| now.saturating_sub(a));
         let health = wire::Health { member: member.to_string(), rate: l.rate, away, age };
-        self.say(to, Say::Health(health));
+        self.send(to, Say::Health(health));
     }
 
-    /// An operator set an endpoint down or up here.
+    /// Sets (`down`) or lifts an operator block of an endpoint, as ordered at this dispatcher.
     pub fn ban(&mut self, now: Ms, endpoint: &str, down: bool) {
         let stamp = self.clock.tick(now);
-        self.bans.insert(endpoint.to_string(), (stamp, down));
-        // Guards against an older wish that was heard and not yet taken from here: it would be carried out after this one.
-        self.news.retain(|n| !matches!(n, News::Ban(id, _) if id == endpoint));
+        self.operator_blocks.insert(endpoint.to_string(), (stamp, down));
+        // A block received earlier and not yet taken by the dispatcher would be carried out after this one,
+        // though it is older.
+        self.events.retain(|n| !matches!(n, News::Ban(id, _) if id == endpoint));
         let to: Vec<String> = self.peers.keys().cloned().collect();
         to.iter().for_each(|p| self.tell_ban(p, endpoint));
     }
 
     fn tell_ban(&mut self, to: &str, endpoint: &str) {
-        let Some((stamp, down)) = self.bans.get(endpoint) else { return };
-        let ban = wire::Ban {
+        let Some((stamp, down)) = self.operator_blocks.get(endpoint) else { return };
+        let block = wire::OperatorBlock {
             id: endpoint.to_string(),
             down: *down,
             wall: stamp.wall,
             count: stamp.count,
             writer: stamp.writer.clone(),
         };
-        self.say(to, Say::Ban(ban));
+        self.send(to, Say::OperatorBlock(block));
     }
 
-    /// This one leaves: the others hear so at once.
+    /// Leaves the installation; the peers learn of it at once.
     pub fn leave(&mut self, now: Ms) {
-        let todo = self.view.leave(now);
-        self.todo(todo);
+        let output = self.membership.leave(now);
+        self.apply(output);
     }
 
-    fn todo(&mut self, todo: Todo) {
-        for (to, packet) in todo.sends {
+    fn apply(&mut self, output: Output) {
+        for (to, packet) in output.sends {
             if let Some(p) = self.peers.get_mut(&to.name) {
-                // An address that the operators wrote wins over one that was heard.
+                // A configured address takes precedence over a received one.
                 p.address.get_or_insert_with(|| to.address.clone());
             } else if to.name != self.spec.me {
                 let peer = Peer { address: Some(to.address.clone()), ..Peer::default() };
                 self.peers.insert(to.name.clone(), peer);
             }
-            self.say(&to.name, Say::Swim(packet));
+            self.send(&to.name, Say::Swim(packet));
         }
-        for change in todo.changes {
-            self.news.push(News::View(format!("{change:?}")));
+        for change in output.changes {
+            self.events.push(News::View(format!("{change:?}")));
         }
     }
 
-    /// When [`Keeper::tick`] has something to do.
+    /// When [`Keeper::tick`] has work to do.
     pub fn next_due(&self) -> Ms {
-        let beats = self.peers.values().map(|p| p.beat_at).chain(self.looking.values().map(|l| l.1));
-        let own = [self.view.next_due(), self.look_at, self.fade_at];
-        beats.chain(own).min().unwrap_or(self.look_at)
+        let heartbeats =
+            self.peers.values().map(|p| p.heartbeat_due).chain(self.queries.values().map(|l| l.1));
+        let own = [self.membership.next_due(), self.scan_due, self.expiry_due];
+        heartbeats.chain(own).min().unwrap_or(self.scan_due)
     }
 
-    /// Does what is due.
+    /// Does all work that is due.
     pub fn tick(&mut self, now: Ms) {
-        if self.view.next_due() <= now {
-            let todo = self.view.tick(now);
-            self.todo(todo);
+        if self.membership.next_due() <= now {
+            let output = self.membership.tick(now);
+            self.apply(output);
         }
-        let late: Vec<String> = self.looking.iter().filter(|l| l.1 .1 <= now).map(|l| l.0.clone()).collect();
-        late.into_iter().for_each(|id| self.looked(id));
-        let beats = self.peers.values().any(|p| p.beat_at <= now);
-        let is_open = |p: &&Part| p.owns() && !matches!(p.copy.stage, Stage::Ended(_));
-        let open = if beats { self.parts.values().filter(is_open).count() as u64 } else { 0 };
+        let late: Vec<String> = self.queries.iter().filter(|l| l.1 .1 <= now).map(|l| l.0.clone()).collect();
+        late.into_iter().for_each(|id| self.finish_query(id));
+        let heartbeat_is_due = self.peers.values().any(|p| p.heartbeat_due <= now);
+        let is_open = |p: &&Replica| p.is_owner() && !matches!(p.copy.stage, Stage::Ended(_));
+        let open = if heartbeat_is_due { self.replicas.values().filter(is_open).count() as u64 } else { 0 };
         for name in self.peers.keys().cloned().collect::<Vec<_>>() {
-            if self.peers[&name].beat_at <= now {
-                self.peers.entry(name.clone()).and_modify(|p| p.beat_at = now + BEAT_EVERY);
-                self.say(&name, Say::Beat(Beat { at: now, open }));
+            if self.peers[&name].heartbeat_due <= now {
+                self.peers.entry(name.clone()).and_modify(|p| p.heartbeat_due = now + HEARTBEAT_INTERVAL_MS);
+                self.send(&name, Say::Heartbeat(Heartbeat { at: now, open }));
                 self.compare_if_due(now, &name);
             }
         }
-        if self.look_at <= now {
-            self.look_at = now + LOOK_EVERY;
-            self.count_gone(now);
+        if self.scan_due <= now {
+            self.scan_due = now + SCAN_INTERVAL_MS;
+            self.update_gone(now);
             self.look(now);
-            self.settle(now);
+            self.settle_restored(now);
         }
-        if self.again_at <= now {
-            self.again_at = now + LOOK_EVERY;
-            self.say_again(now);
+        if self.resend_due <= now {
+            self.resend_due = now + SCAN_INTERVAL_MS;
+            self.resend_unconfirmed(now);
         }
-        if self.fade_at <= now {
-            self.fade_at = now + 1_000;
-            let over = |p: &Part| match p.copy.stage {
+        if self.expiry_due <= now {
+            self.expiry_due = now + 1_000;
+            let over = |p: &Replica| match p.copy.stage {
                 Stage::Ended(_) => p.copy.content.valid_until < now,
-                _ => p.copy.content.valid_until + GRACE < now,
+                _ => p.copy.content.valid_until + EXPIRED_RETENTION_MS < now,
             };
-            let due: Vec<String> = self.parts.iter().filter(|p| over(p.1)).map(|p| p.0.clone()).collect();
-            due.iter().for_each(|id| self.forget(id));
+            let due: Vec<String> = self.replicas.iter().filter(|p| over(p.1)).map(|p| p.0.clone()).collect();
+            due.iter().for_each(|id| self.remove(id));
         }
     }
 
-    /// Who counts as gone now.
-    fn count_gone(&mut self, now: Ms) {
-        let alive: BTreeSet<String> = self.view.alive().into_iter().collect();
-        // One that was cut off itself counts nobody as gone before it had the time to hear of them again.
+    /// Updates which peers count as gone.
+    fn update_gone(&mut self, now: Ms) {
+        let alive: BTreeSet<String> = self.membership.alive().into_iter().collect();
+        // After a loss of the majority no peer counts as gone until it had the time to be heard from again.
         let since = self.majority_since.take().unwrap_or(now);
         self.majority_since = self.has_majority(now).then_some(since);
         let majority = self.majority_since.is_some_and(|t| t + GONE_AFTER <= now);
         let mut lost = Vec::new();
         for (name, p) in &mut self.peers {
-            let silent = p.heard.is_none_or(|t| t + GONE_AFTER <= now);
-            let gone = majority && silent && p.born != 0 && !alive.contains(name);
+            let silent = p.last_received.is_none_or(|t| t + GONE_AFTER <= now);
+            let gone = majority && silent && p.incarnation != 0 && !alive.contains(name);
             if gone && !p.gone {
                 p.gone = true;
-                p.behind = true;
-                lost.push((name.clone(), p.open));
+                p.needs_fences = true;
+                lost.push((name.clone(), p.open_messages));
             }
         }
         for (name, open) in lost {
-            let here = |p: &&Part| p.copy.fence.owner == name && !matches!(p.copy.stage, Stage::Ended(_));
-            let here = self.parts.values().filter(here).count();
-            // Where all that have a copy are gone together, this is all that is left to say of it.
-            let text = format!("{name} counts as gone; it said last that {open} messages were open there, {here} have a copy here");
-            self.news.push(News::View(text));
+            let here = |p: &&Replica| p.copy.fence.owner == name && !matches!(p.copy.stage, Stage::Ended(_));
+            let here = self.replicas.values().filter(here).count();
+            // If all dispatchers with a copy are gone together, this log entry is the only trace of those
+            // messages.
+            let text = format!(
+                "{name} counts as gone; it last reported {open} messages without a final answer, \
+                 {here} of its messages have a copy here"
+            );
+            self.events.push(News::View(text));
         }
     }
 
@@ -648,103 +682,105 @@
         self.peers.get(name).is_some_and(|p| p.gone)
     }
 
-    /// Messages of owners that are gone: the first that lives takes over. Own ones whose arbiter is gone are given up.
+    /// Takes over messages of owners that are gone, if this dispatcher is the first live one in the order of
+    /// succession. Gives up own messages that wait for a grant of an arbiter that is gone.
     fn look(&mut self, now: Ms) {
         if !self.peers.values().any(|p| p.gone) {
             return;
         }
-        let first = |p: &Part| {
+        let first = |p: &Replica| {
             let mut order = std::iter::once(&p.copy.content.taker).chain(&p.copy.holders);
             order.find(|n| !self.is_gone(n)) == Some(&self.spec.me)
         };
-        let due = |p: &&Part| {
+        let due = |p: &&Replica| {
             !matches!(p.copy.stage, Stage::Ended(_))
-                && !p.owns()
+                && !p.is_owner()
                 && self.is_gone(&p.copy.fence.owner)
                 && first(p)
         };
-        let due: Vec<String> = self.parts.values().filter(due).map(|p| p.copy.id.clone()).collect();
+        let due: Vec<String> = self.replicas.values().filter(due).map(|p| p.copy.id.clone()).collect();
         due.iter().for_each(|id| self.take_over(now, id));
         let lost = |id: &&String| {
-            let arbiter = self.parts.get(*id).and_then(|p| p.copy.holders.first());
+            let arbiter = self.replicas.get(*id).and_then(|p| p.copy.holders.first());
             arbiter.is_some_and(|a| self.is_gone(a))
         };
-        let lost: Vec<String> = self.asked.iter().filter(lost).cloned().collect();
+        let lost: Vec<String> = self.grant_requests.iter().filter(lost).cloned().collect();
         for id in lost {
-            self.asked.remove(&id);
-            self.news.push(News::GiveUp(id));
+            self.grant_requests.remove(&id);
+            self.events.push(News::GiveUp(id));
         }
     }
 
     fn take_over(&mut self, now: Ms, id: &str) {
         let born = self.spec.born;
-        let Some(part) = self.parts.get_mut(id) else { return };
-        // An arbiter of another life knows nothing of what it granted.
-        let forgot = part.arbitrates() && part.copy.content.arbiter_born != born;
-        let mut step = part.take_over();
-        if part.kind == Kind::Unsafe && forgot && step == Step::Start {
+        let Some(replica) = self.replicas.get_mut(id) else { return };
+        // An arbiter of another incarnation has lost the grants that it gave.
+        let grants_lost = replica.is_arbiter() && replica.copy.content.arbiter_born != born;
+        let mut step = replica.take_over();
+        if replica.kind == Kind::Unsafe && grants_lost && step == Step::Start {
             step = Step::GiveUp;
         }
-        if step == Step::Leave {
+        if step == Step::NoAction {
             return;
         }
-        if part.copy.content.valid_until <= now {
-            // Its time was up before anybody could know: its final answer is owed all the same.
+        if replica.copy.content.valid_until <= now {
+            // The message expired before the takeover; its final answer is still required.
             step = Step::GiveUp;
         }
         self.counts.taken_over += 1;
-        let copy = part.copy.clone();
-        self.news.push(News::Take(Box::new(copy), step));
-        self.tell(now, id);
+        let copy = replica.copy.clone();
+        self.events.push(News::Take(Box::new(copy), step));
+        self.replicate(now, id);
     }
 
-    /// Restored messages are settled once most of the others have told what they know.
-    fn settle(&mut self, now: Ms) {
-        let Some(by) = self.settled_by else { return };
-        let near: Vec<&Peer> = self.peers.values().filter(|p| p.leased_at(now)).collect();
-        let met = near.iter().filter(|p| p.met).count();
-        let done = 2 * (met + 1) > self.spec.size && met == near.len();
+    /// Settles restored messages once the comparison with every reachable peer has completed, and these peers
+    /// and this dispatcher are a majority.
+    fn settle_restored(&mut self, now: Ms) {
+        let Some(by) = self.settle_deadline else { return };
+        let reachable: Vec<&Peer> = self.peers.values().filter(|p| p.has_lease(now)).collect();
+        let compared = reachable.iter().filter(|p| p.compared).count();
+        let done = 2 * (compared + 1) > self.spec.size && compared == reachable.len();
         let alone = self.spec.size <= 1;
         if !(done || alone || now >= by) {
             return;
         }
-        self.settled_by = None;
-        self.news.push(News::CaughtUp(done || alone));
+        self.settle_deadline = None;
+        self.events.push(News::CaughtUp(done || alone));
         if !(done || alone) {
-            // It serves, but what is restored waits until most of the others are heard.
+            // The dispatcher serves, but restored messages wait for a majority of the peers.
             if !self.unsettled.is_empty() {
-                self.settled_by = Some(now + LOOK_EVERY);
+                self.settle_deadline = Some(now + SCAN_INTERVAL_MS);
             }
             return;
         }
-        let later = self.unsettled.iter().nth(PACED_MOST).cloned();
-        let rest = later.map(|l| self.unsettled.split_off(&l)).unwrap_or_default();
-        if !rest.is_empty() {
-            self.settled_by = Some(now);
+        let later = self.unsettled.iter().nth(MAX_MESSAGES_PER_SCAN).cloned();
+        let remaining = later.map(|l| self.unsettled.split_off(&l)).unwrap_or_default();
+        if !remaining.is_empty() {
+            self.settle_deadline = Some(now);
         }
-        for id in std::mem::replace(&mut self.unsettled, rest) {
-            let Some(part) = self.parts.get(&id) else { continue };
-            if part.copy.holders.is_empty() && part.copy.stage == Stage::Taken {
-                // Nobody has a copy: it is as if it were taken now.
-                let (content, kind) = (part.copy.content.clone(), part.kind);
+        for id in std::mem::replace(&mut self.unsettled, remaining) {
+            let Some(replica) = self.replicas.get(&id) else { continue };
+            if replica.copy.holders.is_empty() && replica.copy.stage == Stage::Taken {
+                // No peer has a copy: it is treated as if it had been accepted just now.
+                let (content, kind) = (replica.copy.content.clone(), replica.kind);
                 if self.taken(now, &id, content, kind) {
-                    self.news.push(News::Start(id));
+                    self.events.push(News::Start(id));
                 }
-            } else if self.want_grant(now, &id) {
-                self.news.push(News::Start(id));
+            } else if self.request_grant(now, &id) {
+                self.events.push(News::Start(id));
             }
         }
     }
 
-    /// What was not confirmed, to those that are there.
-    fn say_again(&mut self, now: Ms) {
+    /// Sends states again that peers have not acknowledged, and repeats unanswered grant requests.
+    fn resend_unconfirmed(&mut self, now: Ms) {
         let mut due = Vec::new();
-        for (id, whom) in &mut self.unheard {
-            if due.len() >= PACED_MOST {
+        for (id, whom) in &mut self.unconfirmed {
+            if due.len() >= MAX_MESSAGES_PER_SCAN {
                 break;
             }
             for (to, at) in whom.iter_mut().filter(|w| *w.1 <= now) {
-                *at = now + AGAIN_EVERY;
+                *at = now + RESEND_INTERVAL_MS;
                 due.push((id.clone(), to.clone()));
             }
         }
@@ -753,30 +789,31 @@
                 self.confirm(&id, &to);
                 continue;
             }
-            self.hold(now, &to, &id);
-            let arbiter = self.parts.get(&id).and_then(|p| p.copy.holders.first()).is_some_and(|a| *a == to);
-            if arbiter && self.asked.contains(&id) {
-                self.want_grant(now, &id);
+            self.send_copy(now, &to, &id);
+            let arbiter =
+                self.replicas.get(&id).and_then(|p| p.copy.holders.first()).is_some_and(|a| *a == to);
+            if arbiter && self.grant_requests.contains(&id) {
+                self.request_grant(now, &id);
             }
         }
-        // A grant that was lost on its way.
+        // Requests for which the grant may have been lost on its way.
         let due: Vec<String> =
-            self.asked.iter().filter(|id| !self.unheard.contains_key(*id)).cloned().collect();
+            self.grant_requests.iter().filter(|id| !self.unconfirmed.contains_key(*id)).cloned().collect();
         for id in due {
-            self.want_grant(now, &id);
+            self.request_grant(now, &id);
         }
     }
 
     fn confirm(&mut self, id: &str, by: &str) {
-        if let Some(whom) = self.unheard.get_mut(id) {
+        if let Some(whom) = self.unconfirmed.get_mut(id) {
             whom.remove(by);
             if whom.is_empty() {
-                self.unheard.remove(id);
+                self.unconfirmed.remove(id);
             }
         }
     }
 
-    /// A word came.
+    /// Processes a peer message.
     pub fn hear(&mut self, now: Ms, e: Envelope) {
         if e.from == self.spec.me || e.from.is_empty() || e.life == 0 {
             self.counts.nonsense += 1;
@@ -784,47 +821,53 @@
         }
         let from = e.from;
         let peer = self.peers.entry(from.clone()).or_default();
-        if peer.past.contains(&e.life) {
+        if peer.past_incarnations.contains(&e.life) {
             self.counts.stale += 1;
             return;
         }
-        peer.heard = Some(now);
-        if peer.born != e.life {
-            // Another life: what it knew is gone, until it is told.
-            let again = peer.born != 0;
-            let mut past = std::mem::take(&mut peer.past);
-            past.extend(again.then_some(peer.born));
-            past.drain(..past.len().saturating_sub(PAST_MOST));
+        peer.last_received = Some(now);
+        if peer.incarnation != e.life {
+            // A new incarnation: all that was known of the peer is discarded until it is received anew.
+            let again = peer.incarnation != 0;
+            let mut past = std::mem::take(&mut peer.past_incarnations);
+            past.extend(again.then_some(peer.incarnation));
+            past.drain(..past.len().saturating_sub(MAX_PAST_INCARNATIONS));
             *peer = Peer {
                 address: peer.address.take(),
-                born: e.life,
-                heard: Some(now),
-                beat_at: now,
+                incarnation: e.life,
+                last_received: Some(now),
+                heartbeat_due: now,
                 ..Peer::default()
             };
-            (peer.behind, peer.past) = (true, past);
+            (peer.needs_fences, peer.past_incarnations) = (true, past);
             if again {
-                self.news.push(News::View(format!("{from} is there in a new life")));
+                self.events.push(News::View(format!("{from} was restarted and has begun a new life")));
             }
-            self.bans.keys().cloned().collect::<Vec<_>>().iter().for_each(|b| self.tell_ban(&from, b));
+            self.operator_blocks
+                .keys()
+                .cloned()
+                .collect::<Vec<_>>()
+                .iter()
+                .for_each(|b| self.tell_ban(&from, b));
             let members: Vec<String> = self.health.keys().cloned().collect();
             members.iter().for_each(|m| self.tell_health(now, &from, m));
         }
-        match e.say {
+        match e.payload {
             Some(Say::Swim(packet)) => {
-                let todo = self.view.heard(now, &packet);
-                self.todo(todo);
+                let output = self.membership.receive(now, &packet);
+                self.apply(output);
             }
-            Some(Say::Beat(b)) => {
-                self.renew(now, &from);
-                self.peers.entry(from.clone()).and_modify(|p| p.open = b.open);
-                self.say(&from, Say::Beaten(b.at));
+            Some(Say::Heartbeat(b)) => {
+                self.renew_lease(now, &from);
+                self.peers.entry(from.clone()).and_modify(|p| p.open_messages = b.open);
+                self.send(&from, Say::HeartbeatAck(b.at));
             }
             Some(Say::Query(id)) => {
-                let known = self.parts.get(&id).map(|p| WireCopy { body: Vec::new(), ..self.write(now, p) });
-                self.say(&from, Say::Known(known.unwrap_or(WireCopy { id, ..WireCopy::default() })));
+                let known =
+                    self.replicas.get(&id).map(|p| WireCopy { body: Vec::new(), ..self.to_wire(now, p) });
+                self.send(&from, Say::QueryAnswer(known.unwrap_or(WireCopy { id, ..WireCopy::default() })));
             }
-            Some(Say::Known(wire)) => self.heard_known(now, &from, wire),
+            Some(Say::QueryAnswer(wire)) => self.on_query_answer(now, &from, wire),
             Some(Say::Health(h)) => {
                 let at = now.saturating_sub(h.age);
                 let fresher = self.health.get(&h.member).is_none_or(|l| l.at < at);
@@ -834,144 +877,154 @@
                     let away = h.away.map(|a| now.saturating_sub(a));
                     let learnt = Learnt { rate: h.rate, away, at };
                     self.health.insert(h.member.clone(), learnt);
-                    self.news.push(News::Health(h.member, learnt));
+                    self.events.push(News::Health(h.member, learnt));
                 }
             }
-            Some(Say::Beaten(at)) if at <= now => {
+            Some(Say::HeartbeatAck(at)) if at <= now => {
                 self.peers.entry(from).and_modify(|p| {
-                    p.leased = p.leased.max(Some(at));
-                    p.fresh = true;
+                    p.lease_start = p.lease_start.max(Some(at));
+                    p.answering = true;
                 });
             }
-            Some(Say::Hold(wire)) => self.heard_hold(now, &from, wire),
-            Some(Say::Held(h)) => {
-                let same =
-                    |p: &Part| p.copy.fence.epoch == h.epoch && wire::stage_number(p.copy.stage).0 == h.stage;
-                if self.parts.get(&h.id).is_some_and(same) {
+            Some(Say::Store(wire)) => self.on_copy(now, &from, wire),
+            Some(Say::Stored(h)) => {
+                let same = |p: &Replica| {
+                    p.copy.fence.epoch == h.epoch && wire::stage_number(p.copy.stage).0 == h.stage
+                };
+                if self.replicas.get(&h.id).is_some_and(same) {
                     self.confirm(&h.id, &from);
                 }
-                if self.parts.get(&h.id).is_some_and(Part::owns) {
-                    self.news.push(News::Held(h.id));
+                if self.replicas.get(&h.id).is_some_and(Replica::is_owner) {
+                    self.events.push(News::Held(h.id));
                 }
             }
-            Some(Say::Ask(wire)) => self.heard_ask(now, &from, wire),
+            Some(Say::RequestGrant(wire)) => self.on_grant_request(now, &from, wire),
             Some(Say::Grant(wire)) => {
                 let fence = Fence { epoch: wire.epoch, owner: wire.owner };
-                if let Some(part) = self.parts.get_mut(&wire.id) {
-                    part.heard_grant(&fence);
-                    if part.has_grant && self.asked.remove(&wire.id) {
-                        self.news.push(News::Start(wire.id));
+                if let Some(replica) = self.replicas.get_mut(&wire.id) {
+                    replica.on_grant(&fence);
+                    if replica.has_grant && self.grant_requests.remove(&wire.id) {
+                        self.events.push(News::Start(wire.id));
                     }
                 }
             }
-            Some(Say::Refuse(wire)) => {
+            Some(Say::DenyGrant(wire)) => {
                 let fence = Fence { epoch: wire.epoch, owner: wire.owner };
-                let Some(part) = self.parts.get_mut(&wire.id).filter(|p| p.owns()) else { return };
-                if !self.asked.remove(&wire.id) {
+                let Some(replica) = self.replicas.get_mut(&wire.id).filter(|p| p.is_owner()) else { return };
+                if !self.grant_requests.remove(&wire.id) {
                     return;
                 }
-                match part.heard_refusal(&fence) {
-                    Step::GiveUp => self.news.push(News::GiveUp(wire.id)),
-                    _ => self.gone_from_here(&wire.id),
+                match replica.on_grant_denied(&fence) {
+                    Step::GiveUp => self.events.push(News::GiveUp(wire.id)),
+                    _ => self.release_own(&wire.id),
                 }
             }
             Some(Say::Hashes(h)) => {
                 let level = h.level.min(DEPTH);
                 let differ = self
-                    .table(now, &from)
-                    .map_or_else(Vec::new, |t| t.tree.differing(level, h.at as usize, &h.hashes));
+                    .digest(now, &from)
+                    .map_or_else(Vec::new, |t| t.tree.differing_children(level, h.at as usize, &h.hashes));
                 let children = differ.into_iter().map(|c| c as u32).collect();
-                self.say(&from, Say::Differ(Differ { level, children }));
+                self.send(&from, Say::DifferingChildren(DifferingChildren { level, children }));
             }
-            Some(Say::Differ(d)) => self.heard_differ(now, &from, d),
-            Some(Say::Want(b)) => {
-                let mut have: BTreeSet<u64> = b.have.into_iter().take(HAVE_MOST).collect();
+            Some(Say::DifferingChildren(d)) => self.on_differing_children(now, &from, d),
+            Some(Say::RequestBuckets(b)) => {
+                let mut have: BTreeSet<u64> = b.have.into_iter().take(MAX_HASHES_PER_REQUEST).collect();
                 let here = self.entries(now, &from, &b.at);
                 here.into_iter()
                     .filter(|(_, h)| !have.remove(h))
-                    .for_each(|(id, _)| self.push(now, &from, &id));
+                    .for_each(|(id, _)| self.send_missing(now, &from, &id));
                 let count = b.at.len() as u32;
-                self.say(&from, Say::Done(Done { count, lacks: have.into_iter().collect() }));
+                self.send(&from, Say::BucketsSent(BucketsSent { count, lacks: have.into_iter().collect() }));
             }
-            Some(Say::Done(d)) => {
-                let round = self.peers.get_mut(&from).and_then(|p| p.round.as_mut());
-                let asked = round.map(|r| std::mem::take(&mut r.wanted)).unwrap_or_default();
-                let lacks: BTreeSet<u64> = d.lacks.into_iter().take(HAVE_MOST).collect();
+            Some(Say::BucketsSent(d)) => {
+                let comparison = self.peers.get_mut(&from).and_then(|p| p.comparison.as_mut());
+                let asked = comparison.map(|r| std::mem::take(&mut r.requested)).unwrap_or_default();
+                let lacks: BTreeSet<u64> = d.lacks.into_iter().take(MAX_HASHES_PER_REQUEST).collect();
                 if !lacks.is_empty() {
                     let here = self.entries(now, &from, &asked);
                     here.into_iter()
                         .filter(|e| lacks.contains(&e.1))
-                        .for_each(|e| self.push(now, &from, &e.0));
+                        .for_each(|e| self.send_missing(now, &from, &e.0));
                 }
-                self.go_on(now, &from);
+                self.request_next_buckets(now, &from);
             }
-            Some(Say::Ban(b)) => {
-                let stamp = crate::clock::Stamp { wall: b.wall, count: b.count, writer: b.writer };
-                if b.id.is_empty() || !self.clock.hear(now, &stamp) {
+            Some(Say::OperatorBlock(b)) => {
+                let stamp = crate::clock::Timestamp { wall: b.wall, count: b.count, writer: b.writer };
+                if b.id.is_empty() || !self.clock.observe(now, &stamp) {
                     self.counts.nonsense += 1;
-                } else if self.bans.get(&b.id).is_none_or(|(s, _)| *s < stamp) {
-                    self.bans.insert(b.id.clone(), (stamp, b.down));
-                    self.news.push(News::Ban(b.id, b.down));
+                } else if self.operator_blocks.get(&b.id).is_none_or(|(s, _)| *s < stamp) {
+                    self.operator_blocks.insert(b.id.clone(), (stamp, b.down));
+                    self.events.push(News::Ban(b.id, b.down));
                 }
             }
-            Some(Say::Beaten(_)) | None => self.counts.nonsense += 1,
+            Some(Say::HeartbeatAck(_)) | None => self.counts.nonsense += 1,
         }
     }
 
-    /// A peer is heard of: one that counted as gone, or begins a life, hears first of all fences that have passed it.
-    fn renew(&mut self, now: Ms, from: &str) {
+    /// A heartbeat has arrived. A peer that had counted as gone, or has restarted, first gets all fences that
+    /// replaced its own.
+    fn renew_lease(&mut self, now: Ms, from: &str) {
         let Some(p) = self.peers.get_mut(from) else { return };
         if p.gone {
             p.gone = false;
-            p.round_at = now;
-            self.news.push(News::View(format!("{from} is back")));
+            p.comparison_due = now;
+            self.events.push(News::View(format!("{from} is reachable again")));
         }
-        if !std::mem::take(&mut p.behind) {
+        if !std::mem::take(&mut p.needs_fences) {
             return;
         }
-        let passed =
-            |p: &&Part| p.copy.fence.epoch > 0 && p.copy.fence.owner != *from && self.lies_with(p, from);
-        let ids: Vec<String> =
-            self.parts.values().filter(passed).take(TOLD_AGAIN_MOST).map(|p| p.copy.id.clone()).collect();
-        ids.iter().for_each(|id| self.hold(now, from, id));
+        let passed = |p: &&Replica| {
+            p.copy.fence.epoch > 0 && p.copy.fence.owner != *from && self.is_shared_with(p, from)
+        };
+        let ids: Vec<String> = self
+            .replicas
+            .values()
+            .filter(passed)
+            .take(MAX_FENCES_RESENT)
+            .map(|p| p.copy.id.clone())
+            .collect();
+        ids.iter().for_each(|id| self.send_copy(now, from, id));
     }
 
-    /// The connection to a peer is lost, and what was said on it may be: it hears of passed fences anew.
+    /// The connection to a peer is lost, and peer messages may be lost with it: fences that replaced its own
+    /// are sent anew.
     pub fn lost(&mut self, name: &str) {
-        self.peers.entry(name.to_string()).and_modify(|p| (p.behind, p.fresh) = (true, false));
+        self.peers.entry(name.to_string()).and_modify(|p| (p.needs_fences, p.answering) = (true, false));
     }
 
-    /// Another owns the message: nothing is owed here any more.
-    fn gone_from_here(&mut self, id: &str) {
+    /// Drops an own message that another dispatcher owns now.
+    fn release_own(&mut self, id: &str) {
         self.counts.left += 1;
-        self.unheard.remove(id);
-        self.asked.remove(id);
+        self.unconfirmed.remove(id);
+        self.grant_requests.remove(id);
         self.unsettled.remove(id);
-        self.news.push(News::Leave(id.to_string()));
+        self.events.push(News::Leave(id.to_string()));
     }
 
-    /// A peer's answer about a message that was asked about: what it knows is kept, without the body, to answer from.
-    fn heard_known(&mut self, now: Ms, from: &str, wire: WireCopy) {
+    /// Processes a peer's answer to a query. A copy in it is kept without the body, to answer the client
+    /// from.
+    fn on_query_answer(&mut self, now: Ms, from: &str, wire: WireCopy) {
         let id = wire.id.clone();
-        let Some((asked, _)) = self.looking.get_mut(&id) else { return };
+        let Some((asked, _)) = self.queries.get_mut(&id) else { return };
         asked.remove(from);
         let all = asked.is_empty();
         let kind = if wire.once { Kind::Unsafe } else { Kind::Safe };
         let copy = Some(wire).filter(|w| !w.owner.is_empty()).and_then(WireCopy::read);
-        if let Some(mut copy) = copy.filter(|_| !self.parts.contains_key(&id)) {
+        if let Some(mut copy) = copy.filter(|_| !self.replicas.contains_key(&id)) {
             copy.content.valid_until = copy.content.valid_until.saturating_add(now);
             if self.bytes + copy.size() <= self.spec.most_bytes {
                 let me = self.spec.me.clone();
-                self.put(Part::taken(&me, copy, kind));
-                return self.looked(id);
+                self.insert(Replica::new(&me, copy, kind));
+                return self.finish_query(id);
             }
         }
         if all {
-            self.looked(id);
+            self.finish_query(id);
         }
     }
 
-    fn heard_hold(&mut self, now: Ms, from: &str, wire: WireCopy) {
+    fn on_copy(&mut self, now: Ms, from: &str, wire: WireCopy) {
         let once = wire.once;
         let Some(mut copy) = wire.read() else {
             self.counts.nonsense += 1;
@@ -981,7 +1034,7 @@
         let id = copy.id.clone();
         let kind = if once { Kind::Unsafe } else { Kind::Safe };
         let me = self.spec.me.clone();
-        let Some(part) = self.parts.get_mut(&id) else {
+        let Some(replica) = self.replicas.get_mut(&id) else {
             if copy.content.taker == me && !matches!(copy.stage, Stage::Ended(_)) && copy.fence.owner == me {
                 return self.remember_own(now, copy, kind);
             }
@@ -997,188 +1050,206 @@
                 return;
             }
             self.counts.taken_in += 1;
-            self.held(from, &copy);
-            return self.put(Part::taken(&me, copy, kind));
+            self.acknowledge(from, &copy);
+            return self.insert(Replica::new(&me, copy, kind));
         };
-        if part.copy.content.taker != copy.content.taker && self.unsettled.contains(&id) {
-            // Taken over in an earlier life, and known to the folder as if it had been taken on here.
-            part.copy.content.taker = copy.content.taker.clone();
-            part.copy.content.arbiter_born = copy.content.arbiter_born;
-            (part.copy.holders, part.copy.fence) = (copy.holders.clone(), copy.fence.clone());
+        if replica.copy.content.taker != copy.content.taker && self.unsettled.contains(&id) {
+            // The message was taken over in an earlier incarnation, and the state folder has it as if it had
+            // been accepted here.
+            replica.copy.content.taker = copy.content.taker.clone();
+            replica.copy.content.arbiter_born = copy.content.arbiter_born;
+            (replica.copy.holders, replica.copy.fence) = (copy.holders.clone(), copy.fence.clone());
             if copy.fence.owner != me {
-                return self.gone_from_here(&id);
+                return self.release_own(&id);
             }
         }
-        if part.copy.content.taker != copy.content.taker {
-            // Handed in at two dispatchers: each has its own, and the arbiter's grant settles it.
-            return self.held(from, &copy);
+        if replica.copy.content.taker != copy.content.taker {
+            // The client submitted the message to two dispatchers: each has its own, and the arbiter's grant
+            // decides between them.
+            return self.acknowledge(from, &copy);
         }
-        // An older copy of its folder came back: what it had begun since may have run.
-        let begun = part.kind == Kind::Unsafe
-            && part.copy.stage == Stage::Taken
+        // The state folder was restored from an older copy: an attempt begun after that copy was made may
+        // have run.
+        let begun = replica.kind == Kind::Unsafe
+            && replica.copy.stage == Stage::Taken
             && copy.stage == Stage::Started
-            && part.copy.fence.owner == me
+            && replica.copy.fence.owner == me
             && self.unsettled.contains(&id);
-        let (owned, was_ended) = (part.owns(), matches!(part.copy.stage, Stage::Ended(_)));
-        let before = part.copy.size();
-        // After a start it may not have known who has copies.
-        if part.copy.holders.is_empty() {
-            part.copy.holders = copy.holders.clone();
-            part.copy.content.arbiter_born = copy.content.arbiter_born;
+        let (owned, was_ended) = (replica.is_owner(), matches!(replica.copy.stage, Stage::Ended(_)));
+        let before = replica.copy.size();
+        // After a restart the holders may be unknown here.
+        if replica.copy.holders.is_empty() {
+            replica.copy.holders = copy.holders.clone();
+            replica.copy.content.arbiter_born = copy.content.arbiter_born;
         }
-        let differ = part.heard(&copy, false, Holes::default()) == Merged::Conflict;
-        if matches!(part.copy.stage, Stage::Ended(_)) {
-            part.copy.content.body = Vec::new();
+        let differ = replica.merge(&copy, false, Faults::default()) == MergeOutcome::Conflict;
+        if matches!(replica.copy.stage, Stage::Ended(_)) {
+            replica.copy.content.body = Vec::new();
         }
-        let owns = part.owns();
-        let after = part.copy.clone();
+        let owns = replica.is_owner();
+        let after = replica.copy.clone();
         self.bytes = self.bytes + after.size() - before;
         if differ {
             self.counts.conflicts += 1;
-            self.news.push(News::View(format!("{id} has two final answers; {:?} stays", after.stage)));
+            self.events
+                .push(News::View(format!("{id} has two different final answers; keeping {:?}", after.stage)));
         }
-        self.held(from, &after);
+        self.acknowledge(from, &after);
         if begun && owns {
-            self.news.push(News::GiveUp(id));
+            self.events.push(News::GiveUp(id));
         } else if owned && (!owns || !was_ended && matches!(after.stage, Stage::Ended(_))) {
-            self.gone_from_here(&id);
+            self.release_own(&id);
         } else if (after.fence, after.stage) > (copy.fence, copy.stage) {
-            // The one that says so has not heard of a later stage, or that it was passed.
-            self.hold(now, from, &id);
+            // The sender does not know a later stage, or that its fence was replaced.
+            self.send_copy(now, from, &id);
         }
     }
 
-    fn held(&mut self, to: &str, copy: &Copy) {
+    fn acknowledge(&mut self, to: &str, copy: &Copy) {
         let stage = wire::stage_number(copy.stage).0;
-        self.say(to, Say::Held(HeldAt { id: copy.id.clone(), epoch: copy.fence.epoch, stage }));
+        self.send(to, Say::Stored(CopyAck { id: copy.id.clone(), epoch: copy.fence.epoch, stage }));
     }
 
-    /// A message of its own that its folder knows nothing of: it was lost with the folder, and is taken up again under a
-    /// higher fence. An unsafe one is given up: nobody can prove that it never went out.
+    /// Takes up an own message that was lost with the state folder and that a peer returned, under a higher
+    /// fence. An at-most-once message is given up: nobody can prove that it was never sent.
     fn remember_own(&mut self, now: Ms, mut copy: Copy, kind: Kind) {
-        let round = copy.holders.len() as u64 + 1;
-        copy.fence = Fence { epoch: (copy.fence.epoch / round + 1) * round, owner: self.spec.me.clone() };
+        let participants = copy.holders.len() as u64 + 1;
+        copy.fence = Fence {
+            epoch: (copy.fence.epoch / participants + 1) * participants,
+            owner: self.spec.me.clone(),
+        };
         let step = if kind == Kind::Safe { Step::Start } else { Step::GiveUp };
         let (id, me) = (copy.id.clone(), self.spec.me.clone());
         self.counts.taken_over += 1;
-        self.put(Part::taken(&me, copy.clone(), kind));
-        self.news.push(News::Take(Box::new(copy), step));
-        self.tell(now, &id);
+        self.insert(Replica::new(&me, copy.clone(), kind));
+        self.events.push(News::Take(Box::new(copy), step));
+        self.replicate(now, &id);
     }
 
-    fn heard_ask(&mut self, now: Ms, from: &str, wire: WireCopy) {
+    fn on_grant_request(&mut self, now: Ms, from: &str, wire: WireCopy) {
         let fence = Fence { epoch: wire.epoch, owner: wire.owner.clone() };
         let (id, born) = (wire.id.clone(), wire.arbiter_born);
-        if !self.parts.contains_key(&id) {
-            self.heard_hold(now, from, wire);
+        if !self.replicas.contains_key(&id) {
+            self.on_copy(now, from, wire);
         }
         let mine = self.spec.born;
-        let Some(part) = self.parts.get_mut(&id) else { return };
-        let word = if born == mine { part.asked(&fence, Holes::default()) } else { Word::Refuse };
-        let mut wire = self.parts.get(&id).map(|p| self.write(now, p)).unwrap_or_default();
+        let Some(replica) = self.replicas.get_mut(&id) else { return };
+        let answer = if born == mine {
+            replica.on_grant_request(&fence, Faults::default())
+        } else {
+            PeerMessage::DenyGrant
+        };
+        let mut wire = self.replicas.get(&id).map(|p| self.to_wire(now, p)).unwrap_or_default();
         wire.body = Vec::new();
-        if word == Word::Grant {
+        if answer == PeerMessage::Grant {
             self.counts.granted += 1;
             (wire.epoch, wire.owner) = (fence.epoch, fence.owner);
-            self.say(from, Say::Grant(wire));
+            self.send(from, Say::Grant(wire));
         } else {
             self.counts.denied += 1;
-            self.say(from, Say::Refuse(wire));
+            self.send(from, Say::DenyGrant(wire));
         }
     }
 
-    /// What lies with a peer and here; none where the peer is not known.
-    fn table(&mut self, now: Ms, with: &str) -> Option<&Table> {
-        let made = self.peers.get(with)?.table.as_ref().is_some_and(|t| t.at + TABLE_FOR > now);
+    /// The digest of the copies shared with a peer; `None` if the peer is unknown.
+    fn digest(&mut self, now: Ms, with: &str) -> Option<&PeerDigest> {
+        let made = self.peers.get(with)?.digest.as_ref().is_some_and(|t| t.at + DIGEST_CACHE_MS > now);
         if !made {
-            // What is forgotten soon, here or there, is no difference.
-            let open = |p: &Part| {
+            // Copies that either side drops soon do not count as a difference.
+            let open = |p: &Replica| {
                 !matches!(p.copy.stage, Stage::Ended(_)) || p.copy.content.valid_until > now + 2_000
             };
-            let both: Vec<&Copy> =
-                self.parts.values().filter(|p| open(p) && self.lies_with(p, with)).map(|p| &p.copy).collect();
+            let both: Vec<&Copy> = self
+                .replicas
+                .values()
+                .filter(|p| open(p) && self.is_shared_with(p, with))
+                .map(|p| &p.copy)
+                .collect();
             let mut ids: BTreeMap<u32, Vec<String>> = BTreeMap::new();
             both.iter().for_each(|c| ids.entry(digest::bucket(&c.id) as u32).or_default().push(c.id.clone()));
-            let table = Table { at: now, tree: Tree::of(both.into_iter()), ids };
-            self.peers.get_mut(with)?.table = Some(table);
+            let digest = PeerDigest { at: now, tree: HashTree::from_copies(both.into_iter()), ids };
+            self.peers.get_mut(with)?.digest = Some(digest);
         }
-        self.peers.get(with)?.table.as_ref()
+        self.peers.get(with)?.digest.as_ref()
     }
 
-    /// Of these buckets what lies with a peer and here, each with the hash of its state.
+    /// The ids of the shared copies in these buckets, each with the hash of its state.
     fn entries(&mut self, now: Ms, with: &str, buckets: &[u32]) -> Vec<(String, u64)> {
-        let wanted: BTreeSet<u32> = buckets.iter().copied().take(WANT_MOST).collect();
-        let Some(table) = self.table(now, with) else { return Vec::new() };
+        let wanted: BTreeSet<u32> = buckets.iter().copied().take(MAX_BUCKETS_PER_REQUEST).collect();
+        let Some(digest) = self.digest(now, with) else { return Vec::new() };
         let ids: Vec<String> =
-            wanted.iter().filter_map(|b| table.ids.get(b)).flat_map(|ids| ids.iter().cloned()).collect();
-        let state = |id: String| self.parts.get(&id).map(|p| digest::hash(&p.copy)).map(|h| (id, h));
+            wanted.iter().filter_map(|b| digest.ids.get(b)).flat_map(|ids| ids.iter().cloned()).collect();
+        let state = |id: String| self.replicas.get(&id).map(|p| digest::hash(&p.copy)).map(|h| (id, h));
         ids.into_iter().filter_map(state).collect()
     }
 
-    fn push(&mut self, now: Ms, to: &str, id: &str) {
+    fn send_missing(&mut self, now: Ms, to: &str, id: &str) {
         self.counts.caught_up += 1;
-        self.hold(now, to, id);
+        self.send_copy(now, to, id);
     }
 
     fn compare_if_due(&mut self, now: Ms, name: &str) {
-        let Some(p) = self.peers.get_mut(name).filter(|p| p.leased_at(now)) else { return };
-        let stuck = |r: &Round| r.since + COMPARE_MOST <= now;
-        match &mut p.round {
-            // A word was lost: what is known to differ is asked for before all is compared anew.
-            Some(r) if stuck(r) && !r.wants.is_empty() => {
-                r.open = 0;
-                r.wanted.clear();
-                return self.go_on(now, name);
+        let Some(p) = self.peers.get_mut(name).filter(|p| p.has_lease(now)) else { return };
+        let stuck = |r: &Comparison| r.since + COMPARISON_TIMEOUT_MS <= now;
+        match &mut p.comparison {
+            // A peer message was lost: buckets that are known to differ are requested before everything is
+            // compared anew.
+            Some(r) if stuck(r) && !r.to_request.is_empty() => {
+                r.unanswered = 0;
+                r.requested.clear();
+                return self.request_next_buckets(now, name);
             }
             Some(r) if !stuck(r) => return,
-            None if p.round_at > now => return,
+            None if p.comparison_due > now => return,
             _ => {}
         }
-        p.round = Some(Round { since: now, open: 1, ..Round::default() });
-        p.round_at = now + COMPARE_EVERY;
-        p.table = None;
-        let hashes = self.table(now, name).and_then(|t| t.tree.children(0, 0)).unwrap_or_default();
-        self.say(name, Say::Hashes(Hashes { level: 0, at: 0, hashes }));
+        p.comparison = Some(Comparison { since: now, unanswered: 1, ..Comparison::default() });
+        p.comparison_due = now + COMPARISON_INTERVAL_MS;
+        p.digest = None;
+        let hashes = self.digest(now, name).and_then(|t| t.tree.children(0, 0)).unwrap_or_default();
+        self.send(name, Say::Hashes(Hashes { level: 0, at: 0, hashes }));
     }
 
-    fn heard_differ(&mut self, now: Ms, from: &str, d: Differ) {
-        let Some(r) = self.peers.get_mut(from).and_then(|p| p.round.as_mut()) else { return };
-        r.open = r.open.saturating_sub(1);
-        let most = FAN.pow((d.level + 1).min(DEPTH));
-        let children: Vec<u32> = d.children.into_iter().filter(|c| (*c as usize) < most).take(FAN).collect();
+    fn on_differing_children(&mut self, now: Ms, from: &str, d: DifferingChildren) {
+        let Some(r) = self.peers.get_mut(from).and_then(|p| p.comparison.as_mut()) else { return };
+        r.unanswered = r.unanswered.saturating_sub(1);
+        let most = FAN_OUT.pow((d.level + 1).min(DEPTH));
+        let children: Vec<u32> =
+            d.children.into_iter().filter(|c| (*c as usize) < most).take(FAN_OUT).collect();
         if d.level + 1 >= DEPTH {
-            r.wants.extend(children);
+            r.to_request.extend(children);
         } else {
-            r.open += children.len();
+            r.unanswered += children.len();
             for at in children {
-                let tree = self.table(now, from).map(|t| &t.tree);
+                let tree = self.digest(now, from).map(|t| &t.tree);
                 let hashes = tree.and_then(|t| t.children(d.level + 1, at as usize)).unwrap_or_default();
-                self.say(from, Say::Hashes(Hashes { level: d.level + 1, at, hashes }));
+                self.send(from, Say::Hashes(Hashes { level: d.level + 1, at, hashes }));
             }
         }
-        self.go_on(now, from);
+        self.request_next_buckets(now, from);
     }
 
-    /// The next buckets of a comparison; with none left it is over.
-    fn go_on(&mut self, now: Ms, with: &str) {
+    /// Requests the next buckets of a comparison; with none left the comparison is complete.
+    fn request_next_buckets(&mut self, now: Ms, with: &str) {
         let Some(p) = self.peers.get_mut(with) else { return };
-        let Some(r) = p.round.as_mut().filter(|r| r.wanted.is_empty()) else { return };
-        if r.wants.is_empty() {
-            if r.open == 0 {
-                p.round = None;
-                p.met = true;
+        let Some(r) = p.comparison.as_mut().filter(|r| r.requested.is_empty()) else { return };
+        if r.to_request.is_empty() {
+            if r.unanswered == 0 {
+                p.comparison = None;
+                p.compared = true;
             }
             return;
         }
-        let at: Vec<u32> = r.wants.split_off(r.wants.len().saturating_sub(WANT_MOST));
-        (r.wanted, r.since) = (at.clone(), now);
-        let have = self.entries(now, with, &at).into_iter().map(|e| e.1).take(HAVE_MOST).collect();
-        self.say(with, Say::Want(Buckets { at, have }));
+        let at: Vec<u32> = r.to_request.split_off(r.to_request.len().saturating_sub(MAX_BUCKETS_PER_REQUEST));
+        (r.requested, r.since) = (at.clone(), now);
+        let have =
+            self.entries(now, with, &at).into_iter().map(|e| e.1).take(MAX_HASHES_PER_REQUEST).collect();
+        self.send(with, Say::RequestBuckets(BucketRequest { at, have }));
     }
 }
 
 impl Peer {
-    fn leased_at(&self, now: Ms) -> bool {
-        self.leased.is_some_and(|t| now < t + LEASE)
+    fn has_lease(&self, now: Ms) -> bool {
+        self.lease_start.is_some_and(|t| now < t + LEASE_MS)
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,9 +1,12 @@
-//! Copies of what dispatchers of one installation must not lose with a folder.
+//! Replication of accepted messages among the dispatchers of one installation, so that the loss of a state
+//! folder loses no message.
 //!
-//! [`view`] says who is alive (SWIM, by foca). [`copies`] holds copies of taken messages and the rule for copies that differ.
-//! [`owner`] says who may act on a message: the one that took it, or a holder under a higher fence, and an unsafe message is
-//! started only with the grant of its arbiter. [`clock`] orders what operators set on several dispatchers. [`digest`] compares
-//! two stores by ranges. [`keeper`] is one dispatcher's part in all of it. [`wire`] is how they write to each other. Nothing here does I/O or reads a clock.
+//! [`view`] tracks which dispatchers are alive (SWIM, by foca). [`copies`] defines copies of accepted
+//! messages and how differing copies are merged. [`owner`] decides who may act on a message: the dispatcher
+//! that accepted it, or a holder under a higher fence; an at-most-once message is started only with the grant
+//! of its arbiter. [`clock`] orders the operator blocks that are set on several dispatchers. [`digest`]
+//! compares two stores by hash ranges. [`keeper`] is one dispatcher's part in all of it. [`wire`] is the wire
+//! format of the peer messages. Nothing here does I/O or reads a clock.
 #![forbid(unsafe_code)]
 
 pub mod clock;
@@ -14,5 +17,5 @@
 pub mod view;
 pub mod wire;
 
-/// Milliseconds of the wall clock, or a span.
+/// Milliseconds since 1970 by the wall clock, or a time span in milliseconds.
 pub type Ms = u64;
--- a/crates/replica/src/owner.rs
+++ b/crates/replica/src/owner.rs
@@ -1,189 +1,200 @@
-//! Who may act on a message: the rules of one dispatcher for one message, as words that come in and words that go out.
+//! Ownership rules: which dispatcher may act on a message, as the state of one dispatcher for one message and
+//! its transitions on peer messages.
 //!
-//! The one that took it owns it under its first fence. Copies lie with its holders, the first of which is its arbiter. When
-//! the view says that the owner is gone, the first that lives takes it over under a higher fence, which it writes down before
-//! anything else: first the one that took the message, then its holders in their order. The others give it their copies.
+//! The dispatcher that accepted a message owns it under its first fence. Copies are placed on its holders,
+//! the first of which is its arbiter. When the owner counts as gone by the membership view, the first live
+//! dispatcher takes the message over under a higher fence, which it records before anything else; the order
+//! of succession is the dispatcher that accepted the message, then its holders in their order. The other
+//! holders send it their copies.
 //!
-//! An unsafe message is started only with its arbiter's grant, and the arbiter grants to one fence alone: whoever else wants
-//! to start it is refused, the arbiter itself too once it has granted. So it is started once, whatever the view says and
-//! whatever is lost, doubled or late between them. Where the arbiter is gone too, or has granted already, the message is
-//! given up without a call: nobody can prove that it never went out.
+//! An at-most-once message is started only with its arbiter's grant, and the arbiter grants to one fence
+//! only: every other request is denied, and the arbiter itself does not start the message either once it has
+//! granted. The message is therefore started at most once, whatever the membership view says and whichever
+//! peer messages are lost, duplicated or late. If the arbiter is gone too, or has already granted, the
+//! message is given up without an attempt: nobody can prove that it was never sent.
 //!
-//! A safe message needs no grant; it is acted on while the owner's lease lasts. The lease runs out before anybody may count
-//! the owner as gone, so attempts of two owners do not overlap. One whose lease ran out counts nobody as gone, and whoever
-//! renews its lease tells it their copies with that, so that it does not act under a fence that has been passed.
+//! A message that may be repeated needs no grant; its owner acts on it while its lease lasts. The lease
+//! expires before any peer may count the owner as gone, so attempts of two owners do not overlap. A
+//! dispatcher whose own lease has expired counts nobody as gone, and the peers that renew its lease send it
+//! their copies first, so that it does not act under a fence that has been replaced.
 
-use crate::copies::{Copy, End, Fence, Merged, Stage};
+use crate::copies::{Copy, End, Fence, MergeOutcome, Stage};
 
-/// What a dispatcher says to another of one message.
+/// A peer message about one message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Word {
-    /// Hold this: the copy as the sender knows it.
-    Hold,
-    /// It is held.
-    Held,
-    /// May it be started under this fence?
-    Ask,
-    /// It may, under that fence and no other.
+pub enum PeerMessage {
+    /// Asks the receiver to store this copy, with the state that the sender knows.
+    Store,
+    /// Acknowledges that the copy is stored.
+    Stored,
+    /// Asks the arbiter whether the message may be started under this fence.
+    RequestGrant,
+    /// The message may be started under this fence, and under no other.
     Grant,
-    /// It may not: the fence that it belongs to is with the word.
-    Refuse,
+    /// The message may not be started; carries the fence that the message belongs to.
+    DenyGrant,
 }
 
-/// What is to be done about a message now.
+/// The next action for a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Step {
     /// Start an attempt.
     Start,
-    /// Ask the arbiter first.
-    Ask(String),
-    /// Nothing: it is another's, or it has ended.
-    Leave,
-    /// Give it its final answer without a call.
+    /// Request a grant from this arbiter first.
+    RequestGrant(String),
+    /// Nothing: another dispatcher owns the message, or it has ended.
+    NoAction,
+    /// Give the message its final answer without an attempt.
     GiveUp,
 }
 
-/// May it be repeated where it may have run?
+/// Whether a message may be repeated after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// It may.
+    /// It may be repeated.
     Safe,
-    /// It must not.
+    /// It must not be repeated (at-most-once).
     Unsafe,
 }
 
-/// Rules that can be left out on purpose, to show that the checker finds it.
+/// Rules that the model checker switches off to show that it detects their absence. A dispatcher sets none of
+/// them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub struct Holes {
-    /// The arbiter grants whatever it has granted or taken over before.
-    pub no_fence: bool,
-    /// A holder takes over while the owner's lease lasts.
-    pub hasty: bool,
-    /// Of two copies the one that was written later by the wall clock stays, whatever its stage.
-    pub last_writer: bool,
+pub struct Faults {
+    /// The arbiter grants requests regardless of its earlier grants, of higher fences and of a final answer.
+    pub skip_fencing: bool,
+    /// A holder takes over while the owner's lease is still valid.
+    pub early_takeover: bool,
+    /// The copy with the later wall clock time wins a merge, whatever its stage.
+    pub last_writer_wins: bool,
 }
 
-/// One dispatcher's part in one message.
+/// One dispatcher's copy of a message, with its part in the ownership protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Part {
-    /// Its own name.
+pub struct Replica {
+    /// The name of this dispatcher.
     pub me: String,
-    /// What it knows.
+    /// The copy as this dispatcher knows it.
     pub copy: Copy,
-    /// As the arbiter: the fence that may start it.
-    pub granted: Option<Fence>,
-    /// As the owner: the arbiter's grant has come.
+    /// At the arbiter: the fence that may start the message.
+    pub granted_fence: Option<Fence>,
+    /// At the owner: whether the arbiter's grant has arrived.
     pub has_grant: bool,
-    /// The message's kind.
+    /// Whether the message may be repeated.
     pub kind: Kind,
 }
 
-impl Part {
-    /// Its own, just taken.
-    pub fn taken(me: &str, copy: Copy, kind: Kind) -> Part {
-        Part { me: me.into(), copy, granted: None, has_grant: false, kind }
+impl Replica {
+    /// The state of this dispatcher for a message, without a grant.
+    pub fn new(me: &str, copy: Copy, kind: Kind) -> Replica {
+        Replica { me: me.into(), copy, granted_fence: None, has_grant: false, kind }
     }
 
-    /// Is it the one that may act?
-    pub fn owns(&self) -> bool {
+    /// Whether this dispatcher owns the message, and so may act on it.
+    pub fn is_owner(&self) -> bool {
         self.copy.fence.owner == self.me
     }
 
-    /// Is it the arbiter?
-    pub fn arbitrates(&self) -> bool {
+    /// Whether this dispatcher is the message's arbiter.
+    pub fn is_arbiter(&self) -> bool {
         self.copy.holders.first().is_some_and(|h| *h == self.me)
     }
 
-    /// What its owner may do about it. `lease`: the others count this dispatcher as alive for some time yet.
-    pub fn step(&self, lease: bool) -> Step {
-        if !self.owns() || matches!(self.copy.stage, Stage::Ended(_)) {
-            return Step::Leave;
+    /// What the owner may do now. `lease`: whether its peers will still count it as alive for some time.
+    pub fn next_step(&self, lease: bool) -> Step {
+        if !self.is_owner() || matches!(self.copy.stage, Stage::Ended(_)) {
+            return Step::NoAction;
         }
         match self.kind {
             Kind::Safe if lease => Step::Start,
-            Kind::Safe => Step::Leave,
-            // What has started has an outcome of its own, or none that anybody can tell.
-            Kind::Unsafe if self.copy.stage == Stage::Started => Step::Leave,
-            // Nobody else has a copy: nobody can take it over.
+            Kind::Safe => Step::NoAction,
+            // A started at-most-once message is not started again: its attempt has an outcome, or the outcome
+            // stays unknown.
+            Kind::Unsafe if self.copy.stage == Stage::Started => Step::NoAction,
+            // No other dispatcher has a copy, so none can take the message over.
             Kind::Unsafe if self.copy.holders.is_empty() => Step::Start,
-            Kind::Unsafe if self.arbitrates() => match &self.granted {
+            Kind::Unsafe if self.is_arbiter() => match &self.granted_fence {
                 Some(f) if *f != self.copy.fence => Step::GiveUp,
                 _ => Step::Start,
             },
             Kind::Unsafe if self.has_grant => Step::Start,
-            Kind::Unsafe => Step::Ask(self.copy.holders[0].clone()),
+            Kind::Unsafe => Step::RequestGrant(self.copy.holders[0].clone()),
         }
     }
 
-    /// The owner starts an attempt: written down before its first byte.
-    pub fn started(&mut self) {
-        if self.arbitrates() {
-            self.granted = Some(self.copy.fence.clone());
+    /// The owner starts an attempt; this is recorded before the first byte is sent.
+    pub fn mark_started(&mut self) {
+        if self.is_arbiter() {
+            self.granted_fence = Some(self.copy.fence.clone());
         }
         self.copy.stage = self.copy.stage.max(Stage::Started);
     }
 
-    /// It has its final answer.
-    pub fn ended(&mut self, end: End) {
+    /// The message has its final answer.
+    pub fn mark_ended(&mut self, end: End) {
         self.copy.stage = self.copy.stage.max(Stage::Ended(end));
     }
 
-    /// The view says that the owner is gone, and this one is the first holder that lives: it takes over. Returns what is to
-    /// be done then.
+    /// Takes the message over: its owner counts as gone, and this dispatcher is the first live one in the
+    /// order of succession. Returns the next action.
     pub fn take_over(&mut self) -> Step {
-        if self.owns() {
-            return Step::Leave;
+        if self.is_owner() {
+            return Step::NoAction;
         }
-        let place = self.copy.holders.iter().position(|h| *h == self.me).map_or(0, |p| p as u64 + 1);
-        let round = self.copy.holders.len() as u64 + 1;
-        // Each one has epochs of its own, so that two who take over at once never act under the same one.
-        let epoch = (self.copy.fence.epoch / round + 1) * round + place;
+        let index = self.copy.holders.iter().position(|h| *h == self.me).map_or(0, |p| p as u64 + 1);
+        let participants = self.copy.holders.len() as u64 + 1;
+        // Each dispatcher uses epochs of its own, so that two that take over at once never act under the same
+        // epoch.
+        let epoch = (self.copy.fence.epoch / participants + 1) * participants + index;
         self.copy.fence = Fence { epoch, owner: self.me.clone() };
         self.has_grant = false;
         match (self.copy.stage, self.kind) {
-            (Stage::Ended(_), _) => Step::Leave,
+            (Stage::Ended(_), _) => Step::NoAction,
             (_, Kind::Safe) => Step::Start,
-            (Stage::Taken, Kind::Unsafe) if self.arbitrates() && self.granted.is_none() => Step::Start,
+            (Stage::Taken, Kind::Unsafe) if self.is_arbiter() && self.granted_fence.is_none() => Step::Start,
             _ => Step::GiveUp,
         }
     }
 
-    /// Asked as the arbiter whether that fence may start it: the word to answer. What is granted is written down first.
-    pub fn asked(&mut self, fence: &Fence, holes: Holes) -> Word {
+    /// Processes a grant request as the arbiter and returns the answer. A grant is recorded before it is
+    /// sent.
+    pub fn on_grant_request(&mut self, fence: &Fence, faults: Faults) -> PeerMessage {
         let free = *fence >= self.copy.fence
-            && self.granted.as_ref().is_none_or(|g| g == fence)
+            && self.granted_fence.as_ref().is_none_or(|g| g == fence)
             && !matches!(self.copy.stage, Stage::Ended(_));
-        if !(holes.no_fence || free && self.arbitrates()) {
-            return Word::Refuse;
+        if !(faults.skip_fencing || free && self.is_arbiter()) {
+            return PeerMessage::DenyGrant;
         }
-        // Not yet a start: the owner itself says so when it begins.
-        self.granted = Some(fence.clone());
-        Word::Grant
+        // The grant is no start: the owner itself reports the start of the attempt.
+        self.granted_fence = Some(fence.clone());
+        PeerMessage::Grant
     }
 
-    /// The arbiter's grant for this fence has come.
-    pub fn heard_grant(&mut self, fence: &Fence) {
-        self.has_grant |= *fence == self.copy.fence && self.owns();
+    /// The arbiter's grant for this fence has arrived.
+    pub fn on_grant(&mut self, fence: &Fence) {
+        self.has_grant |= *fence == self.copy.fence && self.is_owner();
     }
 
-    /// A refusal, with the fence that the message belongs to: an owner whose own is lower stops; one whose fence is the
-    /// highest gives the message up, for the arbiter has granted it to another before.
-    pub fn heard_refusal(&mut self, fence: &Fence) -> Step {
+    /// A denial has arrived, with the fence that the message belongs to. An owner with a lower fence stops.
+    /// An owner with the highest fence gives the message up, because the arbiter granted it to another one
+    /// before.
+    pub fn on_grant_denied(&mut self, fence: &Fence) -> Step {
         if *fence > self.copy.fence {
             self.copy.fence = fence.clone();
             self.has_grant = false;
-            return Step::Leave;
+            return Step::NoAction;
         }
         Step::GiveUp
     }
 
-    /// Another's copy has come. `later`: it was written later by the wall clock, which only a hole heeds.
-    pub fn heard(&mut self, copy: &Copy, later: bool, holes: Holes) -> Merged {
-        if holes.last_writer {
+    /// Merges another dispatcher's copy. `later`: it was written later by the wall clock, which counts only
+    /// with the fault [`Faults::last_writer_wins`].
+    pub fn merge(&mut self, copy: &Copy, later: bool, faults: Faults) -> MergeOutcome {
+        if faults.last_writer_wins {
             if later {
                 (self.copy.stage, self.copy.fence) = (copy.stage, copy.fence.clone());
             }
-            return Merged::Newer;
+            return MergeOutcome::Advanced;
         }
         let was = self.copy.fence.clone();
         let merged = self.copy.merge(copy);
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -1,8 +1,9 @@
-//! Who of the installation is alive, suspect or gone: SWIM, by foca.
+//! The membership of the installation: which dispatchers are alive, suspect or gone, by SWIM with foca.
 //!
-//! foca keeps the protocol free of I/O; this module gives it a clock, collects what it wants sent and timed, and turns its
-//! notifications into [`Change`]s. A dispatcher that starts again keeps its name and comes with a higher life, which wins over
-//! what is known of the old one; one that was declared gone while it lived comes again with the next.
+//! foca implements the protocol without I/O. This module passes it the time, collects the packets and timers
+//! that it requests, and turns its notifications into [`MembershipChange`]s. A restarted dispatcher keeps its
+//! name and comes with a higher incarnation, which replaces what is known of the earlier one. A dispatcher
+//! that was declared gone while it was running rejoins under the next incarnation.
 
 use crate::Ms;
 use foca::{Config, Foca, Identity, NoCustomBroadcast, Notification, PostcardCodec, Runtime, State, Timer};
@@ -12,27 +13,28 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A member is asked whether it lives once in this span,
+/// Interval in which one member is probed.
 const PROBE_PERIOD: Duration = Duration::from_millis(600);
-/// and answers within this, directly; else others ask it.
-const PROBE_RTT: Duration = Duration::from_millis(300);
-/// Others that ask in one's place.
-const INDIRECT: usize = 3;
-/// So long a suspicion stands before the member counts as gone: one slowed by half a second refutes it in time.
+/// A direct probe is answered within this time; otherwise other members probe the member indirectly.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of members that probe a silent member indirectly.
+const INDIRECT_PROBES: usize = 3;
+/// How long a suspicion stands before the member counts as gone. A member slowed by half a second refutes it
+/// in time.
 pub const SUSPECT_FOR: Duration = Duration::from_millis(2_500);
-/// A packet's bytes at most.
-const PACKET_MOST: usize = 1_400;
-/// A peer that is gone is forgotten after this; it may come back under its name at any time.
+/// Size limit of a packet, in bytes.
+const MAX_PACKET_BYTES: usize = 1_400;
+/// A gone peer is forgotten after this time; it may rejoin under its name at any time.
 const FORGET_AFTER: Duration = Duration::from_secs(3_600);
 
-/// A dispatcher, as the others know it.
+/// A dispatcher as its peers know it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node {
     /// Its name.
     pub name: String,
-    /// Where the others reach it.
+    /// The address at which its peers reach it.
     pub address: String,
-    /// Which of its lives: the higher one wins.
+    /// Its incarnation; the higher one wins.
     pub life: u64,
 }
 
@@ -52,44 +54,44 @@
     }
 }
 
-/// A change of the view.
+/// A change of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    /// It is there.
+pub enum MembershipChange {
+    /// The member is alive.
     Up(Node),
-    /// It is gone.
+    /// The member is gone.
     Gone(Node),
-    /// It has come back in another life before it counted as gone.
-    Anew(Node),
-    /// The others took this one for gone; it is back under its next life.
-    Declared(Node),
+    /// The member restarted before it counted as gone.
+    Restarted(Node),
+    /// The peers had declared this dispatcher gone; it rejoined under its next incarnation.
+    Rejoined(Node),
 }
 
-/// How a member stands.
+/// The state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// It answers.
+pub enum MemberState {
+    /// It answers probes.
     Alive,
-    /// It does not, and has not refuted it yet.
+    /// It does not answer, and has not refuted the suspicion yet.
     Suspect,
     /// It counts as gone.
     Gone,
 }
 
 #[derive(Debug, Default)]
-struct Collected {
+struct FocaRuntime {
     sends: Vec<(Node, Vec<u8>)>,
     timers: Vec<(Timer<Node>, Duration)>,
-    changes: Vec<Change>,
+    changes: Vec<MembershipChange>,
 }
 
-impl Runtime<Node> for Collected {
+impl Runtime<Node> for FocaRuntime {
     fn notify(&mut self, notification: Notification<'_, Node>) {
         self.changes.extend(match notification {
-            Notification::MemberUp(n) => Some(Change::Up(n.clone())),
-            Notification::MemberDown(n) => Some(Change::Gone(n.clone())),
-            Notification::Rename(_, n) => Some(Change::Anew(n.clone())),
-            Notification::Rejoin(n) => Some(Change::Declared(n.clone())),
+            Notification::MemberUp(n) => Some(MembershipChange::Up(n.clone())),
+            Notification::MemberDown(n) => Some(MembershipChange::Gone(n.clone())),
+            Notification::Rename(_, n) => Some(MembershipChange::Restarted(n.clone())),
+            Notification::Rejoin(n) => Some(MembershipChange::Rejoined(n.clone())),
             _ => None,
         });
     }
@@ -103,64 +105,65 @@
     }
 }
 
-/// What is to be done after something came or was due.
+/// What a call to [`Membership`] produced.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Todo {
-    /// Packets to send: to whom, and what.
+pub struct Output {
+    /// Packets to send, each with its recipient.
     pub sends: Vec<(Node, Vec<u8>)>,
-    /// What has changed.
-    pub changes: Vec<Change>,
+    /// Changes of the membership.
+    pub changes: Vec<MembershipChange>,
 }
 
-/// One dispatcher's view.
-pub struct View {
+/// The membership as one dispatcher sees it.
+pub struct Membership {
     me: Node,
     foca: Foca<Node, PostcardCodec, StdRng, NoCustomBroadcast>,
     timers: Vec<(Ms, Timer<Node>)>,
     seeds: Vec<Node>,
     announce_at: Ms,
-    /// Packets that could not be read.
-    pub nonsense: u64,
+    /// Packets that could not be decoded.
+    pub undecodable: u64,
 }
 
-/// While nobody is known the seeds are asked this often.
-const ANNOUNCE_EVERY: Ms = 500;
+/// Interval at which seeds that are not members yet are contacted.
+const ANNOUNCE_INTERVAL_MS: Ms = 500;
 
-impl View {
-    /// A view that knows nobody yet; `seeds` are asked for the others.
-    pub fn new(now: Ms, me: Node, seeds: Vec<Node>, seed: u64) -> View {
+impl Membership {
+    /// A membership that knows no other dispatcher yet; `seeds` are asked for the other members.
+    pub fn new(now: Ms, me: Node, seeds: Vec<Node>, seed: u64) -> Membership {
         let config = Config {
             probe_period: PROBE_PERIOD,
-            probe_rtt: PROBE_RTT,
-            num_indirect_probes: NonZeroUsize::new(INDIRECT).unwrap_or(NonZeroUsize::MIN),
+            probe_rtt: PROBE_TIMEOUT,
+            num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: SUSPECT_FOR,
             remove_down_after: Some(FORGET_AFTER),
-            max_packet_size: NonZeroUsize::new(PACKET_MOST).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             ..Config::simple()
         };
         let foca = Foca::new(me.clone(), config, StdRng::seed_from_u64(seed), PostcardCodec);
         let seeds = seeds.into_iter().filter(|n| n.name != me.name).collect();
-        View { me, foca, timers: Vec::new(), seeds, announce_at: now, nonsense: 0 }
+        Membership { me, foca, timers: Vec::new(), seeds, announce_at: now, undecodable: 0 }
     }
 
-    /// This dispatcher, in its life as the others know it.
+    /// This dispatcher, with its incarnation as the peers know it.
     pub fn me(&self) -> &Node {
         &self.me
     }
 
-    /// When [`View::tick`] has something to do.
+    /// When [`Membership::tick`] has work to do.
     pub fn next_due(&self) -> Ms {
         let timers = self.timers.iter().map(|t| t.0).min();
         timers.map_or(self.announce_at, |t| t.min(self.announce_at))
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Ms) -> Todo {
-        let mut all = Collected::default();
+    /// Fires the timers that are due and contacts missing seeds.
+    pub fn tick(&mut self, now: Ms) -> Output {
+        let mut all = FocaRuntime::default();
         let due: Vec<Timer<Node>> = {
-            // In the order of foca's own: probes before what ends them.
+            // Ordered by due time, then by foca's own order of timers: probes come before the timers that end
+            // them.
             let mut due: Vec<(Ms, Timer<Node>)> = Vec::new();
             let mut at = 0;
             while at < self.timers.len() {
@@ -175,65 +178,65 @@
         };
         for timer in due {
             if let Err(e) = self.foca.handle_timer(timer, &mut all) {
-                // A timer that comes late may find its round over.
+                // A late timer may belong to a probe round that is over.
                 let _ = e;
             }
         }
         if now >= self.announce_at {
-            self.announce_at = now + ANNOUNCE_EVERY;
+            self.announce_at = now + ANNOUNCE_INTERVAL_MS;
             let known: Vec<String> = self.foca.iter_members().map(|m| m.id().name.clone()).collect();
             let missing = self.seeds.iter().filter(|s| !known.contains(&s.name)).cloned();
             for seed in missing.collect::<Vec<_>>() {
                 let _ = self.foca.announce(seed, &mut all);
             }
         }
-        self.done(now, all)
+        self.finish(now, all)
     }
 
-    /// A packet came.
-    pub fn heard(&mut self, now: Ms, packet: &[u8]) -> Todo {
-        let mut all = Collected::default();
+    /// Processes a packet.
+    pub fn receive(&mut self, now: Ms, packet: &[u8]) -> Output {
+        let mut all = FocaRuntime::default();
         if self.foca.handle_data(packet, &mut all).is_err() {
-            self.nonsense += 1;
+            self.undecodable += 1;
         }
-        self.done(now, all)
+        self.finish(now, all)
     }
 
-    /// This one leaves: the others hear so at once and need not suspect it first.
-    pub fn leave(&mut self, now: Ms) -> Todo {
-        let mut all = Collected::default();
+    /// Leaves the installation: the peers learn of it at once, without suspecting this dispatcher first.
+    pub fn leave(&mut self, now: Ms) -> Output {
+        let mut all = FocaRuntime::default();
         let _ = self.foca.leave_cluster(&mut all);
-        self.done(now, all)
+        self.finish(now, all)
     }
 
-    fn done(&mut self, now: Ms, all: Collected) -> Todo {
+    fn finish(&mut self, now: Ms, all: FocaRuntime) -> Output {
         self.timers.extend(all.timers.into_iter().map(|(t, after)| (now + after.as_millis() as Ms, t)));
         for change in &all.changes {
-            if let Change::Declared(n) = change {
+            if let MembershipChange::Rejoined(n) = change {
                 self.me = n.clone();
             }
         }
-        Todo { sends: all.sends, changes: all.changes }
+        Output { sends: all.sends, changes: all.changes }
     }
 
-    /// All members but this one, with how they stand, by name.
-    pub fn members(&self) -> Vec<(Node, Standing)> {
-        let standing = |s: State| match s {
-            State::Alive => Standing::Alive,
-            State::Suspect => Standing::Suspect,
-            State::Down => Standing::Gone,
+    /// All members but this dispatcher, with their states, ordered by name.
+    pub fn members(&self) -> Vec<(Node, MemberState)> {
+        let member_state = |s: State| match s {
+            State::Alive => MemberState::Alive,
+            State::Suspect => MemberState::Suspect,
+            State::Down => MemberState::Gone,
         };
-        let mut all: Vec<(Node, Standing)> = self
+        let mut all: Vec<(Node, MemberState)> = self
             .foca
             .iter_membership_state()
-            .map(|m| (m.id().clone(), standing(m.state())))
+            .map(|m| (m.id().clone(), member_state(m.state())))
             .filter(|(n, _)| n.name != self.me.name)
             .collect();
         all.sort();
         all
     }
 
-    /// The names of all that do not count as gone, this one too.
+    /// The names of all members that do not count as gone, including this dispatcher.
     pub fn alive(&self) -> Vec<String> {
         let mut names: Vec<String> = self.foca.iter_members().map(|m| m.id().name.clone()).collect();
         names.push(self.me.name.clone());
@@ -243,14 +246,14 @@
     }
 }
 
-impl PartialOrd for Standing {
-    fn partial_cmp(&self, other: &Standing) -> Option<std::cmp::Ordering> {
+impl PartialOrd for MemberState {
+    fn partial_cmp(&self, other: &MemberState) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Standing {
-    fn cmp(&self, other: &Standing) -> std::cmp::Ordering {
+impl Ord for MemberState {
+    fn cmp(&self, other: &MemberState) -> std::cmp::Ordering {
         (*self as u8).cmp(&(*other as u8))
     }
 }
@@ -260,12 +263,12 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    /// Five views and a network with a delay of each pair, or none.
+    /// Membership views joined by a network with a delay for each pair, or no connection.
     struct Net {
-        views: BTreeMap<String, View>,
+        views: BTreeMap<String, Membership>,
         packets: Vec<(Ms, String, String, Vec<u8>)>,
         delay: BTreeMap<(String, String), Option<Ms>>,
-        changes: Vec<(Ms, String, Change)>,
+        changes: Vec<(Ms, String, MembershipChange)>,
     }
 
     fn node(name: &str, life: u64) -> Node {
@@ -275,20 +278,21 @@
     impl Net {
         fn of(names: &[&str]) -> Net {
             let seeds: Vec<Node> = names[..2].iter().map(|n| node(n, 0)).collect();
-            let view =
-                |(k, n): (usize, &&str)| (n.to_string(), View::new(0, node(n, 1), seeds.clone(), k as u64));
+            let view = |(k, n): (usize, &&str)| {
+                (n.to_string(), Membership::new(0, node(n, 1), seeds.clone(), k as u64))
+            };
             let views = names.iter().enumerate().map(view).collect();
             Net { views, packets: Vec::new(), delay: BTreeMap::new(), changes: Vec::new() }
         }
 
-        fn todo(&mut self, now: Ms, from: &str, todo: Todo) {
-            for (to, packet) in todo.sends {
+        fn apply(&mut self, now: Ms, from: &str, output: Output) {
+            for (to, packet) in output.sends {
                 let key = (from.to_string(), to.name.clone());
                 if let Some(delay) = self.delay.get(&key).copied().unwrap_or(Some(1)) {
                     self.packets.push((now + delay, key.0, key.1, packet));
                 }
             }
-            self.changes.extend(todo.changes.into_iter().map(|c| (now, from.to_string(), c)));
+            self.changes.extend(output.changes.into_iter().map(|c| (now, from.to_string(), c)));
         }
 
         fn run(&mut self, from: Ms, until: Ms) {
@@ -296,49 +300,53 @@
                 let (due, later): (Vec<_>, Vec<_>) = self.packets.drain(..).partition(|p| p.0 <= now);
                 self.packets = later;
                 for (_, _, to, packet) in due {
-                    if let Some(todo) = self.views.get_mut(&to).map(|v| v.heard(now, &packet)) {
-                        self.todo(now, &to, todo);
+                    if let Some(output) = self.views.get_mut(&to).map(|v| v.receive(now, &packet)) {
+                        self.apply(now, &to, output);
                     }
                 }
                 for name in self.views.keys().cloned().collect::<Vec<_>>() {
                     if self.views[&name].next_due() <= now {
-                        let todo = self.views.get_mut(&name).map(|v| v.tick(now)).unwrap_or_default();
-                        self.todo(now, &name, todo);
+                        let output = self.views.get_mut(&name).map(|v| v.tick(now)).unwrap_or_default();
+                        self.apply(now, &name, output);
                     }
                 }
             }
         }
 
         fn gone(&self, name: &str) -> usize {
-            self.changes.iter().filter(|c| matches!(&c.2, Change::Gone(n) if n.name == name)).count()
+            self.changes
+                .iter()
+                .filter(|c| matches!(&c.2, MembershipChange::Gone(n) if n.name == name))
+                .count()
         }
     }
 
     const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-    /// Guards against a view that never meets, that misses a death, or that takes an old life for the new one.
+    /// Guards against members that never find each other, a crash that is not detected, and an old
+    /// incarnation that is taken for the new one.
     #[test]
-    fn all_meet_by_the_seeds_and_a_death_is_seen_by_all_and_a_return_too() {
+    fn members_meet_through_the_seeds_and_all_detect_a_crash_and_a_restart() {
         let mut net = Net::of(&NAMES);
         net.run(0, 3_000);
         NAMES.iter().for_each(|n| assert_eq!(net.views[*n].alive(), NAMES, "{n}"));
         net.views.remove("e");
         net.run(3_000, 16_000);
-        assert_eq!(net.gone("e"), 4, "each of the others saw it");
+        assert_eq!(net.gone("e"), 4, "each of the others detected the crash");
         assert_eq!(net.views["a"].alive(), ["a", "b", "c", "d"]);
         let seeds = vec![node("a", 0), node("b", 0)];
-        net.views.insert("e".into(), View::new(16_000, node("e", 2), seeds, 9));
+        net.views.insert("e".into(), Membership::new(16_000, node("e", 2), seeds, 9));
         net.run(16_000, 20_000);
         NAMES.iter().for_each(|n| assert_eq!(net.views[*n].alive(), NAMES, "{n}"));
         assert!(net.views["c"]
             .members()
             .iter()
-            .any(|(n, s)| n.name == "e" && n.life == 2 && *s == Standing::Alive));
+            .any(|(n, s)| n.name == "e" && n.life == 2 && *s == MemberState::Alive));
     }
 
-    /// Guards against a slow peer that counts as gone, and one that is away that does not.
+    /// Guards against a slow peer that counts as gone, and against a disconnected one that does not.
     #[test]
-    fn one_slowed_by_half_a_second_is_not_gone_and_one_cut_off_is_and_comes_back() {
+    fn a_peer_slowed_by_half_a_second_is_not_gone_and_a_disconnected_one_is_and_rejoins() {
         let mut net = Net::of(&NAMES);
         net.run(0, 3_000);
         for other in &NAMES[..4] {
@@ -354,17 +362,17 @@
         net.run(46_000, 56_000);
         NAMES.iter().for_each(|n| assert_eq!(net.views[*n].alive(), NAMES, "{n}"));
         assert!(
-            net.changes.iter().any(|c| matches!(&c.2, Change::Declared(n) if n.name == "e")),
-            "under its next life"
+            net.changes.iter().any(|c| matches!(&c.2, MembershipChange::Rejoined(n) if n.name == "e")),
+            "it rejoins under its next incarnation"
         );
     }
 
     #[test]
-    fn nonsense_is_counted_and_changes_nothing() {
-        let mut v = View::new(0, node("a", 1), vec![], 1);
+    fn undecodable_packets_are_counted_and_change_nothing() {
+        let mut v = Membership::new(0, node("a", 1), vec![], 1);
         for packet in [&b""[..], b"\0", &[0xff; 2_000], b"hello, hello, hello"] {
-            v.heard(1, packet);
+            v.receive(1, packet);
         }
-        assert_eq!((v.nonsense, v.alive()), (4, vec!["a".to_string()]));
+        assert_eq!((v.undecodable, v.alive()), (4, vec!["a".to_string()]));
     }
 }
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -1,18 +1,19 @@
-//! How dispatchers write to each other about copies: protobuf by prost, in frames with a checksum.
+//! The wire format of peer messages about copies: protobuf by prost, in frames with a checksum.
 //!
-//! A frame is four bytes of length, four of crc32c over the body, and the body, an [`Envelope`]. One whose length is beyond
-//! the bound, whose checksum is wrong, whose version is not spoken or that comes from another installation is refused, and
-//! its connection is closed: what stands behind it cannot be trusted to be a frame.
+//! A frame consists of four bytes of length, four bytes of crc32c over the body, and the body, an
+//! [`Envelope`]. A frame is rejected if its length exceeds the limit, its checksum is wrong, its version is
+//! not supported, or it comes from another installation. Its connection is then closed, because the bytes
+//! after it cannot be trusted to be a frame.
 
 use crate::copies::{Content, Copy, End, Fence, Stage};
 use prost::Message as _;
 
-/// The version that is spoken here.
+/// The supported protocol version.
 pub const VERSION: u32 = 1;
-/// Bytes of a frame's body at most.
+/// Size limit of a frame's body, in bytes.
 pub const FRAME_MOST: usize = 1 << 20;
 
-/// A copy.
+/// A copy of a message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireCopy {
     /// See [`Copy::id`].
@@ -27,22 +28,22 @@
     /// The fence's owner.
     #[prost(string, tag = "4")]
     pub owner: String,
-    /// 0 taken, 1 started, 2 handed back, 3 given up, 4 delivered.
+    /// 0 taken, 1 started, 2 returned, 3 given up, 4 delivered.
     #[prost(uint32, tag = "5")]
     pub stage: u32,
-    /// The wait that was told, of one handed back.
+    /// The delay before the client may submit a returned message again, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub wait: u64,
     /// See [`Content`].
     #[prost(string, tag = "7")]
     pub client: String,
-    /// Its class.
+    /// The class of the message.
     #[prost(string, tag = "8")]
     pub class: String,
-    /// Its tenant.
+    /// The tenant of the message.
     #[prost(string, tag = "9")]
     pub tenant: String,
-    /// Its key.
+    /// Its ordering key.
     #[prost(uint64, optional, tag = "10")]
     pub key: Option<u64>,
     /// Its idempotency key.
@@ -51,22 +52,22 @@
     /// Its destination.
     #[prost(uint64, tag = "12")]
     pub dest: u64,
-    /// Until when it is valid.
+    /// The remaining time until its deadline, in milliseconds. [`WireCopy::from`] copies the absolute time.
     #[prost(uint64, tag = "13")]
     pub valid_until: u64,
-    /// Its number.
+    /// Its sequence number.
     #[prost(uint64, tag = "14")]
     pub no: u64,
-    /// Where its answer goes.
+    /// Where to send its final answer.
     #[prost(bytes = "vec", tag = "15")]
     pub reply: Vec<u8>,
-    /// The body.
+    /// The message body.
     #[prost(bytes = "vec", tag = "16")]
     pub body: Vec<u8>,
-    /// Who took it on.
+    /// The dispatcher that accepted it.
     #[prost(string, tag = "17")]
     pub taker: String,
-    /// It must not run twice.
+    /// Whether it must not run twice (at-most-once).
     #[prost(bool, tag = "18")]
     pub once: bool,
     /// See [`Content::arbiter_born`].
@@ -74,218 +75,218 @@
     pub arbiter_born: u64,
 }
 
-/// What is said. The number of each is its place on the wire.
+/// The payload of a peer message.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Say {
     /// A packet of the membership protocol.
     #[prost(bytes, tag = "10")]
     Swim(Vec<u8>),
-    /// Hold this, or take in what has changed of it.
+    /// Asks the receiver to store a copy, or to merge the changes of one.
     #[prost(message, tag = "11")]
-    Hold(WireCopy),
-    /// It is held as it was said.
+    Store(WireCopy),
+    /// Acknowledges a stored copy with its state.
     #[prost(message, tag = "12")]
-    Held(HeldAt),
-    /// May it be started under the copy's fence?
+    Stored(CopyAck),
+    /// Asks the arbiter whether the message may be started under the copy's fence.
     #[prost(message, tag = "13")]
-    Ask(WireCopy),
-    /// It may, under the copy's fence.
+    RequestGrant(WireCopy),
+    /// The message may be started under the copy's fence.
     #[prost(message, tag = "14")]
     Grant(WireCopy),
-    /// It may not; the copy has the fence that it belongs to.
+    /// The message may not be started; the copy has the fence that the message belongs to.
     #[prost(message, tag = "15")]
-    Refuse(WireCopy),
-    /// Hashes of a node's children.
+    DenyGrant(WireCopy),
+    /// Hashes of the children of a digest node.
     #[prost(message, tag = "16")]
     Hashes(Hashes),
-    /// Send what you hold in these buckets.
+    /// Requests the copies in these buckets.
     #[prost(message, tag = "17")]
-    Want(Buckets),
-    /// An endpoint was set down or up.
+    RequestBuckets(BucketRequest),
+    /// An operator block was set or lifted.
     #[prost(message, tag = "18")]
-    Ban(Ban),
-    /// The writer is there.
+    OperatorBlock(OperatorBlock),
+    /// A heartbeat.
     #[prost(message, tag = "19")]
-    Beat(Beat),
-    /// That was heard.
+    Heartbeat(Heartbeat),
+    /// The answer to a heartbeat, with the heartbeat's time.
     #[prost(uint64, tag = "20")]
-    Beaten(u64),
-    /// Children of a node that differ from the hashes that were said.
+    HeartbeatAck(u64),
+    /// The children of a node that differ from the received hashes.
     #[prost(message, tag = "21")]
-    Differ(Differ),
-    /// What was asked for is sent.
+    DifferingChildren(DifferingChildren),
+    /// The requested buckets have been sent.
     #[prost(message, tag = "22")]
-    Done(Done),
-    /// What is known of the message of this id?
+    BucketsSent(BucketsSent),
+    /// Asks what the receiver knows about the message with this id.
     #[prost(string, tag = "23")]
     Query(String),
-    /// This, without a body; a copy without an owner: nothing.
+    /// The answer to a query: a copy without its body, or one without an owner if the message is unknown.
     #[prost(message, tag = "24")]
-    Known(WireCopy),
-    /// What was learnt of a member.
+    QueryAnswer(WireCopy),
+    /// Health data of a destination.
     #[prost(message, tag = "25")]
     Health(Health),
 }
 
-/// The word that its writer is there.
+/// A heartbeat.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Beat {
-    /// When it was said, by its writer's clock.
+pub struct Heartbeat {
+    /// When it was sent, by the sender's clock.
     #[prost(uint64, tag = "1")]
     pub at: u64,
-    /// Messages of its own that have no final answer yet.
+    /// The sender's own messages without a final answer.
     #[prost(uint64, tag = "2")]
     pub open: u64,
 }
 
-/// What its writer has learnt of a member.
+/// Health data of a destination, as the sender knows it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Health {
-    /// The member.
+    /// The name of the destination.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Calls a second that it answered of late.
+    /// Messages per second that it answered recently.
     #[prost(double, tag = "2")]
     pub rate: f64,
-    /// For how many milliseconds it has been away, if it is.
+    /// For how many milliseconds it has been unavailable, if it is.
     #[prost(uint64, optional, tag = "3")]
     pub away: Option<u64>,
-    /// How old that evidence is, in milliseconds.
+    /// The age of this data in milliseconds.
     #[prost(uint64, tag = "4")]
     pub age: u64,
 }
 
-/// A copy is held at this fence and stage.
+/// Acknowledges a stored copy.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct HeldAt {
-    /// The message.
+pub struct CopyAck {
+    /// The message id.
     #[prost(string, tag = "1")]
     pub id: String,
     /// The fence's epoch.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// The stage's number.
+    /// The number of the stage.
     #[prost(uint32, tag = "3")]
     pub stage: u32,
 }
 
-/// Which children of a node differ.
+/// The children of a digest node that differ.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Differ {
+pub struct DifferingChildren {
     /// The node's level.
     #[prost(uint32, tag = "1")]
     pub level: u32,
-    /// The children, counted over their level.
+    /// The children, by their index within their level.
     #[prost(uint32, repeated, tag = "2")]
     pub children: Vec<u32>,
 }
 
-/// Hashes of the children of a node of the digest.
+/// Hashes of the children of a digest node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hashes {
     /// The node's level; 0 is the root.
     #[prost(uint32, tag = "1")]
     pub level: u32,
-    /// Which node of the level.
+    /// The node's index within its level.
     #[prost(uint32, tag = "2")]
     pub at: u32,
-    /// Its children's hashes.
+    /// The children's hashes.
     #[prost(fixed64, repeated, tag = "3")]
     pub hashes: Vec<u64>,
 }
 
-/// Buckets of the digest.
+/// Requests copies in buckets of the digest.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Buckets {
-    /// Their numbers.
+pub struct BucketRequest {
+    /// The bucket numbers.
     #[prost(uint32, repeated, tag = "1")]
     pub at: Vec<u32>,
-    /// Hashes of the entries that are there already.
+    /// Hashes of the entries that the sender already has.
     #[prost(fixed64, repeated, tag = "2")]
     pub have: Vec<u64>,
 }
 
-/// What was asked for is sent.
+/// The requested buckets have been sent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Done {
-    /// How many buckets.
+pub struct BucketsSent {
+    /// The number of buckets.
     #[prost(uint32, tag = "1")]
     pub count: u32,
-    /// Of the hashes that came with the question, those whose entries are wanted in turn.
+    /// Hashes from the request whose entries the sender lacks and requests in turn.
     #[prost(fixed64, repeated, tag = "2")]
     pub lacks: Vec<u64>,
 }
 
-/// An operator's wish.
+/// An operator block of an endpoint.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ban {
-    /// The endpoint.
+pub struct OperatorBlock {
+    /// The endpoint's id.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// It is out.
+    /// Whether the endpoint is blocked (set down).
     #[prost(bool, tag = "2")]
     pub down: bool,
-    /// The wish's stamp: wall clock,
+    /// The wall clock time of the timestamp, see [`crate::clock::Timestamp`].
     #[prost(uint64, tag = "3")]
     pub wall: u64,
-    /// count,
+    /// The counter of the timestamp.
     #[prost(uint32, tag = "4")]
     pub count: u32,
-    /// and writer.
+    /// The writer of the timestamp.
     #[prost(string, tag = "5")]
     pub writer: String,
 }
 
-/// A frame's body.
+/// The body of a frame.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
-    /// The version that its writer speaks.
+    /// The protocol version of the sender.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The installation that it belongs to.
+    /// The installation of the sender.
     #[prost(string, tag = "2")]
     pub installation: String,
-    /// Who says it.
+    /// The name of the sender.
     #[prost(string, tag = "3")]
     pub from: String,
-    /// In which of its lives.
+    /// The number that identifies the sender's incarnation, see [`crate::keeper::Spec::born`].
     #[prost(uint64, tag = "4")]
     pub life: u64,
-    /// What.
+    /// The payload.
     #[prost(oneof = "Say", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
-    pub say: Option<Say>,
+    pub payload: Option<Say>,
 }
 
-/// Why a frame is refused.
+/// Why a frame is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// Its length is beyond [`FRAME_MOST`].
+    /// Its length exceeds [`FRAME_MOST`].
     TooLong,
     /// Its checksum is wrong.
     Damaged,
-    /// Its body does not read.
+    /// Its body cannot be decoded.
     Unreadable,
-    /// Its version is not spoken here.
+    /// Its protocol version is not supported.
     Version,
-    /// It is from another installation.
+    /// It comes from another installation.
     Foreign,
 }
 
 impl Refused {
-    /// For the log.
+    /// The reason as text for the log.
     pub fn text(self) -> &'static str {
         match self {
-            Refused::TooLong => "its frame is too long",
-            Refused::Damaged => "its frame is damaged",
-            Refused::Unreadable => "its frame does not read",
-            Refused::Version => "it speaks another version",
-            Refused::Foreign => "it is of another installation",
+            Refused::TooLong => "frame exceeds the size limit",
+            Refused::Damaged => "frame checksum mismatch",
+            Refused::Unreadable => "frame body cannot be decoded",
+            Refused::Version => "unsupported protocol version",
+            Refused::Foreign => "frame belongs to another installation",
         }
     }
 }
 
 impl Envelope {
-    /// The frame's bytes.
+    /// Encodes the envelope as a frame.
     pub fn frame(&self) -> Vec<u8> {
         let body = self.encode_to_vec();
         let mut bytes = Vec::with_capacity(body.len() + 8);
@@ -296,23 +297,23 @@
     }
 }
 
-/// Takes bytes as they come and gives envelopes.
+/// Splits received bytes into frames and decodes their envelopes.
 #[derive(Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
 }
 
 impl Frames {
-    /// More bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next envelope of this installation, if it is whole.
+    /// The next envelope, if a whole frame has arrived.
     ///
     /// # Errors
     ///
-    /// Why the frame is refused; nothing more is to be read of the connection.
+    /// The reason to reject a frame; the connection must then be closed.
     pub fn take(&mut self, installation: &str) -> Result<Option<Envelope>, Refused> {
         let Some((head, rest)) = self.bytes.split_at_checked(8) else { return Ok(None) };
         let number = |b: &[u8]| b.iter().rev().fold(0u32, |n, x| n << 8 | u32::from(*x));
@@ -336,7 +337,7 @@
     }
 }
 
-/// A stage's number on the wire, and the wait of one handed back.
+/// A stage's number on the wire, and the delay of a returned message in milliseconds.
 pub fn stage_number(stage: Stage) -> (u32, u64) {
     match stage {
         Stage::Taken => (0, 0),
@@ -376,7 +377,7 @@
 }
 
 impl WireCopy {
-    /// The copy; None where its stage is none.
+    /// Decodes the copy; `None` if its stage or id is invalid.
     pub fn read(self) -> Option<Copy> {
         let stage = match self.stage {
             0 => Stage::Taken,
--- a/crates/replica/tests/copies.rs
+++ b/crates/replica/tests/copies.rs
@@ -1,7 +1,7 @@
-//! The rule for copies that differ, the digest and the wire.
+//! The merge of differing copies, the digest and the wire format.
 
-use lilacbank_replica::copies::{Content, Copy, End, Fence, Merged, Stage};
-use lilacbank_replica::digest::{Tree, BUCKETS, DEPTH};
+use lilacbank_replica::copies::{Content, Copy, End, Fence, MergeOutcome, Stage};
+use lilacbank_replica::digest::{HashTree, BUCKETS, DEPTH};
 use lilacbank_replica::wire::{Envelope, Frames, Refused, Say, WireCopy, FRAME_MOST, VERSION};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -28,20 +28,20 @@
 }
 
 proptest! {
-    /// Guards against copies that end up different by the order in which they met.
+    /// Guards against copies that diverge because they were merged in a different order.
     #[test]
-    fn a_merge_is_a_join(a in copies(), b in copies(), c in copies()) {
+    fn merging_copies_is_a_join(a in copies(), b in copies(), c in copies()) {
         let join = |x: &Copy, y: &Copy| { let mut z = x.clone(); z.merge(y); z };
         prop_assert_eq!(join(&a, &b), join(&b, &a));
         prop_assert_eq!(join(&join(&a, &b), &c), join(&a, &join(&b, &c)));
         prop_assert_eq!(join(&a, &a), a.clone());
         let both = join(&a, &b);
-        prop_assert!(both.stage >= a.stage && both.fence >= a.fence, "forward only");
+        prop_assert!(both.stage >= a.stage && both.fence >= a.fence, "stage and fence only advance");
     }
 
-    /// Guards against a peer's nonsense that crashes, or is taken for a word.
+    /// Guards against invalid bytes that cause a panic or are taken for a peer message.
     #[test]
-    fn bytes_of_any_kind_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut frames = Frames::default();
         frames.push(&bytes);
         for _ in 0..4 {
@@ -51,43 +51,43 @@
 }
 
 #[test]
-fn two_final_answers_are_counted_and_settled_the_same_way_everywhere() {
+fn different_final_answers_are_a_conflict_with_the_same_outcome_everywhere() {
     let (given_up, delivered) =
         (copy("m", Stage::Ended(End::GivenUp), 1, "x"), copy("m", Stage::Ended(End::Delivered), 0, "y"));
     let (mut a, mut b) = (given_up.clone(), delivered.clone());
-    assert_eq!((a.merge(&delivered), b.merge(&given_up)), (Merged::Conflict, Merged::Conflict));
+    assert_eq!((a.merge(&delivered), b.merge(&given_up)), (MergeOutcome::Conflict, MergeOutcome::Conflict));
     assert_eq!((a.stage, &a.fence), (Stage::Ended(End::Delivered), &given_up.fence));
     assert_eq!((a.stage, a.fence), (b.stage, b.fence));
 }
 
-/// Guards against a digest that misses a difference, and one whose cost grows with what is held.
+/// Guards against a digest that misses a difference, and one whose cost grows with the number of copies held.
 #[test]
-fn a_digest_finds_what_differs_at_a_cost_that_grows_with_it_alone() {
+fn a_digest_finds_differences_at_a_cost_that_depends_only_on_them() {
     let one = |n: usize| (format!("m{n}"), copy(&format!("m{n}"), Stage::Taken, 0, "x"));
     let mine: BTreeMap<String, Copy> = (0..20_000).map(one).collect();
     let mut theirs = mine.clone();
     let differ = |mine: &BTreeMap<String, Copy>, theirs: &BTreeMap<String, Copy>| {
-        let (a, b) = (Tree::of(mine.values()), Tree::of(theirs.values()));
+        let (a, b) = (HashTree::from_copies(mine.values()), HashTree::from_copies(theirs.values()));
         let (mut nodes, mut sent) = (vec![0], 0);
         for level in 0..DEPTH {
             nodes = nodes
                 .iter()
                 .flat_map(|at| {
                     sent += 1;
-                    a.differing(level, *at, &b.children(level, *at).unwrap())
+                    a.differing_children(level, *at, &b.children(level, *at).unwrap())
                 })
                 .collect();
         }
         (nodes, sent)
     };
-    assert_eq!(differ(&mine, &theirs), (vec![], 1), "alike: one look");
+    assert_eq!(differ(&mine, &theirs), (vec![], 1), "equal stores: only the root is compared");
     for n in [5, 77, 4_000] {
         theirs.entry(format!("m{n}")).and_modify(|c| c.stage = Stage::Started);
     }
     theirs.remove("m9");
     let (buckets, sent) = differ(&mine, &theirs);
     assert_eq!(buckets.len(), 4);
-    assert!(sent <= 1 + 4 + 4, "{sent} nodes of {} buckets", BUCKETS);
+    assert!(sent <= 1 + 4 + 4, "{sent} nodes were compared, of {} buckets", BUCKETS);
     let found: Vec<&str> = ["m5", "m77", "m4000", "m9"]
         .into_iter()
         .filter(|id| buckets.contains(&lilacbank_replica::digest::bucket(id)))
@@ -96,15 +96,15 @@
 }
 
 #[test]
-fn a_frame_comes_whole_or_is_refused_with_its_reason() {
-    let word = |version, installation: &str| Envelope {
+fn a_frame_is_decoded_whole_or_rejected_with_a_reason() {
+    let envelope = |version, installation: &str| Envelope {
         version,
         installation: installation.into(),
         from: "a".into(),
         life: 3,
-        say: Some(Say::Hold(WireCopy::from(&copy("m", Stage::Ended(End::HandedBack(40)), 2, "b")))),
+        payload: Some(Say::Store(WireCopy::from(&copy("m", Stage::Ended(End::HandedBack(40)), 2, "b")))),
     };
-    let good = word(VERSION, "site");
+    let good = envelope(VERSION, "site");
     let bytes = good.frame();
     let mut frames = Frames::default();
     for b in &bytes {
@@ -112,20 +112,20 @@
         frames.push(&[*b]);
     }
     let read = frames.take("site").unwrap().unwrap();
-    let Some(Say::Hold(c)) = read.say.clone() else { panic!("{read:?}") };
+    let Some(Say::Store(c)) = read.payload.clone() else { panic!("{read:?}") };
     assert_eq!((read, c.read()), (good, Some(copy("m", Stage::Ended(End::HandedBack(40)), 2, "b"))));
-    let refused = |bytes: &[u8]| {
+    let decode = |bytes: &[u8]| {
         let mut frames = Frames::default();
         frames.push(bytes);
         frames.take("site")
     };
-    assert_eq!(refused(&word(VERSION + 1, "site").frame()), Err(Refused::Version));
-    assert_eq!(refused(&word(VERSION, "other").frame()), Err(Refused::Foreign));
-    assert_eq!(refused(&((FRAME_MOST + 1) as u32).to_le_bytes().repeat(2)), Err(Refused::TooLong));
+    assert_eq!(decode(&envelope(VERSION + 1, "site").frame()), Err(Refused::Version));
+    assert_eq!(decode(&envelope(VERSION, "other").frame()), Err(Refused::Foreign));
+    assert_eq!(decode(&((FRAME_MOST + 1) as u32).to_le_bytes().repeat(2)), Err(Refused::TooLong));
     for bit in 32..bytes.len() * 8 {
         let mut b = bytes.clone();
         b[bit / 8] ^= 1 << (bit % 8);
-        assert_eq!(refused(&b), Err(Refused::Damaged), "bit {bit}");
+        assert_eq!(decode(&b), Err(Refused::Damaged), "bit {bit}");
     }
     assert!(WireCopy { stage: 9, ..WireCopy::from(&copy("m", Stage::Taken, 0, "x")) }.read().is_none());
 }
