--- a/crates/cells/src/moving.rs
+++ b/crates/cells/src/moving.rs
@@ -1,191 +1,196 @@
-//! Moving a tenant from one dispatcher to another: who owns it at each moment, over lost, doubled and late messages,
-//! kills on either side, and operators who change their mind.
+//! The protocol that moves a tenant from one dispatcher to another, and the state of its ownership on each
+//! dispatcher. It tolerates lost, duplicated and late peer messages, crashes on either side, and operators
+//! who abort a move.
 //!
-//! The owner hands over in two steps. It *drains*: nothing new starts, and what is out ends or is cut. It *offers* what it
-//! holds and stays the owner; the other side writes that down and says so, which gives it no right yet. Only then the
-//! owner *commits*, by writing that down itself: from that moment the tenant is the other side's, which serves as soon as
-//! it has heard. So there is one decision, in one journal, and no moment with two owners. Until then the owner can take
-//! everything back by itself, also when the other side never answers; after it, it repeats its word until it is heard.
+//! The handoff has two phases, driven by the owner. It first *drains*: nothing new starts, and running
+//! attempts end or are cut. It then *offers* the tenant's contents and remains the owner; the receiver
+//! records the offer and acknowledges it, which gives it no right yet. Only then does the owner *commit*, by
+//! recording that in its own journal. From that moment the receiver owns the tenant, and serves it as soon as
+//! it receives the commit. There is thus a single commit point in one journal, and never more than one owner.
+//! Before the commit the owner can abort alone, even if the receiver never answers; after it, the former
+//! owner repeats the commit until it is acknowledged.
 //!
-//! Each offer has an epoch of its own, handed out by the owner, one higher than its last. An offer that was taken back
-//! uses its epoch up. Whatever bears an epoch that is not the one at hand is out of date, and who meets a higher one than
-//! its own has been overtaken and stops.
+//! Each offer has its own epoch, assigned by the owner, one higher than its last. An aborted offer uses up
+//! its epoch. A peer message with an epoch other than the current one is out of date, and a dispatcher that
+//! sees a higher epoch than its own has been superseded and stops.
 //!
-//! [`Seat::step`] is the whole of it. The host writes the seat down **before** it carries the orders out. The tests explore
-//! this very code with a model checker; [`Faults`] are holes that it must find.
+//! [`Seat::step`] is the complete state machine. The host records the new state **before** it carries out the
+//! orders. The tests explore this very code with a model checker; [`Faults`] are protocol violations that the
+//! checker must detect.
 
 use std::fmt;
 
-/// A dispatcher.
+/// A dispatcher, by number.
 pub type Node = u32;
-/// Number of an ownership; grows with each offer.
+/// The number of an ownership period; grows with each offer.
 pub type Epoch = u64;
 
-/// Holes in the protocol, for the model checker to find. None of them is ever set in a dispatcher.
+/// Protocol violations that the model checker injects to show that it detects them. A dispatcher sets none of
+/// them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Faults {
-    /// Epochs are not looked at.
-    pub no_fence: bool,
-    /// Who has committed takes it back all the same.
-    pub late_abort: bool,
-    /// The other side serves as soon as it has the offer.
-    pub early_serve: bool,
-    /// An offer that was taken back does not use its epoch up.
-    pub epoch_again: bool,
-    /// The owner forgets what it committed before it has been heard.
-    pub early_forget: bool,
+    /// Epochs are not compared.
+    pub ignore_epochs: bool,
+    /// A dispatcher aborts a move that it has committed.
+    pub abort_after_commit: bool,
+    /// The receiver serves as soon as it has the offer.
+    pub serve_on_offer: bool,
+    /// An aborted offer does not use up its epoch.
+    pub reuse_epoch: bool,
+    /// The owner drops what it committed before that is acknowledged.
+    pub forget_before_ack: bool,
 }
 
-/// What a dispatcher is to a tenant. `C` is all that is held of it.
+/// The role of a dispatcher for a tenant. `C` is everything that is held for the tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Phase<C> {
-    /// Nothing; it lives there, if that is known.
+    /// Another dispatcher owns the tenant.
     Away {
-        /// Where.
+        /// The owner, if it is known.
         at: Option<Node>,
     },
-    /// Its owner, and serves it.
+    /// Owns the tenant and serves it.
     Settled,
-    /// Its owner; nothing new starts, and what is out ends.
+    /// Owns the tenant; nothing new starts, and running attempts end.
     Draining {
-        /// Where it is to go.
+        /// The receiver of the move.
         to: Node,
     },
-    /// Its owner; has offered what it holds, under the next epoch.
+    /// Owns the tenant and has offered its contents under the next epoch.
     Offered {
-        /// To whom.
+        /// The receiver of the offer.
         to: Node,
-        /// What.
+        /// The offered contents.
         contents: C,
     },
-    /// Not its owner any more; repeats so until it is heard.
+    /// No longer owns the tenant; repeats the commit until it is acknowledged.
     Committed {
-        /// To whom.
+        /// The new owner.
         to: Node,
-        /// What was offered: asked for again if it was lost there.
+        /// The offered contents, in case the new owner lost them and asks for them again.
         contents: C,
     },
-    /// Not its owner yet; has written down what was offered.
+    /// Does not own the tenant yet; has recorded an offer.
     Received {
-        /// By whom.
+        /// The owner that made the offer.
         from: Node,
-        /// What.
+        /// The offered contents.
         contents: C,
     },
 }
 
-/// A dispatcher's place in the ownership of one tenant.
+/// The state of a tenant's ownership on one dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Seat<C> {
-    /// The highest epoch that it has had to do with.
+    /// The highest epoch that this dispatcher took part in.
     pub epoch: Epoch,
-    /// What it is.
+    /// The dispatcher's role.
     pub phase: Phase<C>,
 }
 
-/// What dispatchers tell each other. Any may be lost, doubled or late.
+/// A peer message of the move protocol. It may be lost, duplicated or late.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Word<C> {
-    /// Take this, under that epoch.
+    /// Offers the tenant under this epoch.
     Offer {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
-        /// All that is held.
+        /// Everything that is held for the tenant.
         contents: C,
     },
-    /// The offer is written down.
+    /// Acknowledges that the offer is recorded.
     Received {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// It is yours.
+    /// The receiver owns the tenant from now on.
     Commit {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// It is served here.
+    /// Acknowledges the commit: the tenant is served by the sender.
     Settled {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// The offer is taken back.
+    /// The offer is withdrawn.
     Cancel {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// That offer is not known here.
+    /// The committed offer is not known to the sender.
     Unknown {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// A later epoch is known here.
+    /// The sender knows a later epoch.
     Stale {
-        /// The later one.
+        /// The later epoch.
         epoch: Epoch,
     },
-    /// What has become of the offer?
+    /// Asks what became of an offer.
     Query {
-        /// The epoch.
+        /// The epoch of the offer.
         epoch: Epoch,
     },
-    /// The tenant is served here. Told to all on a new connection and after a move: others learn where it lives, and two
-    /// that both take it for theirs find out.
+    /// The sender serves the tenant. Sent to all peers on a new connection and after a move: they learn where
+    /// the tenant is, and two dispatchers that both consider themselves the owner detect the conflict.
     Claim {
-        /// Under which epoch.
+        /// The epoch of the ownership.
         epoch: Epoch,
     },
 }
 
-/// What happens to a dispatcher.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input<C> {
-    /// The operator wants the tenant moved there.
+    /// The operator moves the tenant to that dispatcher.
     Move(Node),
-    /// The operator wants it back, or a message's time will not wait for an answer.
+    /// The operator aborts the move, or a message's deadline is too close to wait for the receiver.
     Abort,
-    /// The operator has made sure that the other side never starts again, and wants back what was handed over and not
-    /// acknowledged.
+    /// The operator has ensured that the receiver never starts again, and takes back a committed handoff that
+    /// was not acknowledged.
     Reclaim,
-    /// Nothing of the tenant that is handed over is out any more; this is what is held.
+    /// No attempt of the tenant is running any more; these are its contents.
     Drained(C),
-    /// That dispatcher takes the tenant for its own under the same epoch, as two versions of a map may have it, and is the
-    /// one of the two that keeps it.
+    /// That dispatcher considers itself the owner under the same epoch, which differing versions of a cell
+    /// map can cause, and is the one of the two that keeps the tenant.
     Yield(Node),
-    /// Time has passed, or the process has started: words may have been lost.
+    /// Time has passed, or the process has started: peer messages may have been lost.
     Tick,
-    /// A word from another dispatcher.
+    /// A message from a peer.
     Heard(Node, Word<C>),
 }
 
-/// What is to be done, after the seat has been written down.
+/// An order to the host, to be carried out after the new state has been recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Order<C> {
-    /// Tell another dispatcher.
+    /// Send a message to a peer.
     Tell(Node, Word<C>),
-    /// Start nothing new; say [`Input::Drained`] when nothing is out.
+    /// Start nothing new; report [`Input::Drained`] once nothing is running.
     Drain,
     /// Serve again what was held.
     Resume,
-    /// Serve, beginning with this.
+    /// Serve the tenant, beginning with these contents.
     Serve(C),
-    /// Forget what was held: it is somebody else's.
+    /// Drop what was held: another dispatcher owns it.
     Forget,
-    /// Take nothing more on, and end what is held here.
+    /// Accept nothing more, and finish what is held here.
     Finish,
 }
 
-/// Why a wish cannot be met.
+/// Why an operator's request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
     /// The tenant is not served here.
     NotOwner,
-    /// It is on its way already.
+    /// The tenant is being moved already.
     Underway,
-    /// It is where it is to go.
+    /// The tenant is already on the requested dispatcher.
     Here,
-    /// It has been handed over; it can only be moved back from there.
+    /// The tenant has been handed over; it can only be moved back from its new owner.
     TooLate,
-    /// It is not waiting for a dispatcher to acknowledge it.
+    /// The tenant does not wait for another dispatcher's acknowledgement.
     NotOwed,
 }
 
@@ -205,63 +210,63 @@
 
 impl std::error::Error for Refused {}
 
-type Step<C> = (Seat<C>, Vec<Order<C>>);
+type Transition<C> = (Seat<C>, Vec<Order<C>>);
 
 impl<C: Clone> Seat<C> {
-    /// The seat of a tenant that lives here from the start.
+    /// The initial state of a tenant that belongs to this dispatcher.
     pub fn settled() -> Seat<C> {
         Seat { epoch: 1, phase: Phase::Settled }
     }
 
-    /// The seat of a tenant that lives elsewhere.
+    /// The initial state of a tenant that belongs to another dispatcher.
     pub fn away(at: Option<Node>) -> Seat<C> {
         Seat { epoch: 0, phase: Phase::Away { at } }
     }
 
-    /// May calls of the tenant start here?
+    /// Whether messages of the tenant may start here.
     pub fn serves(&self) -> bool {
         matches!(self.phase, Phase::Settled)
     }
 
-    /// Is what is held of the tenant this dispatcher's to answer for?
+    /// Whether this dispatcher is responsible for the messages held for the tenant.
     pub fn owns(&self) -> bool {
         matches!(self.phase, Phase::Settled | Phase::Draining { .. } | Phase::Offered { .. })
     }
 
-    /// Are words owed that may have been lost?
+    /// Whether a move is in progress, so that peer messages may have to be repeated.
     pub fn is_moving(&self) -> bool {
         !matches!(self.phase, Phase::Settled | Phase::Away { .. })
     }
 
-    fn stay(&self) -> Step<C> {
+    fn unchanged(&self) -> Transition<C> {
         (self.clone(), Vec::new())
     }
 
-    fn say(&self, to: Node, word: Word<C>) -> Step<C> {
-        (self.clone(), vec![Order::Tell(to, word)])
+    fn reply(&self, to: Node, message: Word<C>) -> Transition<C> {
+        (self.clone(), vec![Order::Tell(to, message)])
     }
 
-    /// What becomes of the seat, and what is to be done once it is written down.
+    /// The state after an input, and the orders to carry out once that state is recorded.
     ///
     /// # Errors
     ///
-    /// Where an operator's wish cannot be met; then nothing changes.
-    pub fn step(&self, input: Input<C>, faults: Faults) -> Result<Step<C>, Refused> {
+    /// If an operator's request cannot be met; the state does not change then.
+    pub fn step(&self, input: Input<C>, faults: Faults) -> Result<Transition<C>, Refused> {
         Ok(match input {
-            Input::Move(to) => return self.start(to),
+            Input::Move(to) => return self.begin_move(to),
             Input::Abort => return self.abort(faults),
             Input::Reclaim => return self.reclaim(),
             Input::Yield(to) if self.serves() => {
                 (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(to) } }, vec![Order::Finish])
             }
-            Input::Yield(_) => self.stay(),
-            Input::Drained(contents) => self.drained(contents),
-            Input::Tick => self.tick(),
-            Input::Heard(from, word) => self.hear(from, word, faults),
+            Input::Yield(_) => self.unchanged(),
+            Input::Drained(contents) => self.on_drained(contents),
+            Input::Tick => self.retransmit(),
+            Input::Heard(from, message) => self.receive(from, message, faults),
         })
     }
 
-    fn start(&self, to: Node) -> Result<Step<C>, Refused> {
+    fn begin_move(&self, to: Node) -> Result<Transition<C>, Refused> {
         match &self.phase {
             Phase::Settled => {
                 let seat = Seat { epoch: self.epoch, phase: Phase::Draining { to } };
@@ -274,24 +279,26 @@
         }
     }
 
-    /// Until it has committed, the owner takes back by itself: nobody else has a right yet.
-    fn abort(&self, faults: Faults) -> Result<Step<C>, Refused> {
+    /// Before the commit, the owner aborts alone: no other dispatcher has a right to the tenant yet.
+    fn abort(&self, faults: Faults) -> Result<Transition<C>, Refused> {
         match &self.phase {
             Phase::Draining { .. } => {
                 Ok((Seat { epoch: self.epoch, phase: Phase::Settled }, vec![Order::Resume]))
             }
             Phase::Offered { to, .. } => {
                 let offered = self.epoch + 1;
-                // The epoch is used up: a late word about this offer must not be taken for one about the next.
-                let epoch = if faults.epoch_again { self.epoch } else { offered };
+                // The epoch is used up: a late peer message about this offer must not be taken for one about
+                // the next.
+                let epoch = if faults.reuse_epoch { self.epoch } else { offered };
                 let cancel = Order::Tell(*to, Word::Cancel { epoch: offered });
                 Ok((Seat { epoch, phase: Phase::Settled }, vec![Order::Resume, cancel]))
             }
-            // Without the owner's word it has no right to it, and the owner still has all of it.
+            // Without the owner's commit this dispatcher has no right to the tenant, and the owner still has
+            // its contents.
             Phase::Received { from, .. } => {
                 Ok((Seat { epoch: self.epoch, phase: Phase::Away { at: Some(*from) } }, Vec::new()))
             }
-            Phase::Committed { contents, .. } if faults.late_abort => {
+            Phase::Committed { contents, .. } if faults.abort_after_commit => {
                 Ok((Seat { epoch: self.epoch, phase: Phase::Settled }, vec![Order::Serve(contents.clone())]))
             }
             Phase::Committed { .. } => Err(Refused::TooLate),
@@ -299,8 +306,9 @@
         }
     }
 
-    /// Takes back after the decision, on the operator's word that nobody else acts on it. A late heir finds itself overtaken.
-    fn reclaim(&self) -> Result<Step<C>, Refused> {
+    /// Takes the tenant back after the commit, on the operator's assurance that no other dispatcher acts on
+    /// it. A new owner that appears late finds itself superseded.
+    fn reclaim(&self) -> Result<Transition<C>, Refused> {
         match &self.phase {
             Phase::Committed { .. } => {
                 Ok((Seat { epoch: self.epoch + 1, phase: Phase::Settled }, vec![Order::Resume]))
@@ -309,175 +317,178 @@
         }
     }
 
-    fn drained(&self, contents: C) -> Step<C> {
-        let Phase::Draining { to } = &self.phase else { return self.stay() };
+    fn on_drained(&self, contents: C) -> Transition<C> {
+        let Phase::Draining { to } = &self.phase else { return self.unchanged() };
         let offer = Word::Offer { epoch: self.epoch + 1, contents: contents.clone() };
         let seat = Seat { epoch: self.epoch, phase: Phase::Offered { to: *to, contents } };
         (seat, vec![Order::Tell(*to, offer)])
     }
 
-    /// The one decision: from here on the tenant is the other side's.
-    fn commit(&self, to: Node) -> Step<C> {
-        let Phase::Offered { contents, .. } = &self.phase else { return self.stay() };
+    /// The commit point: from here on the tenant belongs to the receiver.
+    fn commit(&self, to: Node) -> Transition<C> {
+        let Phase::Offered { contents, .. } = &self.phase else { return self.unchanged() };
         let epoch = self.epoch + 1;
         let phase = Phase::Committed { to, contents: contents.clone() };
         (Seat { epoch, phase }, vec![Order::Forget, Order::Tell(to, Word::Commit { epoch })])
     }
 
-    /// Says again what may have been lost.
-    fn tick(&self) -> Step<C> {
+    /// Repeats peer messages that may have been lost.
+    fn retransmit(&self) -> Transition<C> {
         match &self.phase {
             Phase::Offered { to, contents } => {
-                self.say(*to, Word::Offer { epoch: self.epoch + 1, contents: contents.clone() })
+                self.reply(*to, Word::Offer { epoch: self.epoch + 1, contents: contents.clone() })
             }
-            Phase::Committed { to, .. } => self.say(*to, Word::Commit { epoch: self.epoch }),
-            Phase::Received { from, .. } => self.say(*from, Word::Query { epoch: self.epoch }),
-            // What was out when the process ended has ended with it.
+            Phase::Committed { to, .. } => self.reply(*to, Word::Commit { epoch: self.epoch }),
+            Phase::Received { from, .. } => self.reply(*from, Word::Query { epoch: self.epoch }),
+            // Attempts that were running when the process ended have ended with it.
             Phase::Draining { .. } => (self.clone(), vec![Order::Drain]),
-            Phase::Settled | Phase::Away { .. } => self.stay(),
+            Phase::Settled | Phase::Away { .. } => self.unchanged(),
         }
     }
 
-    fn hear(&self, from: Node, word: Word<C>, faults: Faults) -> Step<C> {
-        match word {
-            Word::Offer { epoch, contents } => self.offered(from, epoch, contents, faults),
+    fn receive(&self, from: Node, message: Word<C>, faults: Faults) -> Transition<C> {
+        match message {
+            Word::Offer { epoch, contents } => self.on_offer(from, epoch, contents, faults),
             Word::Received { epoch } => match &self.phase {
-                Phase::Offered { to, .. } if *to == from && (epoch == self.epoch + 1 || faults.no_fence) => {
+                Phase::Offered { to, .. }
+                    if *to == from && (epoch == self.epoch + 1 || faults.ignore_epochs) =>
+                {
                     let (seat, orders) = self.commit(from);
-                    if faults.early_forget {
+                    if faults.forget_before_ack {
                         return (Seat { epoch: seat.epoch, phase: Phase::Away { at: Some(from) } }, orders);
                     }
                     (seat, orders)
                 }
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => {
-                    self.say(from, Word::Commit { epoch })
+                    self.reply(from, Word::Commit { epoch })
                 }
-                // An offer of long ago: whoever holds it still is to let it go.
+                // An out-of-date offer: a dispatcher that still holds it has to drop it.
                 _ if epoch < self.epoch || (epoch == self.epoch && self.owns()) => {
-                    self.say(from, Word::Cancel { epoch })
+                    self.reply(from, Word::Cancel { epoch })
                 }
-                _ => self.stay(),
+                _ => self.unchanged(),
             },
-            Word::Commit { epoch } => self.committed(from, epoch, faults),
+            Word::Commit { epoch } => self.on_commit(from, epoch, faults),
             Word::Settled { epoch } => match &self.phase {
-                Phase::Committed { to, .. } if *to == from && epoch == self.epoch => self.go(from),
-                _ => self.stay(),
+                Phase::Committed { to, .. } if *to == from && epoch == self.epoch => self.complete(from),
+                _ => self.unchanged(),
             },
             Word::Cancel { epoch } => match &self.phase {
                 Phase::Received { from: by, .. }
-                    if *by == from && (epoch == self.epoch || faults.no_fence) =>
+                    if *by == from && (epoch == self.epoch || faults.ignore_epochs) =>
                 {
                     (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(from) } }, Vec::new())
                 }
-                _ => self.stay(),
+                _ => self.unchanged(),
             },
             Word::Unknown { epoch } => match &self.phase {
                 Phase::Committed { to, contents } if *to == from && epoch == self.epoch => {
-                    self.say(from, Word::Offer { epoch, contents: contents.clone() })
+                    self.reply(from, Word::Offer { epoch, contents: contents.clone() })
                 }
-                _ => self.stay(),
+                _ => self.unchanged(),
             },
-            Word::Stale { epoch } => self.overtaken(from, epoch),
-            Word::Claim { epoch } => self.claimed(from, epoch),
+            Word::Stale { epoch } => self.on_stale(from, epoch),
+            Word::Claim { epoch } => self.on_claim(from, epoch),
             Word::Query { epoch } => match &self.phase {
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => {
-                    self.say(from, Word::Commit { epoch })
+                    self.reply(from, Word::Commit { epoch })
                 }
-                Phase::Offered { to, .. } if *to == from && epoch == self.epoch + 1 => self.stay(),
-                _ if epoch <= self.epoch => self.say(from, Word::Cancel { epoch }),
-                _ => self.stay(),
+                Phase::Offered { to, .. } if *to == from && epoch == self.epoch + 1 => self.unchanged(),
+                _ if epoch <= self.epoch => self.reply(from, Word::Cancel { epoch }),
+                _ => self.unchanged(),
             },
         }
     }
 
-    /// The other side serves: nothing is owed any more.
-    fn go(&self, at: Node) -> Step<C> {
+    /// The other dispatcher serves the tenant: the move is complete here.
+    fn complete(&self, at: Node) -> Transition<C> {
         (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(at) } }, Vec::new())
     }
 
-    fn offered(&self, from: Node, epoch: Epoch, contents: C, faults: Faults) -> Step<C> {
+    fn on_offer(&self, from: Node, epoch: Epoch, contents: C, faults: Faults) -> Transition<C> {
         let known = match &self.phase {
             Phase::Received { from: by, .. } => epoch == self.epoch && *by == from,
             _ => false,
         };
         if known {
-            return self.say(from, Word::Received { epoch });
+            return self.reply(from, Word::Received { epoch });
         }
         let idle = matches!(self.phase, Phase::Away { .. } | Phase::Received { .. });
-        // One that was let go comes again under its epoch, if its owner has committed to it.
+        // An offer that was dropped here may be sent again under its epoch, if its owner has committed it.
         let again = epoch == self.epoch && matches!(self.phase, Phase::Away { .. });
-        if idle && (epoch > self.epoch || again || faults.no_fence) {
-            if faults.early_serve {
+        if idle && (epoch > self.epoch || again || faults.ignore_epochs) {
+            if faults.serve_on_offer {
                 let seat = Seat { epoch, phase: Phase::Settled };
                 return (seat, vec![Order::Serve(contents), Order::Tell(from, Word::Received { epoch })]);
             }
             let seat = Seat { epoch, phase: Phase::Received { from, contents } };
             return (seat, vec![Order::Tell(from, Word::Received { epoch })]);
         }
-        // Its own offer or ownership is later than that one, or is that one.
+        // This dispatcher's own offer or ownership is later than the received offer, or is the received
+        // offer.
         let mine = self.epoch;
         if epoch == mine && !idle {
-            self.say(from, Word::Settled { epoch })
+            self.reply(from, Word::Settled { epoch })
         } else if epoch < mine {
-            self.say(from, Word::Stale { epoch: mine })
+            self.reply(from, Word::Stale { epoch: mine })
         } else {
-            self.stay()
+            self.unchanged()
         }
     }
 
-    fn committed(&self, from: Node, epoch: Epoch, faults: Faults) -> Step<C> {
+    fn on_commit(&self, from: Node, epoch: Epoch, faults: Faults) -> Transition<C> {
         match &self.phase {
             Phase::Received { from: by, contents }
-                if *by == from && (epoch == self.epoch || faults.no_fence) =>
+                if *by == from && (epoch == self.epoch || faults.ignore_epochs) =>
             {
                 let seat = Seat { epoch: self.epoch.max(epoch), phase: Phase::Settled };
-                let told = Order::Tell(from, Word::Settled { epoch });
-                (seat, vec![Order::Serve(contents.clone()), told])
+                let settled = Order::Tell(from, Word::Settled { epoch });
+                (seat, vec![Order::Serve(contents.clone()), settled])
             }
-            // Heard before: it is, or was, served here.
+            // A repeated commit: the tenant is, or was, served here.
             _ if epoch == self.epoch
                 && !matches!(self.phase, Phase::Away { .. } | Phase::Received { .. }) =>
             {
-                self.say(from, Word::Settled { epoch })
+                self.reply(from, Word::Settled { epoch })
             }
-            // It was let go, or its folder was lost; the owner still has the contents.
+            // The offer was dropped, or lost with the state folder; the owner still has the contents.
             Phase::Away { .. } | Phase::Received { .. } if epoch >= self.epoch => {
-                self.say(from, Word::Unknown { epoch })
+                self.reply(from, Word::Unknown { epoch })
             }
-            _ => self.say(from, Word::Stale { epoch: self.epoch }),
+            _ => self.reply(from, Word::Stale { epoch: self.epoch }),
         }
     }
 
-    /// A later epoch than its own exists.
-    fn overtaken(&self, from: Node, epoch: Epoch) -> Step<C> {
+    /// A peer knows a later epoch than this dispatcher.
+    fn on_stale(&self, from: Node, epoch: Epoch) -> Transition<C> {
         match &self.phase {
-            // Only its heir can have gone on from there.
-            Phase::Committed { .. } if epoch > self.epoch => self.go(from),
-            // An owner with an old folder: somebody else was the owner after it. It stops.
+            // Only the new owner can have assigned a later epoch.
+            Phase::Committed { .. } if epoch > self.epoch => self.complete(from),
+            // An owner with an outdated state folder: another dispatcher owned the tenant after it. It stops.
             Phase::Settled | Phase::Draining { .. } | Phase::Offered { .. } if epoch > self.epoch + 1 => {
                 (Seat { epoch, phase: Phase::Away { at: None } }, vec![Order::Forget])
             }
-            _ => self.stay(),
+            _ => self.unchanged(),
         }
     }
 
-    /// Another one says that it serves the tenant.
-    fn claimed(&self, from: Node, epoch: Epoch) -> Step<C> {
+    /// A peer reports that it serves the tenant.
+    fn on_claim(&self, from: Node, epoch: Epoch) -> Transition<C> {
         let there = |epoch| Seat { epoch, phase: Phase::Away { at: Some(from) } };
         match &self.phase {
             Phase::Away { at } if epoch > self.epoch || (epoch == self.epoch && *at != Some(from)) => {
                 (there(epoch), Vec::new())
             }
-            Phase::Away { .. } => self.stay(),
-            // The heir, or whoever had it after the heir.
-            Phase::Committed { .. } if epoch >= self.epoch => self.go(from),
-            Phase::Committed { .. } => self.stay(),
-            // The owner has taken the offer back, or the tenant has gone on without this offer.
+            Phase::Away { .. } => self.unchanged(),
+            // From the new owner, or a later one.
+            Phase::Committed { .. } if epoch >= self.epoch => self.complete(from),
+            Phase::Committed { .. } => self.unchanged(),
+            // The owner has aborted the offer, or the tenant has been moved on without this offer.
             Phase::Received { .. } if epoch >= self.epoch => (there(epoch), Vec::new()),
-            Phase::Received { .. } => self.stay(),
-            // An old folder: what it holds was handed on long ago.
+            Phase::Received { .. } => self.unchanged(),
+            // An outdated state folder: its contents were handed over long ago.
             _ if epoch > self.epoch => (there(epoch), vec![Order::Forget]),
-            _ => self.say(from, Word::Claim { epoch: self.epoch }),
+            _ => self.reply(from, Word::Claim { epoch: self.epoch }),
         }
     }
 }
