--- a/crates/cells/src/bulkhead.rs
+++ b/crates/cells/src/bulkhead.rs
@@ -1,56 +1,57 @@
-//! What a dispatcher has, divided among the cells that it serves: each has a guaranteed part, what is idle is lent, and
-//! taken back at once when its owner wants it.
+//! Divides the capacity of a dispatcher among the cells that it serves. Each cell has a guaranteed share;
+//! idle units are lent to other cells and taken back when their owner needs them.
 //!
-//! Two kinds of thing are divided. What can be given back at once (a held message that never ran) may be lent to the
-//! last piece: when its owner comes, [`Pool::take`] names the cell that must give one back. What cannot (a call that is
-//! out) is lent only beyond a reserve for each idle owner and beyond what that has needed of late ([`Pool::keep`]), so that
-//! an owner who goes on as before never waits, and one who comes anew finds room now and the rest as the borrowers' calls
-//! end; until then no piece that comes free is lent again.
+//! There are two kinds of capacity. Units that can be returned at once, such as a held message that never
+//! ran, may all be lent: when the owner needs one, [`Pool::take`] names the cell that must return one. Units
+//! that cannot be revoked, such as the slot of a running attempt, are lent only beyond a reserve for each
+//! idle owner and beyond what that owner has needed recently ([`Pool::keep`]). An owner with steady load
+//! therefore never waits. An owner whose load rises finds the reserve at once and the rest as the borrowers'
+//! attempts end; until then no returned unit is lent again.
 
-/// A cell, by its place in the map.
+/// A cell, by its index in the cell map.
 pub type CellNo = usize;
 
-/// What a pool's pieces are like.
+/// Whether the units of a pool can be taken back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lending {
-    /// A piece can be given back at once.
+    /// A unit can be taken back at once.
     Revocable,
-    /// A piece comes back when its holder is done; so many hundredths of a part are never lent.
+    /// A unit comes back when its holder is done with it, so a percentage of each share is never lent.
     Held {
-        /// Hundredths of each part that stay with its owner.
+        /// The percentage of each share that is reserved for its owner.
         reserve: u32,
     },
 }
 
-/// The answer to a wish.
+/// The result of a request for a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// A piece of its own part.
+    /// A unit of the cell's own share.
     Own,
-    /// A piece of somebody else's, who has no use for it now.
+    /// A unit of another cell's share that is idle now.
     Lent,
-    /// A piece, once that cell has given back one that it borrowed.
+    /// A unit, once that cell has returned one that it borrowed.
     After(CellNo),
-    /// None: its part is in use, and nothing is idle.
+    /// No unit: the cell's share is in use, and nothing is idle.
     Full,
 }
 
 impl Grant {
-    /// Was anything granted?
+    /// Whether a unit was granted.
     pub fn given(self) -> bool {
         self != Grant::Full
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Part {
+struct Allocation {
     guaranteed: u64,
     used: u64,
-    /// What its owner has needed at once of late.
+    /// Units that the owner has needed at the same time recently.
     needed: u64,
 }
 
-impl Part {
+impl Allocation {
     fn borrowed(&self) -> u64 {
         self.used.saturating_sub(self.guaranteed)
     }
@@ -60,157 +61,165 @@
     }
 }
 
-/// Pieces of one kind: slots, held messages, connections, bytes of the journal, or time.
+/// Units of one kind of capacity, such as slots, held messages or space in the journal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
     capacity: u64,
     lending: Lending,
-    parts: Vec<Part>,
+    allocations: Vec<Allocation>,
 }
 
 impl Pool {
-    /// So many pieces, divided by weight; what division leaves over goes to the first cells, one each.
+    /// A pool of `capacity` units, divided by weight; the remainder of the division goes to the first cells,
+    /// one unit each.
     pub fn new(capacity: u64, weights: &[f64], lending: Lending) -> Pool {
-        let parts = vec![Part { guaranteed: 0, used: 0, needed: 0 }; weights.len()];
-        let mut pool = Pool { capacity, lending, parts };
+        let allocations = vec![Allocation { guaranteed: 0, used: 0, needed: 0 }; weights.len()];
+        let mut pool = Pool { capacity, lending, allocations };
         pool.divide(capacity, weights);
         pool
     }
 
-    /// Divides anew while pieces are in use; nothing is taken from anybody, but what is used beyond the new part is
-    /// borrowed from now on.
+    /// Changes the division while units are in use. Nothing is taken away: units in use beyond the new share
+    /// count as borrowed from now on.
     pub fn divide(&mut self, capacity: u64, weights: &[f64]) {
         self.capacity = capacity;
-        self.parts.resize(weights.len().max(self.parts.len()), Part { guaranteed: 0, used: 0, needed: 0 });
+        self.allocations.resize(
+            weights.len().max(self.allocations.len()),
+            Allocation { guaranteed: 0, used: 0, needed: 0 },
+        );
         let sum: f64 = weights.iter().filter(|w| **w > 0.0).sum();
         let mut left = capacity;
-        for (n, part) in self.parts.iter_mut().enumerate() {
+        for (n, allocation) in self.allocations.iter_mut().enumerate() {
             let weight = weights.get(n).copied().unwrap_or(0.0).max(0.0);
-            part.guaranteed = if sum > 0.0 { ((capacity as f64) * weight / sum).floor() as u64 } else { 0 };
-            left = left.saturating_sub(part.guaranteed);
+            allocation.guaranteed =
+                if sum > 0.0 { ((capacity as f64) * weight / sum).floor() as u64 } else { 0 };
+            left = left.saturating_sub(allocation.guaranteed);
         }
-        for (n, part) in self.parts.iter_mut().enumerate() {
+        for (n, allocation) in self.allocations.iter_mut().enumerate() {
             if left > 0 && weights.get(n).is_some_and(|w| *w > 0.0) {
-                part.guaranteed += 1;
+                allocation.guaranteed += 1;
                 left -= 1;
             }
         }
     }
 
-    /// What a cell has needed at once of late: so much of its part is not lent where it could not be called back.
+    /// Sets what a cell has needed at the same time recently: that much of its share is not lent if it cannot
+    /// be taken back.
     pub fn keep(&mut self, cell: CellNo, needed: u64) {
-        if let Some(part) = self.parts.get_mut(cell) {
-            part.needed = needed;
+        if let Some(allocation) = self.allocations.get_mut(cell) {
+            allocation.needed = needed;
         }
     }
 
-    /// Pieces that a cell has.
+    /// Units that a cell has in use.
     pub fn used(&self, cell: CellNo) -> u64 {
-        self.parts.get(cell).map_or(0, |p| p.used)
+        self.allocations.get(cell).map_or(0, |p| p.used)
     }
 
-    /// Its part.
+    /// The guaranteed share of a cell, in units.
     pub fn guaranteed(&self, cell: CellNo) -> u64 {
-        self.parts.get(cell).map_or(0, |p| p.guaranteed)
+        self.allocations.get(cell).map_or(0, |p| p.guaranteed)
     }
 
     fn free(&self) -> u64 {
-        self.capacity.saturating_sub(self.parts.iter().map(|p| p.used).sum())
+        self.capacity.saturating_sub(self.allocations.iter().map(|p| p.used).sum())
     }
 
-    /// Pieces that stay with owners who do not use them now: all that cannot be called back when they come.
-    fn kept_for_others(&self, cell: CellNo) -> u64 {
-        let others = self.parts.iter().enumerate().filter(|(n, _)| *n != cell).map(|p| p.1);
+    /// Idle units reserved for their owners, because they could not be taken back when the owners need them.
+    fn reserved_for_others(&self, cell: CellNo) -> u64 {
+        let others = self.allocations.iter().enumerate().filter(|(n, _)| *n != cell).map(|p| p.1);
         match self.lending {
             Lending::Revocable => 0,
             Lending::Held { reserve } => {
-                let least = |p: &Part| (p.guaranteed * u64::from(reserve)).div_ceil(100);
-                others.map(|p| p.idle().min(least(p).max(p.needed.saturating_sub(p.used)))).sum()
+                let reserved = |p: &Allocation| (p.guaranteed * u64::from(reserve)).div_ceil(100);
+                others.map(|p| p.idle().min(reserved(p).max(p.needed.saturating_sub(p.used)))).sum()
             }
         }
     }
 
-    /// Pieces that a cell may have in all as things stand: what it has, what is free of its part, and what is lent.
+    /// Units that a cell may have in total at present: its units in use, the free units of its share, and
+    /// those that can be lent.
     pub fn most(&self, cell: CellNo) -> u64 {
-        let Some(part) = self.parts.get(cell) else { return 0 };
+        let Some(allocation) = self.allocations.get(cell) else { return 0 };
         let free = self.free();
-        let own = part.idle().min(free);
-        part.used + own + (free - own).saturating_sub(self.kept_for_others(cell))
+        let own = allocation.idle().min(free);
+        allocation.used + own + (free - own).saturating_sub(self.reserved_for_others(cell))
     }
 
-    /// Counts pieces that a cell has anyhow: those of an earlier process.
-    pub fn force(&mut self, cell: CellNo, pieces: u64) {
-        if let Some(part) = self.parts.get_mut(cell) {
-            part.used += pieces;
+    /// Counts units that a cell already uses: those of an earlier process.
+    pub fn force(&mut self, cell: CellNo, units: u64) {
+        if let Some(allocation) = self.allocations.get_mut(cell) {
+            allocation.used += units;
         }
     }
 
-    /// What a cell would be answered now.
+    /// The result that [`Pool::take`] would return now.
     pub fn ask(&self, cell: CellNo) -> Grant {
-        let Some(part) = self.parts.get(cell) else { return Grant::Full };
+        let Some(allocation) = self.allocations.get(cell) else { return Grant::Full };
         let free = self.free();
-        if part.used < part.guaranteed {
+        if allocation.used < allocation.guaranteed {
             if free > 0 {
                 return Grant::Own;
             }
-            // Its own pieces are lent out: the one who borrowed most gives one back.
-            let most = self.parts.iter().enumerate().filter(|(n, p)| *n != cell && p.borrowed() > 0);
+            // The cell's own units are lent out: the cell that borrowed the most returns one.
+            let most = self.allocations.iter().enumerate().filter(|(n, p)| *n != cell && p.borrowed() > 0);
             let most = most.max_by_key(|(n, p)| (p.borrowed(), std::cmp::Reverse(*n))).map(|m| m.0);
             return match (most, self.lending) {
                 (Some(other), Lending::Revocable) => Grant::After(other),
                 _ => Grant::Full,
             };
         }
-        match free > self.kept_for_others(cell) {
+        match free > self.reserved_for_others(cell) {
             true => Grant::Lent,
             false => Grant::Full,
         }
     }
 
-    /// Takes a piece. After [`Grant::After`] the named cell's piece counts as given back already: the caller sees to it.
+    /// Takes a unit. After [`Grant::After`] the named cell's unit counts as returned already, and the host
+    /// has to make sure that it is.
     pub fn take(&mut self, cell: CellNo) -> Grant {
         let grant = self.ask(cell);
         if let Grant::After(other) = grant {
             self.give(other);
         }
         if grant.given() {
-            if let Some(part) = self.parts.get_mut(cell) {
-                part.used += 1;
+            if let Some(allocation) = self.allocations.get_mut(cell) {
+                allocation.used += 1;
             }
         }
         grant
     }
 
-    /// Gives a piece back.
+    /// Returns a unit.
     pub fn give(&mut self, cell: CellNo) {
-        if let Some(part) = self.parts.get_mut(cell) {
-            part.used = part.used.saturating_sub(1);
+        if let Some(allocation) = self.allocations.get_mut(cell) {
+            allocation.used = allocation.used.saturating_sub(1);
         }
     }
 }
 
-/// Time of the core, divided by cells: who has used least of its part goes next, and what somebody leaves is not saved up
-/// for later. Start-time fair queueing over measured costs.
+/// Divides the processing time of the core among cells by start-time fair queueing over measured costs: the
+/// cell that has used the least relative to its weight goes next, and unused time is not saved up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Turns {
     weights: Vec<f64>,
-    /// Time used so far, over the weight.
+    /// Time used so far, divided by the weight.
     spent: Vec<f64>,
-    /// The turn that was served last began at this.
+    /// Virtual time: the start of the turn that was served last.
     now: f64,
 }
 
 impl Turns {
-    /// Nobody has used any yet.
+    /// A scheduler in which no cell has used any time.
     pub fn new(weights: &[f64]) -> Turns {
         Turns { weights: weights.to_vec(), spent: vec![0.0; weights.len()], now: 0.0 }
     }
 
-    /// The order in which cells that have something to do go.
+    /// The order in which the cells with pending work go.
     pub fn order(&mut self, wanting: impl IntoIterator<Item = CellNo>) -> Vec<CellNo> {
         let mut all: Vec<CellNo> = wanting.into_iter().filter(|c| *c < self.spent.len()).collect();
         for cell in &all {
-            // Time that was not wanted is gone.
+            // Time that a cell did not use while it was idle is forfeited.
             self.spent[*cell] = self.spent[*cell].max(self.now);
         }
         all.sort_by(|a, b| self.spent[*a].total_cmp(&self.spent[*b]).then(a.cmp(b)));
@@ -220,7 +229,7 @@
         all
     }
 
-    /// A cell has used so much time.
+    /// Charges a cell for the time that it used.
     pub fn used(&mut self, cell: CellNo, cost: f64) {
         if let (Some(spent), Some(weight)) = (self.spent.get_mut(cell), self.weights.get(cell)) {
             *spent += cost / weight.max(f64::MIN_POSITIVE);
@@ -233,9 +242,9 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// Guards against a flood that takes what its neighbour is owed.
+    /// Guards against a cell under heavy load that keeps its neighbour's guaranteed share.
     #[test]
-    fn what_is_lent_comes_back_at_once_when_it_is_wanted() {
+    fn revocable_units_are_returned_at_once_when_their_owner_needs_them() {
         let mut pool = Pool::new(10, &[1.0, 1.0], Lending::Revocable);
         let taken = (0..20).filter(|_| pool.take(0).given()).count();
         assert_eq!((taken, pool.used(0)), (10, 10));
@@ -249,22 +258,22 @@
     }
 
     #[test]
-    fn what_cannot_be_called_back_is_lent_beyond_a_reserve_only() {
+    fn units_that_cannot_be_taken_back_are_lent_only_beyond_a_reserve() {
         let mut pool = Pool::new(20, &[1.0, 1.0], Lending::Held { reserve: 50 });
         pool.keep(1, 9);
-        assert_eq!((pool.most(0), pool.most(1)), (11, 15), "what was needed of late is not lent");
+        assert_eq!((pool.most(0), pool.most(1)), (11, 15), "units needed recently are not lent");
         pool.keep(1, 2);
         let taken = (0..40).filter(|_| pool.take(0).given()).count();
-        assert_eq!(taken, 15, "half of the other part stays");
+        assert_eq!(taken, 15, "half of the other share is reserved");
         assert!((0..5).all(|_| pool.take(1) == Grant::Own));
-        assert_eq!(pool.take(1), Grant::Full, "the rest comes as calls end,");
+        assert_eq!(pool.take(1), Grant::Full, "the rest comes as borrowed units are returned,");
         pool.give(0);
-        assert_eq!(pool.take(0), Grant::Full, "and not to the borrower again");
+        assert_eq!(pool.take(0), Grant::Full, "and they are not lent to the borrower again");
         assert_eq!(pool.take(1), Grant::Own);
     }
 
     #[test]
-    fn a_new_division_takes_from_nobody_and_lends_no_more() {
+    fn a_new_division_takes_no_units_away_and_lends_no_more() {
         let mut pool = Pool::new(10, &[1.0], Lending::Revocable);
         (0..10).for_each(|_| assert!(pool.take(0).given()));
         pool.divide(10, &[1.0, 4.0]);
@@ -274,26 +283,32 @@
     }
 
     proptest! {
-        /// Guards against a sum over the capacity, and against a part that its owner cannot have.
+        /// Guards against use beyond the capacity, and against a share that its owner cannot get.
         #[test]
-        fn no_pool_gives_more_than_it_has_and_parts_are_had(
+        fn a_pool_never_exceeds_its_capacity_and_owners_get_their_shares(
             capacity in 0u64..40,
             weights in prop::collection::vec(0.0..4.0, 1..5),
             reserve in prop::option::of(0u32..=100),
-            deeds in prop::collection::vec((0usize..5, prop::bool::ANY), 0..200),
+            operations in prop::collection::vec((0usize..5, prop::bool::ANY), 0..200),
         ) {
             let lending = reserve.map_or(Lending::Revocable, |reserve| Lending::Held { reserve });
             let mut pool = Pool::new(capacity, &weights, lending);
-            for (cell, takes) in deeds {
+            for (cell, takes) in operations {
                 if !takes {
                     pool.give(cell);
                     continue;
                 }
                 let most = pool.most(cell);
-                let (owed, before) = (pool.used(cell) < pool.guaranteed(cell), pool.used(cell));
+                let (entitled, before) = (pool.used(cell) < pool.guaranteed(cell), pool.used(cell));
                 let grant = pool.take(cell);
-                prop_assert!(!owed || lending != Lending::Revocable || grant.given(), "an owner was refused its part");
-                prop_assert!(most > before || !matches!(grant, Grant::Own | Grant::Lent), "more than was told");
+                prop_assert!(
+                    !entitled || lending != Lending::Revocable || grant.given(),
+                    "an owner did not get a unit of its share"
+                );
+                prop_assert!(
+                    most > before || !matches!(grant, Grant::Own | Grant::Lent),
+                    "more units than Pool::most allows"
+                );
                 prop_assert_eq!(pool.used(cell), before + u64::from(grant.given()));
                 let sum: u64 = (0..weights.len()).map(|c| pool.used(c)).sum();
                 prop_assert!(sum <= capacity);
@@ -301,9 +316,10 @@
         }
     }
 
-    /// Guards against a cell that saves time up, and against one whose dear turns cost the others theirs.
+    /// Guards against a cell that saves up time, and against a cell whose expensive turns take time from the
+    /// others.
     #[test]
-    fn time_goes_by_weight_and_is_not_saved_up() {
+    fn time_is_shared_by_weight_and_not_saved_up() {
         let mut turns = Turns::new(&[1.0, 1.0]);
         let mut used = [0.0, 0.0];
         let run = |turns: &mut Turns, wanting: &[usize], cost: [f64; 2]| {
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,10 +1,9 @@
-//! Cells: tenants are confined to part of the dispatchers and of their room, so that what one does to its part the others
-//! do not feel.
+//! Cells confine each tenant to a part of the dispatchers and of their capacity, so that its load does not
+//! affect the tenants of other cells.
 //!
-//! [`placement`] says where a tenant lives, [`bulkhead`] divides what a dispatcher has among the cells that it serves, and
-//! [`moving`] takes a tenant from one dispatcher to another with one owner at any time; [`wire`] is how they write to each
-//! other about it. None of it does I/O or reads a
-//! clock.
+//! [`placement`] decides where a tenant is placed, [`bulkhead`] divides a dispatcher's capacity among the
+//! cells that it serves, [`moving`] moves a tenant between dispatchers with at most one owner at any time,
+//! and [`wire`] is the wire format for it. Nothing here does I/O or reads a clock.
 #![forbid(unsafe_code)]
 
 pub mod bulkhead;
--- a/crates/cells/src/wire.rs
+++ b/crates/cells/src/wire.rs
@@ -1,31 +1,33 @@
-//! How dispatchers write to each other about a tenant, and how a seat is written down: protobuf, by prost.
+//! The wire format of peer messages about tenants, and the stored format of tenant ownership: protobuf, by
+//! prost.
 //!
-//! On a connection each message is a frame: its length as a protobuf varint, then an [`Envelope`]. [`Frames`] takes bytes as
-//! they come and gives envelopes; it does no I/O. A reader passes over fields that it does not know; an envelope of a
-//! version that it does not speak is an error, since what it leaves out may be what matters.
+//! On a connection each peer message is a frame: its length as a protobuf varint, then an [`Envelope`].
+//! [`Frames`] splits received bytes into envelopes; it does no I/O. Unknown fields are skipped. An envelope
+//! of an unsupported version is an error, because the fields that this version lacks may be essential.
 
 use crate::moving::{Phase, Seat, Word};
 use prost::Message as _;
 use std::fmt;
 
-/// The version that is spoken here.
+/// The supported protocol version.
 pub const VERSION: u32 = 1;
-/// Bytes of one envelope at most: a whole tenant's messages fit, a stranger's nonsense does not fill the memory.
+/// Size limit of an envelope, in bytes: all messages of a tenant fit, and invalid input cannot exhaust the
+/// memory.
 pub const FRAME_MOST: usize = 8 << 20;
 
-/// A message that is handed over, with all that the rules need to know of its past.
+/// A message that is handed over, with everything that the delivery rules need to know about its past.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Held {
-    /// Who handed it in; empty for the platform's clients.
+    /// The client that submitted it; empty for the platform's clients.
     #[prost(string, tag = "1")]
     pub client: String,
-    /// Under which id.
+    /// The id under which it was submitted.
     #[prost(string, tag = "2")]
     pub id: String,
-    /// Its class, by name.
+    /// The name of its class.
     #[prost(string, tag = "3")]
     pub class: String,
-    /// The key of its order.
+    /// Its ordering key.
     #[prost(uint64, optional, tag = "4")]
     pub key: Option<u64>,
     /// Its idempotency key.
@@ -34,56 +36,58 @@
     /// Its destination.
     #[prost(uint64, tag = "6")]
     pub dest: u64,
-    /// It may be delivered until then: milliseconds since 1970.
+    /// Its deadline, in milliseconds since 1970.
     #[prost(uint64, tag = "7")]
     pub valid_until: u64,
-    /// Where its final answer goes; only its front reads this.
+    /// Where to send its final answer; only its front end interprets this.
     #[prost(bytes = "vec", tag = "8")]
     pub reply: Vec<u8>,
-    /// The body.
+    /// The message body.
     #[prost(bytes = "vec", tag = "9")]
     pub body: Vec<u8>,
-    /// Attempts that were started.
+    /// Number of attempts that were started.
     #[prost(uint32, tag = "10")]
     pub attempts: u32,
-    /// The first attempt that may have run: when it was sent, in milliseconds since 1970,
+    /// When the first attempt that may have run was sent, in milliseconds since 1970.
     #[prost(uint64, optional, tag = "11")]
     pub ran_at: Option<u64>,
-    /// and in which building; a repeat goes nowhere else.
+    /// The zone in which that attempt may have run; a repeat goes nowhere else.
     #[prost(string, tag = "12")]
     pub ran_in: String,
-    /// Its number where it was held before.
+    /// Its sequence number at the former owner.
     #[prost(uint64, tag = "13")]
     pub no: u64,
 }
 
-/// A key whose messages wait: one of it may run still where the tenant comes from.
+/// An ordering key whose messages wait, because one of them may still run at the former owner.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Parked {
-    /// The key.
+    /// The ordering key.
     #[prost(uint64, tag = "1")]
     pub key: u64,
-    /// Until then, in milliseconds since 1970.
+    /// The end of the wait, in milliseconds since 1970.
     #[prost(uint64, tag = "2")]
     pub until: u64,
 }
 
-/// A message that is over, or that ends where the tenant comes from: handed in again, it is not a new one.
+/// A message that has ended, or that ends at the former owner: when submitted again, it does not count as a
+/// new one.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Past {
-    /// Who handed it in.
+    /// The client that submitted it.
     #[prost(string, tag = "1")]
     pub client: String,
-    /// Under which id; or, with `name`, the name under which a class that is never repeated remembers it.
+    /// The id under which it was submitted; if `name` is set, the name under which an at-most-once class
+    /// remembers it.
     #[prost(string, tag = "2")]
     pub id: String,
-    /// It is such a name.
+    /// Whether `id` is such a name.
     #[prost(bool, tag = "3")]
     pub name: bool,
-    /// How it ended: 0 delivered, 1 given up, 2 handed back.
+    /// How it ended: 0 delivered, 1 given up, 2 returned.
     #[prost(uint32, tag = "4")]
     pub ending: u32,
-    /// With which wait, in milliseconds.
+    /// The delay after which a returned message may be submitted again, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub wait: u64,
     /// Until when it is remembered, in milliseconds since 1970.
@@ -91,95 +95,95 @@
     pub until: u64,
 }
 
-/// All that is held and known of a tenant.
+/// Everything that is held and known of a tenant.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Contents {
-    /// The messages, in the order in which they were taken.
+    /// The messages, in the order in which they were accepted.
     #[prost(message, repeated, tag = "1")]
     pub held: Vec<Held>,
-    /// Keys that wait.
+    /// Ordering keys that wait.
     #[prost(message, repeated, tag = "2")]
     pub parked: Vec<Parked>,
-    /// What is over.
+    /// Messages that have ended.
     #[prost(message, repeated, tag = "3")]
     pub past: Vec<Past>,
-    /// Since when they stand still, in milliseconds since 1970.
+    /// Since when delivery is suspended, in milliseconds since 1970.
     #[prost(uint64, tag = "4")]
     pub still_since: u64,
 }
 
-/// What an operator's tool asks.
+/// A request of the operators' tool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Ask {
-    /// Nothing; never asked.
+    /// No request; never sent.
     None = 0,
-    /// How the seats are; of one tenant, or of all.
+    /// Report the ownership of one tenant, or of all.
     Status = 1,
     /// Move the tenant.
     Move = 2,
-    /// Take the move back.
+    /// Abort the move.
     Abort = 3,
-    /// Take back what was handed over to a dispatcher that never starts again.
+    /// Take back a tenant that was handed over to a dispatcher that never starts again.
     Reclaim = 4,
 }
 
-/// A tool's wish.
+/// A request of the operators' tool, with its arguments.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Wish {
-    /// What.
+    /// The request.
     #[prost(enumeration = "Ask", tag = "1")]
     pub ask: i32,
-    /// With a move: where to.
+    /// For a move: the receiver.
     #[prost(string, tag = "2")]
     pub to: String,
 }
 
-/// How a seat is, for people.
+/// The ownership state of a tenant, for display.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Report {
-    /// Whose.
+    /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Its phase, in a word.
+    /// The phase, by name.
     #[prost(string, tag = "2")]
     pub phase: String,
     /// The dispatcher on the other side; may be empty.
     #[prost(string, tag = "3")]
     pub other: String,
-    /// Its epoch.
+    /// The epoch.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
     /// Messages held here.
     #[prost(uint64, tag = "5")]
     pub held: u64,
-    /// Of these, messages that stand still.
+    /// The held messages whose delivery is suspended.
     #[prost(uint64, tag = "6")]
     pub still: u64,
-    /// For how long it has been in this phase, in milliseconds; since the start of the process at most.
+    /// For how long this phase has lasted, in milliseconds, at most since the start of the process.
     #[prost(uint64, tag = "7")]
     pub since: u64,
-    /// For how long messages stood still in the last move that ended here, in milliseconds.
+    /// For how long messages were suspended in the last move that ended here, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub stood: u64,
 }
 
-/// What a tool is answered.
+/// The answer to a request of the operators' tool.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Answer {
-    /// Why the wish is not met; empty if it is.
+    /// Why the request is rejected; empty if it is met.
     #[prost(string, tag = "1")]
     pub refused: String,
-    /// The seats asked about.
+    /// The requested ownership states.
     #[prost(message, repeated, tag = "2")]
     pub seats: Vec<Report>,
 }
 
-/// What is said.
+/// The kind of an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum Kind {
-    /// Nothing; never said.
+    /// No kind; never sent.
     None = 0,
     /// See [`Word::Offer`].
     Offer = 1,
@@ -199,83 +203,86 @@
     Query = 8,
     /// See [`Word::Claim`].
     Claim = 9,
-    /// The offer cannot be taken: there is no room for it, or it bears names that are not known there.
+    /// The offer cannot be accepted: there is no room for it, or it has names that are unknown to the sender.
     NoRoom = 10,
-    /// Does somebody serve this tenant? Asked before it is placed for the first time.
+    /// Asks whether a dispatcher serves this tenant, before it is placed for the first time.
     Whose = 11,
-    /// A tool's wish.
+    /// A request of the operators' tool.
     Wish = 12,
-    /// The answer to it.
+    /// The answer to such a request.
     Answer = 13,
 }
 
-/// A word about a tenant, from one dispatcher to another.
+/// A peer message about a tenant.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// See [`VERSION`].
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// Who says it, by name.
+    /// The name of the sender.
     #[prost(string, tag = "2")]
     pub from: String,
-    /// To whom: a dispatcher that took over an address must not answer for the one before it.
+    /// The name of the receiver: a dispatcher that took over an address must not answer for the one before
+    /// it.
     #[prost(string, tag = "3")]
     pub to: String,
-    /// About whom.
+    /// The tenant.
     #[prost(string, tag = "4")]
     pub tenant: String,
-    /// What.
+    /// The kind of the message.
     #[prost(enumeration = "Kind", tag = "5")]
     pub kind: i32,
-    /// Under which epoch.
+    /// The epoch.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
-    /// With an offer: all that is held.
+    /// The contents of the tenant, in an offer.
     #[prost(message, optional, tag = "7")]
     pub contents: Option<Contents>,
     /// The version of the sender's cell map.
     #[prost(uint64, tag = "8")]
     pub map: u64,
-    /// A tool's wish.
+    /// The request of the operators' tool.
     #[prost(message, optional, tag = "9")]
     pub wish: Option<Wish>,
     /// The answer to it.
     #[prost(message, optional, tag = "10")]
     pub answer: Option<Answer>,
-    /// Why an offer cannot be taken.
+    /// Why an offer cannot be accepted.
     #[prost(string, tag = "11")]
     pub why: String,
 }
 
-/// Why bytes cannot be read.
+/// Why received bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WireError {
-    /// A frame says that it is so long.
+    /// A frame declares this length, which exceeds [`FRAME_MOST`].
     TooLong(u64),
-    /// A frame's length or what is in it is no protobuf.
+    /// The length or the body of a frame is not valid protobuf.
     Garbled(String),
-    /// It is of a version that is not spoken here.
+    /// This version is not supported.
     Version(u32),
-    /// It says nothing that is known.
+    /// This kind is unknown, or has no move message.
     Kind(i32),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::TooLong(n) => write!(f, "a frame of {n} bytes is over {FRAME_MOST}"),
-            WireError::Garbled(why) => write!(f, "it cannot be read: {why}"),
-            WireError::Version(v) => write!(f, "it is of version {v}, and {VERSION} is spoken here"),
-            WireError::Kind(k) => write!(f, "what it says, {k}, is not known here"),
+            WireError::TooLong(n) => write!(f, "frame of {n} bytes exceeds the limit of {FRAME_MOST} bytes"),
+            WireError::Garbled(why) => write!(f, "frame cannot be decoded: {why}"),
+            WireError::Version(v) => {
+                write!(f, "unsupported protocol version {v}; this dispatcher supports version {VERSION}")
+            }
+            WireError::Kind(k) => write!(f, "unknown message kind {k}"),
         }
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// Writes a word.
-pub fn envelope(from: &str, to: &str, tenant: &str, map: u64, word: &Word<Contents>) -> Envelope {
-    let (kind, epoch, contents) = match word {
+/// Encodes a message of the move protocol.
+pub fn envelope(from: &str, to: &str, tenant: &str, map: u64, message: &Word<Contents>) -> Envelope {
+    let (kind, epoch, contents) = match message {
         Word::Offer { epoch, contents } => (Kind::Offer, epoch, Some(contents.clone())),
         Word::Received { epoch } => (Kind::Received, epoch, None),
         Word::Commit { epoch } => (Kind::Commit, epoch, None),
@@ -299,7 +306,7 @@
     }
 }
 
-/// An envelope that is no word of the move.
+/// Creates an envelope that is not a message of the move protocol.
 pub fn plain(from: &str, to: &str, tenant: &str, map: u64, kind: Kind) -> Envelope {
     Envelope {
         version: VERSION,
@@ -313,11 +320,11 @@
 }
 
 impl Envelope {
-    /// The word in it.
+    /// The message of the move protocol in the envelope.
     ///
     /// # Errors
     ///
-    /// Where it is of another version, or says nothing that is known.
+    /// If the version is not supported, or the envelope holds no message of the move protocol.
     pub fn word(&self) -> Result<Word<Contents>, WireError> {
         if self.version != VERSION {
             return Err(WireError::Version(self.version));
@@ -339,38 +346,38 @@
         })
     }
 
-    /// The frame of it.
+    /// Encodes the envelope as a frame.
     pub fn frame(&self) -> Vec<u8> {
         self.encode_length_delimited_to_vec()
     }
 }
 
-/// Takes bytes as they come, and gives envelopes.
+/// Splits received bytes into frames and decodes their envelopes.
 #[derive(Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
 }
 
-/// Bytes of the longest varint.
-const VARINT_MOST: usize = 10;
+/// Length of the longest varint, in bytes.
+const MAX_VARINT_BYTES: usize = 10;
 
 impl Frames {
-    /// More bytes have come.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next envelope, once all of it is there.
+    /// The next envelope, if a whole frame has arrived.
     ///
     /// # Errors
     ///
-    /// Where what came is no frame; then the connection is of no more use.
+    /// If the bytes are not a valid frame; the connection must then be closed.
     pub fn take(&mut self) -> Result<Option<Envelope>, WireError> {
-        let ends = self.bytes.iter().take(VARINT_MOST).position(|b| b & 0x80 == 0);
-        let Some(at) = ends else {
-            return match self.bytes.len() < VARINT_MOST {
+        let length_end = self.bytes.iter().take(MAX_VARINT_BYTES).position(|b| b & 0x80 == 0);
+        let Some(at) = length_end else {
+            return match self.bytes.len() < MAX_VARINT_BYTES {
                 true => Ok(None),
-                false => Err(WireError::Garbled("the length of a frame never ends".into())),
+                false => Err(WireError::Garbled("the frame length is not a valid varint".into())),
             };
         };
         let length = prost::encoding::decode_varint(&mut &self.bytes[..=at]);
@@ -384,44 +391,45 @@
     }
 }
 
-/// A seat as it is written down; dispatchers are told apart by name.
+/// The stored form of a tenant's ownership state; dispatchers are identified by name.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SeatRecord {
-    /// Whose.
+    /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Its epoch.
+    /// The epoch.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Its phase: 0 away, 1 settled, 2 draining, 3 offered, 4 committed, 5 received.
+    /// The phase: 0 away, 1 settled, 2 draining, 3 offered, 4 committed, 5 received.
     #[prost(uint32, tag = "3")]
     pub phase: u32,
-    /// The other side; empty where there is none.
+    /// The dispatcher on the other side; empty if there is none.
     #[prost(string, tag = "4")]
     pub other: String,
-    /// What was received.
+    /// The contents of a received offer.
     #[prost(message, optional, tag = "5")]
     pub contents: Option<Contents>,
-    /// The numbers of what was offered: it stands in the same journal.
+    /// Sequence numbers of the offered messages, which are in the same journal.
     #[prost(uint64, repeated, tag = "6")]
     pub offered: Vec<u64>,
-    /// It is settled once the messages that were received are written down under numbers from this one on.
+    /// The state is settled only once the received messages are recorded, under sequence numbers from this
+    /// one on.
     #[prost(uint64, optional, tag = "7")]
     pub adopts_from: Option<u64>,
-    /// Keys that wait here for a message that ends where the tenant came from.
+    /// Ordering keys that wait here for a message that ends at the former owner.
     #[prost(message, repeated, tag = "8")]
     pub parked: Vec<Parked>,
 }
 
-/// Writes a seat down; `name` tells the other side's.
+/// Converts an ownership state to its stored form; `name` returns the name of a dispatcher.
 pub fn record(tenant: &str, seat: &Seat<Contents>, name: impl Fn(u32) -> String) -> SeatRecord {
-    let nos = |c: &Contents| c.held.iter().map(|h| h.no).collect();
+    let sequence_numbers = |c: &Contents| c.held.iter().map(|h| h.no).collect();
     let (phase, other, contents, offered) = match &seat.phase {
         Phase::Away { at } => (0, *at, None, Vec::new()),
         Phase::Settled => (1, None, None, Vec::new()),
         Phase::Draining { to } => (2, Some(*to), None, Vec::new()),
-        Phase::Offered { to, contents } => (3, Some(*to), None, nos(contents)),
-        Phase::Committed { to, contents } => (4, Some(*to), None, nos(contents)),
+        Phase::Offered { to, contents } => (3, Some(*to), None, sequence_numbers(contents)),
+        Phase::Committed { to, contents } => (4, Some(*to), None, sequence_numbers(contents)),
         Phase::Received { from, contents } => (5, Some(*from), Some(contents.clone()), Vec::new()),
     };
     let other = other.map(name).unwrap_or_default();
@@ -430,7 +438,7 @@
 }
 
 impl SeatRecord {
-    /// Moves all its times, in milliseconds since 1970: the wall clock was stepped since it was written.
+    /// Converts all times in the record after a step of the wall clock; `time` maps milliseconds since 1970.
     pub fn map_times(&mut self, time: impl Fn(u64) -> u64) {
         let parked = self.contents.iter_mut().flat_map(|c| &mut c.parked).chain(&mut self.parked);
         parked.for_each(|p| p.until = time(p.until));
@@ -443,8 +451,8 @@
         }
     }
 
-    /// The seat; `None` if this is no record of one. `node` tells a dispatcher's number, `offered` what stands under the
-    /// numbers that were offered.
+    /// Restores the ownership state; `None` if the record is invalid. `node` returns the number of a
+    /// dispatcher, and `offered` the messages that are recorded under the offered sequence numbers.
     pub fn seat(
         &self,
         mut node: impl FnMut(&str) -> u32,
@@ -480,7 +488,7 @@
         Contents { held: vec![held("a", Some(5)), held("b", None)], ..Contents::default() }
     }
 
-    fn words() -> Vec<Word<Contents>> {
+    fn messages() -> Vec<Word<Contents>> {
         let epoch = 9;
         vec![
             Word::Offer { epoch, contents: contents() },
@@ -496,10 +504,10 @@
         ]
     }
 
-    /// Guards against a word that is lost or changed on the way, however the bytes are cut.
+    /// Guards against peer messages that are lost or changed when they arrive in pieces.
     #[test]
-    fn words_come_through_in_pieces() {
-        let all: Vec<Envelope> = words().iter().map(|w| envelope("n1", "n2", "sotrans", 3, w)).collect();
+    fn messages_arrive_unchanged_in_pieces_of_any_size() {
+        let all: Vec<Envelope> = messages().iter().map(|w| envelope("n1", "n2", "sotrans", 3, w)).collect();
         let bytes: Vec<u8> = all.iter().flat_map(Envelope::frame).collect();
         for size in [1, 2, 3, 7, 64, bytes.len()] {
             let (mut frames, mut got) = (Frames::default(), Vec::new());
@@ -511,12 +519,12 @@
             }
             assert_eq!(got, all);
             let back: Vec<_> = got.iter().map(|e| e.word().unwrap()).collect();
-            assert_eq!(back, words());
+            assert_eq!(back, messages());
         }
     }
 
     #[test]
-    fn strange_versions_kinds_and_lengths_are_errors() {
+    fn unsupported_versions_kinds_and_lengths_are_errors() {
         let good = envelope("a", "b", "t", 1, &Word::Commit { epoch: 1 });
         assert_eq!(Envelope { version: 2, ..good.clone() }.word(), Err(WireError::Version(2)));
         assert_eq!(Envelope { kind: 99, ..good.clone() }.word(), Err(WireError::Kind(99)));
@@ -533,7 +541,7 @@
     }
 
     #[test]
-    fn a_seat_is_read_back_as_it_was_written_down() {
+    fn an_ownership_state_is_restored_as_it_was_stored() {
         let phases = [
             Phase::Away { at: None },
             Phase::Away { at: Some(0) },
@@ -547,7 +555,7 @@
             let seat = Seat { epoch: 12, phase };
             let bytes = record("t", &seat, |n| format!("n{n}")).encode_to_vec();
             let node = |name: &str| name[1..].parse().unwrap();
-            // What was offered stands in the same journal, under its numbers.
+            // The offered messages are in the same journal, under their sequence numbers.
             let offered = |nos: &[u64]| match nos.is_empty() {
                 true => Contents::default(),
                 false => contents(),
@@ -559,9 +567,9 @@
     }
 
     proptest! {
-        /// Guards against a panic on whatever a stranger sends.
+        /// Guards against a panic on arbitrary input.
         #[test]
-        fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), size in 1usize..40) {
+        fn no_input_causes_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), size in 1usize..40) {
             let mut frames = Frames::default();
             for piece in bytes.chunks(size) {
                 frames.push(piece);
