--- a/crates/limits/benches/ceilings.rs
+++ b/crates/limits/benches/ceilings.rs
@@ -1,4 +1,5 @@
-//! What a decision costs: the room asked for, a call taken, written and ended, at 10 and 10,000 members.
+//! The cost of a decision (checking the room, then starting, writing and ending a call) with 10 and 10,000
+//! destinations.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use lilacbank_limits::{Ceilings, Promise, Scope};
--- a/crates/limits/src/ceilings.rs
+++ b/crates/limits/src/ceilings.rs
@@ -1,101 +1,101 @@
-//! The promises of one dispatcher, member by member.
+//! The limits that one dispatcher keeps, per destination.
 
 use crate::{Ms, Window};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// While only connections stand in the way, the next look is after this; an end is told sooner.
-const LOOK_AGAIN: Ms = 50.0;
+/// Time until the next check while only connections are missing; the host reports a freed connection sooner.
+const CONNECTION_RECHECK_MS: Ms = 50.0;
 
-/// What a limit of a member counts.
+/// The scope of a destination's call limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Scope {
-    /// Calls to all endpoints of the member together.
+    /// All endpoints of the destination together.
     #[default]
     Member,
-    /// Calls to each endpoint on its own.
+    /// Each endpoint on its own.
     Endpoint,
 }
 
-/// What a dispatcher promised to keep within at one member.
+/// The share of one destination's limits that a dispatcher must not exceed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Promise {
-    /// The member's name, for those who read.
+    /// The name of the destination, for display.
     pub member: String,
-    /// The number of its destination.
+    /// The number of the destination.
     pub dest: u64,
-    /// Calls in any span, probes counted; none: only connections are bounded.
+    /// Calls in any span, including probes; `None` if only connections are limited.
     pub calls: Option<u32>,
     /// The span, in milliseconds.
     pub span: Ms,
-    /// A call arrives at most so long after its last byte was written, in milliseconds.
+    /// The longest time from writing the last byte of a call to its arrival, in milliseconds.
     pub travel: Ms,
-    /// What the limit counts.
+    /// The scope of the call limit.
     pub scope: Scope,
-    /// Connections to each endpoint, idle ones counted; none: as many as the process has.
+    /// Connections to each endpoint, including idle ones; `None` if they are not limited.
     pub connections: Option<u32>,
 }
 
-/// What became of a call that was counted.
+/// A step of a counted call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// It was started.
     Started,
-    /// Its last byte is out.
+    /// Its last byte was written.
     Written,
-    /// It ended before that.
+    /// It ended before its last byte was written.
     GivenBack,
 }
 
-/// What must outlast the process: calls of one window that took a step.
+/// A record that must outlast the process: a step of calls in one window.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Spent {
-    /// The destination.
+    /// The number of the destination.
     pub dest: u64,
-    /// The endpoint's id, where each has a window of its own; else empty.
+    /// The endpoint's id if each endpoint has a window of its own, else empty.
     pub endpoint: String,
-    /// When, by the wall clock in milliseconds; for [`Step::Written`] the latest arrival.
+    /// When, by the wall clock in milliseconds; for [`Step::Written`] the latest possible arrival.
     pub at: Ms,
-    /// How many.
+    /// The number of calls.
     pub calls: u32,
-    /// Which step.
+    /// The step.
     pub step: Step,
 }
 
-/// A call does not fit.
+/// A call exceeds a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Over {
     /// Time until there may be room, in milliseconds.
     pub wait: Ms,
 }
 
-/// How much may go to an endpoint.
+/// The room for calls to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Room {
-    /// Calls that its window still takes now.
+    /// Calls that the window admits now.
     pub calls: u32,
-    /// With none: when to look again.
+    /// If it admits none: when to check again.
     pub again: Ms,
-    /// Connections that are promised to be enough.
+    /// The limit of connections to the endpoint.
     pub links: u32,
-    /// Those of them that carry nothing now.
+    /// The part of that limit that is not in use.
     pub links_left: u32,
 }
 
 #[derive(Debug)]
-struct Member {
+struct Destination {
     promise: Promise,
-    /// The windows; by endpoint, or one under the empty name.
+    /// The windows by endpoint, or a single one under the empty name.
     windows: BTreeMap<String, Window>,
-    /// What a new window starts with, after windows were divided.
-    before: Option<Window>,
-    /// Calls and probes that are out, by endpoint: each has a connection.
+    /// The initial state of a new window, after a common window was split per endpoint.
+    initial_window: Option<Window>,
+    /// Running calls and probes by endpoint, each of which has a connection.
     busy: HashMap<String, u32>,
-    /// Messages that wait for it.
+    /// Messages that wait for the destination.
     waiting: u32,
 }
 
-impl Member {
-    fn unit<'a>(&self, endpoint: &'a str) -> &'a str {
+impl Destination {
+    fn window_key<'a>(&self, endpoint: &'a str) -> &'a str {
         if self.promise.scope == Scope::Endpoint {
             endpoint
         } else {
@@ -105,16 +105,16 @@
 
     fn window(&mut self, endpoint: &str) -> Option<&mut Window> {
         let calls = self.promise.calls?;
-        let unit = self.unit(endpoint);
-        if !self.windows.contains_key(unit) {
+        let key = self.window_key(endpoint);
+        if !self.windows.contains_key(key) {
             let fresh = || Window::new(calls, self.promise.span, self.promise.travel);
-            let w = self.before.clone().unwrap_or_else(fresh);
-            self.windows.insert(unit.to_string(), w);
+            let w = self.initial_window.clone().unwrap_or_else(fresh);
+            self.windows.insert(key.to_string(), w);
         }
-        self.windows.get_mut(unit)
+        self.windows.get_mut(key)
     }
 
-    /// All windows as one; calls that are still being written count as about to arrive.
+    /// All windows merged into one; calls that are still being written count as about to arrive.
     fn merged(&self, now: Ms) -> Window {
         let p = &self.promise;
         let mut all = Window::new(p.calls.unwrap_or(0), p.span, p.travel);
@@ -125,13 +125,14 @@
         all
     }
 
-    fn links_left(&self, endpoint: &str) -> u32 {
+    fn connections_left(&self, endpoint: &str) -> u32 {
         let busy = self.busy.get(endpoint).copied().unwrap_or(0);
         self.promise.connections.map_or(u32::MAX, |most| most.saturating_sub(busy))
     }
 
     fn room(&mut self, now: Ms, endpoint: &str) -> Room {
-        let (links, links_left) = (self.promise.connections.unwrap_or(u32::MAX), self.links_left(endpoint));
+        let (links, links_left) =
+            (self.promise.connections.unwrap_or(u32::MAX), self.connections_left(endpoint));
         let (calls, again) = match self.window(endpoint) {
             None => (u32::MAX, now),
             Some(w) => (w.room(now), w.when(now, 0).max(now)),
@@ -140,77 +141,80 @@
     }
 }
 
-/// All promises of a dispatcher and what has gone out against them.
+/// All limits of a dispatcher, and the calls counted against them.
 #[derive(Debug, Default)]
 pub struct Ceilings {
-    members: BTreeMap<u64, Member>,
-    /// Destinations whose room may have changed since [`Ceilings::changed`] was asked.
+    destinations: BTreeMap<u64, Destination>,
+    /// Destinations whose room may have changed since the last [`Ceilings::changed`].
     dirty: BTreeSet<u64>,
-    /// When places come back that somebody waits for.
+    /// Times, in milliseconds, at which places that a message waits for are freed, with the destination.
     due: BTreeSet<(u64, u64)>,
 }
 
 impl Ceilings {
-    /// Nothing has gone out yet.
+    /// Limits against which nothing is counted yet.
     pub fn new(promises: impl IntoIterator<Item = Promise>) -> Ceilings {
         let mut c = Ceilings::default();
         c.change(0.0, promises);
         c
     }
 
-    /// Is anything promised at all?
+    /// Whether there is no limit at all.
     pub fn is_empty(&self) -> bool {
-        self.members.is_empty()
+        self.destinations.is_empty()
     }
 
-    /// What is promised of a destination.
+    /// The limit for a destination.
     pub fn promise(&self, dest: u64) -> Option<&Promise> {
-        self.members.get(&dest).map(|m| &m.promise)
+        self.destinations.get(&dest).map(|m| &m.promise)
     }
 
-    /// Takes new promises over; what has gone out stays counted. A destination that is promised no longer is free.
+    /// Replaces the limits; the calls counted so far stay counted. A destination without a new limit is
+    /// unlimited.
     pub fn change(&mut self, now: Ms, promises: impl IntoIterator<Item = Promise>) {
-        let mut old = std::mem::take(&mut self.members);
+        let mut old = std::mem::take(&mut self.destinations);
         self.due.clear();
         for p in promises {
             let mut m = match old.remove(&p.dest) {
                 Some(m) if m.promise.scope == p.scope => m,
-                // Calls counted together cannot be told apart: each endpoint is charged with all of them.
+                // Calls that were counted together cannot be attributed: each endpoint is charged with all of
+                // them.
                 Some(mut m) => {
                     let all = m.merged(now);
                     match p.scope {
                         Scope::Member => m.windows = BTreeMap::from([(String::new(), all)]),
-                        Scope::Endpoint => (m.windows, m.before) = (BTreeMap::new(), Some(all)),
+                        Scope::Endpoint => (m.windows, m.initial_window) = (BTreeMap::new(), Some(all)),
                     }
                     m
                 }
-                None => Member {
+                None => Destination {
                     promise: p.clone(),
                     windows: BTreeMap::new(),
-                    before: None,
+                    initial_window: None,
                     busy: HashMap::new(),
                     waiting: 0,
                 },
             };
             if let Some(calls) = p.calls {
-                let all = m.windows.values_mut().chain(&mut m.before);
+                let all = m.windows.values_mut().chain(&mut m.initial_window);
                 all.for_each(|w| w.change(now, calls, p.span, p.travel));
             }
             m.promise = p;
             self.dirty.insert(m.promise.dest);
-            self.members.insert(m.promise.dest, m);
+            self.destinations.insert(m.promise.dest, m);
         }
         self.dirty.extend(old.keys());
     }
 
-    /// Starts a call or a probe if it fits; then [`Ceilings::written`] and [`Ceilings::ended`] are owed for it.
+    /// Starts a call or a probe if it fits. The caller then has to report it to [`Ceilings::written`] and
+    /// [`Ceilings::ended`].
     pub fn take(&mut self, now: Ms, dest: u64, endpoint: &str) -> Result<(), Over> {
-        let Some(m) = self.members.get_mut(&dest) else { return Ok(()) };
+        let Some(m) = self.destinations.get_mut(&dest) else { return Ok(()) };
         let room = m.room(now, endpoint);
         if room.calls == 0 {
             return Err(Over { wait: (room.again - now).max(1.0) });
         } else if room.links_left == 0 {
-            return Err(Over { wait: LOOK_AGAIN });
+            return Err(Over { wait: CONNECTION_RECHECK_MS });
         }
         if let Some(w) = m.window(endpoint) {
             w.take(now);
@@ -220,29 +224,30 @@
         Ok(())
     }
 
-    /// What a step is written down as; `None` where nothing is counted in a span.
+    /// The record of a step; `None` if the destination has no call limit.
     pub fn record(&self, now: Ms, dest: u64, endpoint: &str, step: Step) -> Option<Spent> {
-        let m = self.members.get(&dest)?;
+        let m = self.destinations.get(&dest)?;
         m.promise.calls?;
         let at = if step == Step::Written { now + m.promise.travel } else { now };
-        Some(Spent { dest, endpoint: m.unit(endpoint).to_string(), at, calls: 1, step })
+        Some(Spent { dest, endpoint: m.window_key(endpoint).to_string(), at, calls: 1, step })
     }
 
-    /// The last byte of a call is out.
+    /// The last byte of a call has been written.
     pub fn written(&mut self, now: Ms, dest: u64, endpoint: &str) {
-        let Some(m) = self.members.get_mut(&dest) else { return };
+        let Some(m) = self.destinations.get_mut(&dest) else { return };
         if let Some(w) = m.window(endpoint) {
             w.written(now);
         }
         self.dirty.insert(dest);
     }
 
-    /// A call or probe is over and its connection free; `written` tells whether [`Ceilings::written`] was said of it.
+    /// A call or probe has ended and its connection is free; `written` is whether [`Ceilings::written`]
+    /// was called for it.
     pub fn ended(&mut self, dest: u64, endpoint: &str, written: bool) {
-        let Some(m) = self.members.get_mut(&dest) else { return };
+        let Some(m) = self.destinations.get_mut(&dest) else { return };
         if !written {
             if let Some(w) = m.window(endpoint) {
-                w.give_back();
+                w.cancel();
             }
         }
         if let Some(busy) = m.busy.get_mut(endpoint) {
@@ -254,25 +259,26 @@
         self.dirty.insert(dest);
     }
 
-    /// A message for the destination was taken on.
+    /// A message for the destination was accepted.
     pub fn queue(&mut self, dest: u64) {
-        self.members.entry(dest).and_modify(|m| m.waiting += 1);
+        self.destinations.entry(dest).and_modify(|m| m.waiting += 1);
     }
 
-    /// One of them is over.
+    /// A message for the destination has ended.
     pub fn unqueue(&mut self, dest: u64) {
-        self.members.entry(dest).and_modify(|m| m.waiting = m.waiting.saturating_sub(1));
+        self.destinations.entry(dest).and_modify(|m| m.waiting = m.waiting.saturating_sub(1));
     }
 
-    /// How much may go to an endpoint; `None`: as much as anybody wants.
+    /// The room for calls to an endpoint; `None` if it is unlimited.
     pub fn room(&mut self, now: Ms, dest: u64, endpoint: &str) -> Option<Room> {
-        Some(self.members.get_mut(&dest)?.room(now, endpoint))
+        Some(self.destinations.get_mut(&dest)?.room(now, endpoint))
     }
 
-    /// When a message that came now could go, after all that wait for the same destination. `endpoints` are those that
-    /// are up for it; where each has a window of its own, the queue is taken to spread over them.
+    /// When a message accepted now could be sent, after all that wait for the same destination. `endpoints`
+    /// are the destination's available endpoints; if each has a window of its own, the queue is assumed to
+    /// spread evenly over them.
     pub fn when(&mut self, now: Ms, dest: u64, endpoints: &[&str]) -> Ms {
-        let Some(m) = self.members.get_mut(&dest) else { return now };
+        let Some(m) = self.destinations.get_mut(&dest) else { return now };
         let ahead = m.waiting.saturating_sub(m.busy.values().sum());
         match m.promise.scope {
             Scope::Member => m.window("").map_or(now, |w| w.when(now, ahead)),
@@ -289,7 +295,7 @@
         }
     }
 
-    /// Destinations whose room may be another than when this was asked last.
+    /// Destinations whose room may have changed since the previous call.
     pub fn changed(&mut self, now: Ms) -> BTreeSet<u64> {
         while let Some((at, dest)) = self.due.first().copied().filter(|d| (d.0 as Ms) <= now) {
             self.due.remove(&(at, dest));
@@ -298,17 +304,17 @@
         std::mem::take(&mut self.dirty)
     }
 
-    /// All destinations count as changed.
+    /// Marks all destinations as changed.
     pub fn touch(&mut self) {
-        self.dirty.extend(self.members.keys());
+        self.dirty.extend(self.destinations.keys());
     }
 
-    /// Asks for a destination to be among the changed ones at that time.
+    /// Marks a destination as changed at that time.
     pub fn remind(&mut self, at: Ms, dest: u64) {
         self.due.insert((at.ceil() as u64, dest));
     }
 
-    /// When [`Ceilings::changed`] has something new of itself.
+    /// When [`Ceilings::changed`] next returns a destination by itself.
     pub fn next_due(&self) -> Option<Ms> {
         if !self.dirty.is_empty() {
             return Some(0.0);
@@ -316,10 +322,10 @@
         self.due.first().map(|d| d.0 as Ms)
     }
 
-    /// All that a next process must know, for a journal that is written anew.
+    /// Records of everything that the next process must know, for a compacted journal.
     pub fn spent(&mut self, now: Ms) -> Vec<Spent> {
         let mut all = Vec::new();
-        for (dest, m) in &mut self.members {
+        for (dest, m) in &mut self.destinations {
             m.windows.retain(|_, w| !w.is_idle(now));
             for (endpoint, w) in &m.windows {
                 let of = |at, calls, step| Spent { dest: *dest, endpoint: endpoint.clone(), at, calls, step };
@@ -332,19 +338,20 @@
         all
     }
 
-    /// Takes up what earlier processes sent. Steps come in the order in which they were written down. A call that was
-    /// started and never reported written may have arrived up to now.
+    /// Restores what earlier processes sent, from records in their original order. A call that was started
+    /// and never recorded as written may have arrived at any time until now.
     pub fn restore(&mut self, now: Ms, steps: impl IntoIterator<Item = Spent>) {
         let mut open: BTreeMap<(u64, String), u32> = BTreeMap::new();
         for s in steps {
-            let Some(m) = self.members.get_mut(&s.dest) else { continue };
+            let Some(m) = self.destinations.get_mut(&s.dest) else { continue };
             let started = open.entry((s.dest, s.endpoint.clone())).or_default();
             match s.step {
                 Step::Started => *started = started.saturating_add(s.calls),
                 Step::GivenBack => *started = started.saturating_sub(s.calls),
                 Step::Written => {
                     *started = started.saturating_sub(s.calls);
-                    // A clock that was set back must not make old calls newer than any, nor keep them for ever.
+                    // A wall clock that was set back must not make old calls newer than any possible one, nor
+                    // keep them forever.
                     let latest = now + m.promise.travel;
                     if let Some(w) = m.window(&s.endpoint) {
                         w.add(s.at.min(latest), s.calls);
@@ -353,7 +360,7 @@
             }
         }
         for ((dest, endpoint), n) in open.into_iter().filter(|o| o.1 > 0) {
-            let Some(m) = self.members.get_mut(&dest) else { continue };
+            let Some(m) = self.destinations.get_mut(&dest) else { continue };
             let latest = now + m.promise.travel;
             if let Some(w) = m.window(&endpoint) {
                 w.add(latest, n);
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,22 +1,25 @@
-//! What a dispatcher promised of the limits of the members that it calls, and the keeping of it.
+//! Keeps a dispatcher within its share of the limits of the destinations that it sends to.
 //!
-//! A member takes so many calls in any span and so many connections to an endpoint, from everybody together. A
-//! dispatcher that runs beside an application is promised a part. [`Ceilings`] counts what goes out against that part:
-//! calls and probes alike, retries too, and connections whether busy or idle. It opens nothing and reads no clock: the
-//! host passes the time in and tells what it does. What does not fit is not sent; [`Ceilings::room`] says how much fits
-//! now and when more will, so that whoever decides can plan with it.
+//! A destination accepts a number of calls in any time span and a number of connections to an endpoint, from
+//! all its clients together. A dispatcher that runs next to an application is assigned a share of both.
+//! [`Ceilings`] counts what is sent against that share: calls and probes, including retries, and connections
+//! whether busy or idle. It opens no connection and reads no clock: the host passes the time in and reports
+//! what it does. What exceeds the share is not sent; [`Ceilings::room`] returns how much fits now and when
+//! more will, for planning.
 //!
 //! # How a call is counted
 //!
-//! A member counts a call when its last byte arrives, a time that nobody else sees. It lies between the moment at which
-//! the sender wrote that byte and a *travel* later. So a call takes its place when it is started, and gives it back a
-//! span after the latest moment at which it can have arrived. Places of calls that ended before their last byte was
-//! written are given back at once: they never were calls.
+//! A destination counts a call when its last byte arrives, at a time that the dispatcher cannot observe. That
+//! time lies between the moment at which the dispatcher wrote the byte and a *travel* time later. A call
+//! therefore occupies its place in the window from its start until a span after its latest possible arrival.
+//! A call that ended before its last byte was written never reached the destination, and its place is freed
+//! at once.
 //!
 //! # Restarts
 //!
-//! The host writes [`Spent`] down before anything goes out, and hands it to [`Ceilings::restore`] in the next process. A
-//! call of which only the start is known may have arrived up to the moment of the restart, and is counted so.
+//! The host records [`Spent`] before anything is sent, and passes the records to [`Ceilings::restore`] in the
+//! next process. A call of which only the start was recorded may have arrived at any time before the restart,
+//! and is counted as if it had arrived at the restart.
 #![forbid(unsafe_code)]
 
 mod ceilings;
@@ -26,5 +29,5 @@
 pub use ceilings::{Ceilings, Over, Promise, Room, Scope, Spent, Step};
 pub use window::Window;
 
-/// A time of the clock, or a span, in milliseconds.
+/// A point in time or a time span, in milliseconds.
 pub type Ms = f64;
--- a/crates/limits/src/ramp.rs
+++ b/crates/limits/src/ramp.rs
@@ -1,64 +1,70 @@
-//! Coming back: how fast calls to each member may begin again after a restart, and what is remembered for it.
+//! The ramp after a restart: how fast attempts at each destination may start again, and what is remembered
+//! for it.
 //!
-//! Most dispatchers of a fleet may come back at one moment and know nothing of each other. What each of them was served
-//! at just before was, together, what the members took: so each begins at its own former rate, and only what is beyond
-//! it (the backlog) has to be found out, slowly. Of a member without a past the rate is found by doubling; one that was away
-//! when the last life ended is tried by one call. A climb stands in for what the new process does not know yet: with the first
-//! call that is refused or not answered it has seen for itself, paces itself by that, and the climb is over. No clock, no
-//! randomness of its own.
+//! Many dispatchers of an installation may restart at the same moment without knowing of each other. The
+//! rates at which each of them was served before add up to what the destinations accepted. Each dispatcher
+//! therefore begins at its own former rate, and only the capacity beyond it, which the backlog needs, is
+//! probed slowly. For a destination without a known rate the allowed rate doubles each second. A destination
+//! that was unavailable at the end of the last incarnation is tested with a single attempt. The ramp replaces
+//! knowledge that the new process does not have yet: at the first attempt that is refused or gets no answer
+//! the ramp of that destination ends, because the process then has evidence of its own and paces itself by
+//! it. This module reads no clock and draws no random numbers.
 
 use crate::Ms;
 use std::collections::BTreeMap;
 
-/// Half-life of the rate that is remembered of a member.
-const RATE_HALF: Ms = 10_000.0;
-/// A life begins with so many times the rate of the last: a member that is served by a fleet has some room left.
-const HEADROOM: f64 = 1.2;
-/// Failures in a row without an answer after which a member is taken to be away.
-const AWAY_AFTER: u32 = 3;
-/// An old memory counts for less: for half after so long.
-const AGE_HALF: Ms = 120_000.0;
-/// Below this part an old memory is none.
-const AGE_LEAST: f64 = 0.1;
-/// Growth of the rate in a second beyond what is known to be taken,
-const GROW: f64 = 0.10;
-/// and where nothing is known and nothing was refused.
-const GROW_NEW: f64 = 1.0;
-/// When it has kept nothing back for so long the climb is over: what waits is fewer than what may go.
-const QUIET: Ms = 2_000.0;
-/// After so long it is over whatever is heard: the limits that hold at all times take over.
-const MOST_SPAN: Ms = 30_000.0;
-/// While a call that tries it is out, it is asked again after so long.
-const TRIAL_LOOK: Ms = 200.0;
-/// Calls that may go at once are those of so many seconds in which none came: arrivals have gaps.
-const BURST: f64 = 1.0;
-
-/// What is remembered of one member.
+/// Half-life of the remembered rate of a destination.
+const RATE_HALF_LIFE_MS: Ms = 10_000.0;
+/// Factor on the former rate at the start of an incarnation: a destination that serves an installation has
+/// some capacity left.
+const INITIAL_RATE_FACTOR: f64 = 1.2;
+/// Consecutive failures without an answer after which a destination counts as unavailable.
+const UNAVAILABLE_AFTER_FAILURES: u32 = 3;
+/// Half-life of the trust in remembered health data, by its age.
+const TRUST_HALF_LIFE_MS: Ms = 120_000.0;
+/// Below this trust, remembered health data is ignored.
+const MIN_TRUST: f64 = 0.1;
+/// Growth of the rate per second beyond the former rate, as a fraction.
+const GROWTH_PER_SECOND: f64 = 0.10;
+/// Growth of the rate per second, as a fraction, when no former rate is known.
+const UNKNOWN_RATE_GROWTH_PER_SECOND: f64 = 1.0;
+/// The ramp of a destination ends when it has held nothing back for this long: less is waiting than may be
+/// sent.
+const IDLE_END_MS: Ms = 2_000.0;
+/// The ramp ends after this time in any case; the permanent limits then apply alone.
+const MAX_DURATION_MS: Ms = 30_000.0;
+/// While the test attempt at a formerly unavailable destination is running, the room is checked again after
+/// this time.
+const TRIAL_RECHECK_MS: Ms = 200.0;
+/// Largest burst: what the current rate allows in this many seconds, because arrivals have gaps.
+const BURST_SECONDS: f64 = 1.0;
+
+/// The remembered health of a destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
-    /// Calls a second that it answered of late.
+    /// Attempts per second that it answered recently.
     pub rate: f64,
-    /// It was away since then: calls met no answer.
+    /// Since when it has been unavailable, if it is: attempts got no answer.
     pub away: Option<Ms>,
 }
 
-/// Keeps what is remembered of all members, from the ends of calls.
+/// Records the health of all destinations from the outcomes of attempts.
 #[derive(Debug, Clone, Default)]
 pub struct Memory(BTreeMap<String, (Health, Ms, u32)>);
 
 impl Memory {
-    /// A call ended with an answer of the member: it took it.
+    /// An attempt ended with an answer of the destination, which therefore accepted it.
     pub fn answered(&mut self, now: Ms, member: &str) {
         let (health, at, failed) = self.entry(now, member);
-        health.rate = health.rate * fade(now - *at) + std::f64::consts::LN_2 * 1000.0 / RATE_HALF;
+        health.rate = health.rate * decay(now - *at) + std::f64::consts::LN_2 * 1000.0 / RATE_HALF_LIFE_MS;
         (health.away, *at, *failed) = (None, now, 0);
     }
 
-    /// A call ended without any answer.
+    /// An attempt ended without any answer.
     pub fn silent(&mut self, now: Ms, member: &str) {
         let (health, _, failed) = self.entry(now, member);
         *failed += 1;
-        if *failed >= AWAY_AFTER {
+        if *failed >= UNAVAILABLE_AFTER_FAILURES {
             health.away.get_or_insert(now);
         }
     }
@@ -67,48 +73,49 @@
         if !self.0.contains_key(member) {
             self.0.insert(member.to_string(), (Health { rate: 0.0, away: None }, now, 0));
         }
-        self.0.get_mut(member).expect("it was put there")
+        self.0.get_mut(member).expect("the entry was inserted above")
     }
 
-    /// All of it, brought up to now. The rate of one that is away is that of before.
+    /// The health of all destinations as of now. For an unavailable one, the rate is that from before the
+    /// outage.
     pub fn all(&self, now: Ms) -> impl Iterator<Item = (&str, Health)> {
         self.0.iter().map(move |(member, (h, at, _))| {
             let until = h.away.unwrap_or(now).max(*at);
-            (member.as_str(), Health { rate: h.rate * fade(until - at), ..*h })
+            (member.as_str(), Health { rate: h.rate * decay(until - at), ..*h })
         })
     }
 
-    /// The same with the time of the newest evidence of each.
+    /// As [`Memory::all`], with the time of the newest evidence of each destination.
     pub fn learnt(&self, now: Ms) -> impl Iterator<Item = (&str, Health, Ms)> {
         let newest =
             move |member: &str| self.0.get(member).map_or(now, |(h, at, _)| h.away.unwrap_or(*at).max(*at));
         self.all(now).map(move |(member, health)| (member, health, newest(member)))
     }
 
-    /// Forgets members that are gone.
+    /// Forgets destinations that no longer exist.
     pub fn keep(&mut self, is_there: impl Fn(&str) -> bool) {
         self.0.retain(|member, _| is_there(member));
     }
 }
 
-fn fade(span: Ms) -> f64 {
-    0.5f64.powf(span.max(0.0) / RATE_HALF)
+fn decay(span: Ms) -> f64 {
+    0.5f64.powf(span.max(0.0) / RATE_HALF_LIFE_MS)
 }
 
-/// What the last life left of a member, and how old that is.
+/// Health data of a destination from the last incarnation or from a peer, with its age.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Former {
-    /// What was remembered.
+    /// The health data.
     pub health: Health,
-    /// How long ago; none: nobody can tell.
+    /// Its age; `None` if it is unknown.
     pub age: Option<Ms>,
 }
 
 impl Former {
-    /// How much it counts for: all of it when fresh, nothing when old.
+    /// The weight of the health data: 1 when fresh, 0 when too old.
     pub fn trust(&self) -> f64 {
-        let trust = self.age.map_or(AGE_LEAST, |age| 0.5f64.powf(age.max(0.0) / AGE_HALF));
-        if trust < AGE_LEAST {
+        let trust = self.age.map_or(MIN_TRUST, |age| 0.5f64.powf(age.max(0.0) / TRUST_HALF_LIFE_MS));
+        if trust < MIN_TRUST {
             0.0
         } else {
             trust
@@ -116,114 +123,117 @@
     }
 }
 
-/// One member's climb.
+/// The ramp of one destination.
 #[derive(Debug, Clone, Copy)]
-struct Climb {
+struct DestinationRamp {
     rate: f64,
-    /// Nothing was known of it.
-    new: bool,
+    /// No former rate is known.
+    rate_unknown: bool,
     tokens: f64,
     at: Ms,
-    /// It was away: one call until that is answered; true while it is out.
+    /// The destination was unavailable: only one attempt is allowed until one is answered; `true` while it is
+    /// running.
     trial: Option<bool>,
-    /// When it last had no room.
-    bound: Ms,
-    /// A call has gone to it in this life.
-    called: bool,
+    /// When it last held an attempt back.
+    last_limited: Ms,
+    /// An attempt was made in this incarnation.
+    attempted: bool,
 }
 
-/// The climbs of one life.
+/// The ramps of all destinations after a start.
 #[derive(Debug, Clone)]
 pub struct Ramp {
     began: Ms,
-    /// Calls a second to a member of which nothing is known.
+    /// Initial rate, in attempts per second, of a destination without a known rate.
     first: f64,
     former: BTreeMap<String, Former>,
-    climbs: BTreeMap<String, Option<Climb>>,
+    ramps: BTreeMap<String, Option<DestinationRamp>>,
 }
 
 impl Ramp {
-    /// A ramp for a life that begins now; `first`: calls a second to a member of which nothing is known.
+    /// Starts the ramp of a process that begins now; `first` is the initial rate, in attempts per second, of
+    /// a destination without a known rate.
     pub fn begin(now: Ms, first: f64, former: BTreeMap<String, Former>) -> Ramp {
-        Ramp { began: now, first: first.max(0.1), former, climbs: BTreeMap::new() }
+        Ramp { began: now, first: first.max(0.1), former, ramps: BTreeMap::new() }
     }
 
-    /// Is it over for all members, also for those that were not called yet?
+    /// Whether the ramp is over for all destinations, including those that had no attempt yet.
     pub fn is_over(&self, now: Ms) -> bool {
-        now - self.began >= MOST_SPAN
+        now - self.began >= MAX_DURATION_MS
     }
 
-    /// A member is listed; its climb begins. `draw`, from 0 up to 1, gives its first call a moment of its own within the
-    /// time of one.
+    /// Starts the ramp of a destination that is in the endpoint list. `draw` is a random number in [0, 1)
+    /// that spreads the first attempts of several dispatchers over the time of one attempt.
     pub fn listed(&mut self, now: Ms, member: &str, draw: f64) {
-        if self.is_over(now) || self.climbs.contains_key(member) {
+        if self.is_over(now) || self.ramps.contains_key(member) {
             return;
         }
         let former = self.former.get(member).copied();
-        let known = former.map_or(0.0, |f| f.trust() * f.health.rate) * HEADROOM;
+        let known = former.map_or(0.0, |f| f.trust() * f.health.rate) * INITIAL_RATE_FACTOR;
         let away = former.is_some_and(|f| f.health.away.is_some());
-        let climb = Climb {
+        let ramp = DestinationRamp {
             rate: known.max(self.first),
-            new: known < self.first,
+            rate_unknown: known < self.first,
             tokens: draw,
             at: now,
             trial: away.then_some(false),
-            bound: now,
-            called: false,
+            last_limited: now,
+            attempted: false,
         };
-        self.climbs.insert(member.to_string(), Some(climb));
+        self.ramps.insert(member.to_string(), Some(ramp));
     }
 
-    /// Another dispatcher says what it has learnt of the member. It counts where this one knows nothing fresher: before its own
-    /// first call of this life, and if its former life's memory is older.
-    pub fn told(&mut self, now: Ms, member: &str, told: Former) {
+    /// Takes over health data that a peer sent. It is used only if this dispatcher has nothing newer: before
+    /// its own first attempt in this incarnation, and if the data from its last incarnation is older.
+    pub fn told(&mut self, now: Ms, member: &str, received: Former) {
         let age = |f: &Former| f.age.unwrap_or(f64::MAX);
-        if self.former.get(member).is_some_and(|f| age(f) + now - self.began <= age(&told)) {
+        if self.former.get(member).is_some_and(|f| age(f) + now - self.began <= age(&received)) {
             return;
         }
-        self.former.insert(member.to_string(), told);
-        if let Some(Some(c)) = self.climbs.get_mut(member).filter(|c| c.is_some_and(|c| !c.called)) {
-            let known = told.trust() * told.health.rate * HEADROOM;
-            (c.rate, c.new) = (known.max(self.first), known < self.first);
-            c.trial = told.health.away.map(|_| false);
+        self.former.insert(member.to_string(), received);
+        if let Some(Some(c)) = self.ramps.get_mut(member).filter(|c| c.is_some_and(|c| !c.attempted)) {
+            let known = received.trust() * received.health.rate * INITIAL_RATE_FACTOR;
+            (c.rate, c.rate_unknown) = (known.max(self.first), known < self.first);
+            c.trial = received.health.away.map(|_| false);
             c.tokens = c.tokens.min(1.0);
         }
     }
 
-    /// Calls that may go to the member now, and when there is one more; none: as many as wanted.
+    /// The attempts that may start now, and when one more may; `None` if they are not restricted.
     pub fn room(&mut self, now: Ms, member: &str) -> Option<(u32, Ms)> {
-        let late = self.is_over(now);
-        let slot = self.climbs.get_mut(member)?;
-        let unbound = |c: &Climb| now - c.bound >= QUIET && c.trial.is_none();
-        if late || slot.as_ref().is_some_and(unbound) {
+        let over = self.is_over(now);
+        let slot = self.ramps.get_mut(member)?;
+        let idle = |c: &DestinationRamp| now - c.last_limited >= IDLE_END_MS && c.trial.is_none();
+        if over || slot.as_ref().is_some_and(idle) {
             *slot = None;
         }
         let c = slot.as_mut()?;
         c.grow(now);
         if c.trial == Some(true) {
-            c.bound = now;
-            return Some((0, now + TRIAL_LOOK));
+            c.last_limited = now;
+            return Some((0, now + TRIAL_RECHECK_MS));
         }
         let calls = c.tokens.max(0.0).floor();
         if calls < 1.0 {
-            c.bound = now;
+            c.last_limited = now;
         }
         let calls_now = if c.trial.is_some() { calls.min(1.0) } else { calls };
         Some((calls_now as u32, now + (calls + 1.0 - c.tokens) * 1_000.0 / c.rate))
     }
 
-    /// A call goes to the member.
+    /// An attempt starts.
     pub fn sent(&mut self, member: &str) {
-        if let Some(Some(c)) = self.climbs.get_mut(member) {
+        if let Some(Some(c)) = self.ramps.get_mut(member) {
             c.tokens -= 1.0;
-            c.called = true;
+            c.attempted = true;
             c.trial = c.trial.map(|_| true);
         }
     }
 
-    /// A call was answered: the member is there. `full`: it refused, for its limit or for want of room; the caller knows now.
+    /// An attempt was answered, so the destination is available. `full`: it refused, because of its limit or
+    /// for lack of capacity; the ramp ends, since the dispatcher now knows.
     pub fn heard(&mut self, now: Ms, member: &str, full: bool) {
-        match self.climbs.get_mut(member) {
+        match self.ramps.get_mut(member) {
             Some(slot) if full => *slot = None,
             Some(Some(c)) => {
                 c.grow(now);
@@ -233,29 +243,32 @@
         }
     }
 
-    /// A call met no answer: the caller knows now that the member is away, and how to try it.
+    /// An attempt got no answer: the ramp ends, since the dispatcher now knows that the destination is
+    /// unavailable and tests it in its own way.
     pub fn silent(&mut self, member: &str) {
-        if let Some(slot) = self.climbs.get_mut(member) {
+        if let Some(slot) = self.ramps.get_mut(member) {
             *slot = None;
         }
     }
 
-    /// A call ended and says nothing of the member: a trial is free for the next one.
+    /// An attempt ended without evidence about the destination: the next test attempt may start.
     pub fn unheard(&mut self, member: &str) {
-        if let Some(Some(c)) = self.climbs.get_mut(member) {
+        if let Some(Some(c)) = self.ramps.get_mut(member) {
             c.trial = c.trial.map(|_| false);
         }
     }
 }
 
-impl Climb {
+impl DestinationRamp {
     fn grow(&mut self, now: Ms) {
         let dt = (now - self.at).max(0.0) / 1_000.0;
         self.at = now;
-        self.tokens = (self.tokens + self.rate * dt).min((self.rate * BURST).max(1.0));
-        // While it is tried, more would be a guess.
+        self.tokens = (self.tokens + self.rate * dt).min((self.rate * BURST_SECONDS).max(1.0));
+        // The rate does not grow while the destination is tested: there is no evidence for more.
         if self.trial.is_none() {
-            self.rate *= (1.0 + if self.new { GROW_NEW } else { GROW }).powf(dt);
+            self.rate *= (1.0
+                + if self.rate_unknown { UNKNOWN_RATE_GROWTH_PER_SECOND } else { GROWTH_PER_SECOND })
+            .powf(dt);
         }
     }
 }
@@ -264,14 +277,20 @@
 mod tests {
     use super::*;
 
-    /// Sends whenever there is room, for so long; returns the times. `answer` says whether the member is full.
-    fn climb(ramp: &mut Ramp, from: Ms, until: Ms, mut full: impl FnMut(Ms) -> Option<bool>) -> Vec<Ms> {
+    /// Sends whenever there is room and returns the times. `answer` returns whether the destination refuses,
+    /// or `None` if it does not answer.
+    fn send_when_allowed(
+        ramp: &mut Ramp,
+        from: Ms,
+        until: Ms,
+        mut answer: impl FnMut(Ms) -> Option<bool>,
+    ) -> Vec<Ms> {
         let (mut sent, mut now) = (Vec::new(), from);
         while now < until {
             if ramp.room(now, "m").is_none_or(|r| r.0 > 0) {
                 ramp.sent("m");
                 sent.push(now);
-                match full(now) {
+                match answer(now) {
                     Some(full) => ramp.heard(now, "m", full),
                     None => ramp.silent("m"),
                 }
@@ -288,92 +307,100 @@
         ramp
     }
 
-    fn of(rate: f64, away: Option<Ms>, age: Ms) -> Option<Former> {
+    fn former(rate: f64, away: Option<Ms>, age: Ms) -> Option<Former> {
         Some(Former { health: Health { rate, away }, age: Some(age) })
     }
 
-    /// Guards against a backlog that goes out at once, and against a climb that never ends.
+    /// Guards against a backlog that is sent at once, and against a ramp that never ends.
     #[test]
-    fn a_life_begins_at_the_rate_of_the_last_and_climbs_slowly_beyond_it() {
-        let sent = climb(&mut ramp(of(10.0, None, 1_000.0)), 0.0, 3_000.0, |_| Some(false));
+    fn a_ramp_begins_at_the_former_rate_and_grows_slowly_beyond_it() {
+        let sent = send_when_allowed(&mut ramp(former(10.0, None, 1_000.0)), 0.0, 3_000.0, |_| Some(false));
         let first = sent.iter().filter(|t| **t < 1_000.0).count();
-        assert!((11..=14).contains(&first), "little more than the former rate in the first second: {first}");
-        assert!((36..=46).contains(&sent.len()), "a little more each second: {}", sent.len());
-        let mut r = ramp(of(10.0, None, 1_000.0));
-        climb(&mut r, 0.0, 4_000.0, |_| Some(false));
-        assert!(r.room(4_000.0, "m").is_some(), "on while it keeps calls back");
+        assert!((11..=14).contains(&first), "slightly above the former rate in the first second: {first}");
+        assert!((36..=46).contains(&sent.len()), "slow growth each second: {}", sent.len());
+        let mut r = ramp(former(10.0, None, 1_000.0));
+        send_when_allowed(&mut r, 0.0, 4_000.0, |_| Some(false));
+        assert!(r.room(4_000.0, "m").is_some(), "the ramp continues while it holds attempts back");
         (0..=30).for_each(|n| {
             r.room(4_000.0 + 100.0 * f64::from(n), "m");
         });
-        assert_eq!(r.room(7_100.0, "m"), None, "over when nothing waits for it");
+        assert_eq!(r.room(7_100.0, "m"), None, "the ramp ends when nothing waits for it");
     }
 
-    /// Guards against a climb that goes on beside what the process has seen for itself.
+    /// Guards against a ramp that continues although the process has evidence of its own.
     #[test]
-    fn with_the_first_refusal_or_silence_it_is_over() {
-        let mut r = ramp(of(20.0, None, 1_000.0));
+    fn the_ramp_ends_with_the_first_refusal_or_missing_answer() {
+        let mut r = ramp(former(20.0, None, 1_000.0));
         assert!(r.room(100.0, "m").is_some());
         r.heard(110.0, "m", true);
         assert_eq!(r.room(120.0, "m"), None);
-        let mut r = ramp(of(20.0, None, 1_000.0));
+        let mut r = ramp(former(20.0, None, 1_000.0));
         r.sent("m");
         r.silent("m");
         assert_eq!(r.room(120.0, "m"), None);
-        assert!(r.room(120.0, "never listed").is_none() && r.is_over(MOST_SPAN));
+        assert!(r.room(120.0, "never listed").is_none() && r.is_over(MAX_DURATION_MS));
     }
 
-    /// Guards against a crowd at a member that was away when the last life ended.
+    /// Guards against many simultaneous attempts at a destination that was unavailable when the last
+    /// incarnation ended.
     #[test]
-    fn one_that_was_away_is_tried_by_one_call_until_it_answers() {
-        let mut r = ramp(of(20.0, Some(1.0), 1_000.0));
+    fn an_unavailable_destination_gets_one_attempt_until_it_answers() {
+        let mut r = ramp(former(20.0, Some(1.0), 1_000.0));
         assert_eq!(r.room(100.0, "m").map(|r| r.0), Some(1));
         r.sent("m");
-        assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(0), "one is out");
+        assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(0), "the test attempt is running");
         r.unheard("m");
-        assert_eq!(r.room(910.0, "m").map(|r| r.0), Some(1), "it was called off: the next try");
+        assert_eq!(
+            r.room(910.0, "m").map(|r| r.0),
+            Some(1),
+            "the test attempt was cancelled: the next one may start"
+        );
         r.sent("m");
         r.heard(950.0, "m", false);
-        assert!(r.room(960.0, "m").is_some_and(|r| r.0 > 10), "it is there");
+        assert!(r.room(960.0, "m").is_some_and(|r| r.0 > 10), "the destination is available");
     }
 
-    /// Guards against a crowd at a member that another dispatcher knows to be away, and against an old word that wins.
+    /// Guards against many attempts at a destination that a peer knows to be unavailable, and against older
+    /// health data that replaces newer.
     #[test]
-    fn what_another_has_learnt_counts_where_nothing_fresher_is_known() {
-        let away = of(40.0, Some(0.0), 100.0).unwrap();
+    fn health_data_of_a_peer_is_used_if_nothing_newer_is_known() {
+        let away = former(40.0, Some(0.0), 100.0).unwrap();
         let mut r = ramp(None);
         r.told(0.0, "m", away);
-        assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(1), "one call tries it");
-        let mut r = ramp(of(20.0, None, 50.0));
+        assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(1), "one attempt tests it");
+        let mut r = ramp(former(20.0, None, 50.0));
         r.told(0.0, "m", away);
-        assert!(r.room(900.0, "m").is_some_and(|r| r.0 > 10), "its own memory is fresher");
+        assert!(r.room(900.0, "m").is_some_and(|r| r.0 > 10), "its own data is newer");
         let mut r = ramp(None);
         r.sent("m");
         r.told(0.0, "m", away);
-        assert!(r.room(1_900.0, "m").is_some_and(|r| r.0 > 1), "it sees for itself");
+        assert!(r.room(1_900.0, "m").is_some_and(|r| r.0 > 1), "it has evidence of its own");
     }
 
-    /// Guards against an old memory taken for a fresh one, and a new member that is never found out.
+    /// Guards against old health data that is treated as fresh, and against a new destination whose rate
+    /// never grows.
     #[test]
-    fn what_is_old_counts_for_less_and_nothing_known_doubles() {
-        let in_a_second = |f: Option<Former>| climb(&mut ramp(f), 0.0, 1_000.0, |_| Some(false)).len();
-        let (fresh, old) = (in_a_second(of(40.0, None, 0.0)), in_a_second(of(40.0, None, 240_000.0)));
-        assert!(old * 3 < fresh, "{old} of {fresh}");
+    fn old_health_data_counts_for_less_and_an_unknown_rate_doubles() {
+        let in_a_second =
+            |f: Option<Former>| send_when_allowed(&mut ramp(f), 0.0, 1_000.0, |_| Some(false)).len();
+        let (fresh, old) = (in_a_second(former(40.0, None, 0.0)), in_a_second(former(40.0, None, 240_000.0)));
+        assert!(old * 3 < fresh, "{old} with old data, {fresh} with fresh data");
         let unsure = Former { health: Health { rate: 40.0, away: None }, age: None };
-        assert!(in_a_second(Some(unsure)) < 8, "of an age that nobody can tell");
-        let sent = climb(&mut ramp(None), 0.0, 3_900.0, |_| Some(false));
-        assert!(sent.len() > 25, "it doubles each second: {}", sent.len());
+        assert!(in_a_second(Some(unsure)) < 8, "data of unknown age");
+        let sent = send_when_allowed(&mut ramp(None), 0.0, 3_900.0, |_| Some(false));
+        assert!(sent.len() > 25, "the rate doubles each second: {}", sent.len());
     }
 
     #[test]
-    fn the_memory_is_the_rate_of_late_and_that_of_before_an_outage() {
+    fn the_memory_keeps_the_recent_rate_and_the_rate_before_an_outage() {
         let mut m = Memory::default();
         (0..300).for_each(|n| m.answered(f64::from(n) * 100.0, "m"));
         let health = |m: &Memory, now: Ms| m.all(now).next().unwrap().1;
         assert!((health(&m, 30_000.0).rate - 10.0).abs() < 1.5, "{:?}", health(&m, 30_000.0));
-        assert!(health(&m, 50_000.0).rate < 3.0, "nothing came for 20 s");
+        assert!(health(&m, 50_000.0).rate < 3.0, "no answers for 20 s");
         (0..3).for_each(|_| m.silent(30_100.0, "m"));
         assert_eq!(health(&m, 50_000.0).away, Some(30_100.0));
-        assert!(health(&m, 50_000.0).rate > 8.0, "what it took before it went away");
+        assert!(health(&m, 50_000.0).rate > 8.0, "the rate before the outage");
         m.answered(50_000.0, "m");
         assert_eq!(health(&m, 50_000.0).away, None);
         m.keep(|_| false);
--- a/crates/limits/src/window.rs
+++ b/crates/limits/src/window.rs
@@ -1,49 +1,51 @@
-//! The count of calls in any span.
+//! A sliding window that counts calls in any time span.
 
 use crate::Ms;
 use std::collections::VecDeque;
 
-/// A span is kept in so many parts: a call's place may come back later by that part of the span, never sooner. Bounds
-/// what a window needs, however many calls its span may hold.
-const PARTS: f64 = 512.0;
+/// Number of parts of a span: a place may be freed late by one part of the span, never early. It bounds
+/// the memory of a window, however many calls its span may hold.
+const PARTS_PER_SPAN: f64 = 512.0;
 
-/// So many calls in any span, counted from their latest possible arrival.
+/// A limit of calls in any time span, counted from their latest possible arrival.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Window {
     calls: u32,
     span: Ms,
     travel: Ms,
-    /// Started, and their last byte not known to be out.
+    /// Calls that were started and whose last byte is not known to be written.
     open: u32,
-    /// By the latest moment at which they can have arrived, oldest first; how many.
+    /// The calls that may have arrived, as pairs of the latest possible arrival and the number of calls,
+    /// oldest first.
     arrived: VecDeque<(Ms, u32)>,
-    /// Calls in `arrived`.
+    /// Total number of calls in `arrived`.
     count: u32,
 }
 
 impl Window {
-    /// At most `calls` in any `span`; a call arrives at most `travel` after its last byte was written (milliseconds).
+    /// At most `calls` in any `span`; a call arrives at most `travel` after its last byte was written (both
+    /// in milliseconds).
     pub fn new(calls: u32, span: Ms, travel: Ms) -> Window {
         Window { calls, span, travel, open: 0, arrived: VecDeque::new(), count: 0 }
     }
 
-    /// Calls that any span may hold.
+    /// The number of calls that any span may hold.
     pub fn calls(&self) -> u32 {
         self.calls
     }
 
-    /// Calls that were started and whose last byte is not known to be out.
+    /// Calls that were started and whose last byte is not known to be written.
     pub fn open(&self) -> u32 {
         self.open
     }
 
-    /// Calls that have arrived within the span, as far as can be told, with the latest moment of each.
+    /// Calls that may have arrived within the span, each with the latest possible time.
     pub fn arrived(&self) -> impl Iterator<Item = (Ms, u32)> + '_ {
         self.arrived.iter().copied()
     }
 
-    /// Gives places back whose span is over.
-    fn pass(&mut self, now: Ms) {
+    /// Frees the places of calls whose span has passed.
+    fn expire(&mut self, now: Ms) {
         while let Some((at, n)) = self.arrived.front().copied().filter(|(at, _)| at + self.span <= now) {
             debug_assert!(at.is_finite());
             self.arrived.pop_front();
@@ -51,20 +53,20 @@
         }
     }
 
-    /// How many calls may start now.
+    /// The number of calls that may start now.
     pub fn room(&mut self, now: Ms) -> u32 {
-        self.pass(now);
+        self.expire(now);
         self.calls.saturating_sub(self.open.saturating_add(self.count))
     }
 
-    /// Starts a call if there is a place for it.
+    /// Starts a call if there is room; returns whether it did.
     pub fn take(&mut self, now: Ms) -> bool {
         let free = self.room(now) > 0;
         self.open += u32::from(free);
         free
     }
 
-    /// The last byte of a started call is out.
+    /// The last byte of a started call has been written.
     pub fn written(&mut self, now: Ms) {
         if let Some(open) = self.open.checked_sub(1) {
             self.open = open;
@@ -72,24 +74,24 @@
         }
     }
 
-    /// A started call ended before its last byte was out: it never was one.
-    pub fn give_back(&mut self) {
+    /// A started call ended before its last byte was written, so it never reached the destination.
+    pub fn cancel(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Counts calls that can have arrived up to that moment.
+    /// Counts `n` calls that may have arrived up to `at`.
     pub fn add(&mut self, at: Ms, n: u32) {
-        let part = |t: Ms| (t * PARTS / self.span.max(f64::MIN_POSITIVE)).floor();
+        let bucket = |t: Ms| (t * PARTS_PER_SPAN / self.span.max(f64::MIN_POSITIVE)).floor();
         self.count = self.count.saturating_add(n);
         match self.arrived.back_mut() {
-            // Times come in order but for what a restart hands over; a later moment is the careful one.
-            Some(last) if part(last.0) >= part(at) => *last = (last.0.max(at), last.1.saturating_add(n)),
+            // Times are in order except for restored ones; merging into a later time is the safe direction.
+            Some(last) if bucket(last.0) >= bucket(at) => *last = (last.0.max(at), last.1.saturating_add(n)),
             _ => self.arrived.push_back((at, n)),
         }
     }
 
-    /// When a call could start that has `ahead` others before it, if each of those goes as soon as it may. A place that
-    /// is held by a call still being written is taken to come back a travel and a span from now.
+    /// When a call with `ahead` others before it could start, if each of those starts as soon as it may. A
+    /// call that is still being written is assumed to free its place a travel time and a span from now.
     pub fn when(&mut self, now: Ms, ahead: u32) -> Ms {
         let room = self.room(now);
         if ahead < room {
@@ -98,39 +100,40 @@
         if self.calls == 0 {
             return f64::MAX;
         }
-        // Whole rounds of the window go by first; the rest waits for the places of those that are in it now.
-        let turn = ahead - room;
-        let (rounds, mut rest) = (turn / self.calls, turn % self.calls);
+        // Whole rounds of the window pass first; the remainder waits for the places that are occupied now.
+        let position = ahead - room;
+        let (rounds, mut remaining) = (position / self.calls, position % self.calls);
         let later = f64::from(rounds) * (self.span + self.travel);
-        // After a restart or a cut of the promise there may be more in it than it holds.
-        rest = rest.saturating_add((self.open.saturating_add(self.count)).saturating_sub(self.calls));
+        // After a restart or a reduction of the limit the window may hold more than its limit.
+        remaining =
+            remaining.saturating_add((self.open.saturating_add(self.count)).saturating_sub(self.calls));
         for (at, n) in &self.arrived {
-            match rest.checked_sub(*n) {
-                Some(left) => rest = left,
+            match remaining.checked_sub(*n) {
+                Some(left) => remaining = left,
                 None => return at + self.span + later,
             }
         }
         now + self.travel + self.span + later
     }
 
-    /// The promise changes while calls are in the window. Where the new span is longer, what has been forgotten since
-    /// is taken to have been all that the old promise allowed.
+    /// Changes the limit while calls are in the window. If the new span is longer, the time that was already
+    /// forgotten is assumed to have held all the calls that the old limit allowed.
     pub fn change(&mut self, now: Ms, calls: u32, span: Ms, travel: Ms) {
-        self.pass(now);
+        self.expire(now);
         if span > self.span {
             let spans = ((span - self.span) / self.span.max(1.0)).ceil().min(f64::from(u32::MAX)) as u32;
-            let unknown = spans.saturating_mul(self.calls);
-            if unknown > 0 {
-                self.arrived.push_front((now - self.span, unknown));
-                self.count = self.count.saturating_add(unknown);
+            let assumed = spans.saturating_mul(self.calls);
+            if assumed > 0 {
+                self.arrived.push_front((now - self.span, assumed));
+                self.count = self.count.saturating_add(assumed);
             }
         }
         (self.calls, self.span, self.travel) = (calls, span, travel);
     }
 
-    /// Nothing is in it: it need not be kept.
+    /// Whether the window holds no call and need not be kept.
     pub fn is_idle(&mut self, now: Ms) -> bool {
-        self.pass(now);
+        self.expire(now);
         self.open == 0 && self.arrived.is_empty()
     }
 }
@@ -139,22 +142,22 @@
 mod tests {
     use super::*;
 
-    /// Guards against a place that comes back while its call can still count at the member.
+    /// Guards against a place that is freed while its call can still count at the destination.
     #[test]
-    fn a_place_comes_back_a_span_after_the_latest_arrival() {
+    fn a_place_is_freed_a_span_after_the_latest_arrival() {
         let mut w = Window::new(2, 1_000.0, 50.0);
         assert!(w.take(0.0) && w.take(0.0) && !w.take(0.0));
         w.written(100.0);
         assert_eq!((w.room(1_149.0), w.when(1_149.0, 0)), (0, 1_150.0));
         assert_eq!(w.room(1_150.0), 1);
-        // The other one is still being written: its place stays taken.
+        // The other call is still being written: its place stays occupied.
         assert!(w.take(1_150.0) && !w.take(60_000.0));
-        w.give_back();
+        w.cancel();
         assert!(w.take(60_000.0));
     }
 
     #[test]
-    fn the_wait_counts_those_ahead_and_whole_rounds() {
+    fn the_wait_includes_calls_ahead_and_whole_rounds() {
         let mut w = Window::new(2, 1_000.0, 0.0);
         for t in [0.0, 400.0] {
             assert!(w.take(t));
@@ -165,9 +168,9 @@
         assert_eq!(Window::new(0, 1.0, 0.0).when(0.0, 0), f64::MAX);
     }
 
-    /// Guards against memory that grows with the limit: a million calls in an hour.
+    /// Guards against memory use that grows with the limit: a million calls in an hour.
     #[test]
-    fn a_large_window_stays_small_and_careful() {
+    fn a_large_window_needs_little_memory_and_frees_no_place_early() {
         let mut w = Window::new(1_000_000, 3_600_000.0, 10.0);
         for n in 0..200_000 {
             let now = f64::from(n) * 18.0;
@@ -179,7 +182,7 @@
     }
 
     #[test]
-    fn a_longer_span_takes_the_forgotten_past_for_full() {
+    fn a_longer_span_assumes_that_the_forgotten_time_was_full() {
         let mut w = Window::new(3, 1_000.0, 0.0);
         w.change(10_000.0, 9, 3_000.0, 0.0);
         assert_eq!(w.room(10_000.0), 3);
--- a/crates/limits/tests/any_span.rs
+++ b/crates/limits/tests/any_span.rs
@@ -1,4 +1,5 @@
-//! Whatever is asked, delayed, killed and changed: no span at the member holds more than was promised.
+//! No span at the destination ever holds more calls than the limit, over arbitrary requests, delays, crashes
+//! and changes of the limits.
 
 use lilacbank_limits::{Ceilings, Promise, Scope, Spent, Step};
 use proptest::prelude::*;
@@ -17,8 +18,8 @@
     }
 }
 
-/// The most arrivals in any span, half open.
-fn worst(arrivals: &[f64], span: f64) -> usize {
+/// The largest number of arrivals in any half-open span.
+fn max_in_span(arrivals: &[f64], span: f64) -> usize {
     let mut times = arrivals.to_vec();
     times.sort_by(f64::total_cmp);
     (0..times.len())
@@ -28,66 +29,69 @@
 }
 
 #[derive(Debug, Clone)]
-enum Deed {
-    /// Tries to start a call at an endpoint; its writing and travel take parts of their most.
-    Try { endpoint: usize, write: f64, travel: f64, fails: bool },
-    /// Time goes by.
+enum Operation {
+    /// Tries to start a call at an endpoint; writing it and its way to the destination take the given times.
+    TryCall { endpoint: usize, write: f64, travel: f64, fails: bool },
+    /// Lets time pass.
     Pass(f64),
-    /// The process is killed and started again so much later; calls half written are lost.
+    /// Kills the process and starts it again after the given time; calls that are being written are lost.
     Kill(f64),
-    /// The journal is written anew.
+    /// Compacts the journal.
     Compact,
 }
 
-fn deed() -> impl Strategy<Value = Deed> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         8 => (0usize..3, 0.0..300.0, 0.0..TRAVEL, prop::bool::weighted(0.1))
-            .prop_map(|(endpoint, write, travel, fails)| Deed::Try { endpoint, write, travel, fails }),
-        4 => (0.0..250.0).prop_map(Deed::Pass),
-        1 => (0.0..900.0).prop_map(Deed::Kill),
-        1 => Just(Deed::Compact),
+            .prop_map(|(endpoint, write, travel, fails)| {
+                Operation::TryCall { endpoint, write, travel, fails }
+            }),
+        4 => (0.0..250.0).prop_map(Operation::Pass),
+        1 => (0.0..900.0).prop_map(Operation::Kill),
+        1 => Just(Operation::Compact),
     ]
 }
 
-struct Out {
+struct RunningCall {
     endpoint: usize,
     written_at: f64,
     travel: f64,
     fails: bool,
 }
 
-/// A host: writes down before it sends, and can be killed at any moment.
+/// A host that records each step before it sends, and that can be killed at any moment.
 struct Host {
     ceilings: Ceilings,
     promise: Promise,
     journal: Vec<Spent>,
-    out: Vec<Out>,
+    running: Vec<RunningCall>,
     arrivals: Vec<(usize, f64)>,
     now: f64,
-    /// A restart that forgets shows that the test can fail.
-    forgets: bool,
+    /// Skips the restore after a restart, to show that the test can fail.
+    skip_restore: bool,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 impl Host {
-    fn note(&mut self, endpoint: usize, step: Step) {
+    fn record(&mut self, endpoint: usize, step: Step) {
         self.journal.extend(self.ceilings.record(self.now, 1, NAMES[endpoint], step));
     }
 
-    fn settle(&mut self, to: f64) {
+    fn advance_to(&mut self, to: f64) {
         loop {
-            let next = (0..self.out.len()).filter(|i| self.out[*i].written_at <= to);
-            let next = next.min_by(|a, b| self.out[*a].written_at.total_cmp(&self.out[*b].written_at));
+            let next = (0..self.running.len()).filter(|i| self.running[*i].written_at <= to);
+            let next =
+                next.min_by(|a, b| self.running[*a].written_at.total_cmp(&self.running[*b].written_at));
             let Some(i) = next else { break };
-            let o = self.out.swap_remove(i);
+            let o = self.running.swap_remove(i);
             self.now = self.now.max(o.written_at);
             if o.fails {
-                self.note(o.endpoint, Step::GivenBack);
+                self.record(o.endpoint, Step::GivenBack);
             } else {
-                // The bytes leave before the host says so.
+                // The bytes leave before the host reports them.
                 self.arrivals.push((o.endpoint, self.now + o.travel));
-                self.note(o.endpoint, Step::Written);
+                self.record(o.endpoint, Step::Written);
                 self.ceilings.written(self.now, 1, NAMES[o.endpoint]);
             }
             self.ceilings.ended(1, NAMES[o.endpoint], !o.fails);
@@ -95,105 +99,119 @@
         self.now = self.now.max(to);
     }
 
-    fn run(&mut self, deeds: &[Deed]) {
-        for d in deeds {
+    fn run(&mut self, operations: &[Operation]) {
+        for d in operations {
             match d.clone() {
-                Deed::Pass(t) => self.settle(self.now + t),
-                Deed::Compact => self.journal = self.ceilings.spent(self.now),
-                Deed::Try { endpoint, write, travel, fails } => {
+                Operation::Pass(t) => self.advance_to(self.now + t),
+                Operation::Compact => self.journal = self.ceilings.spent(self.now),
+                Operation::TryCall { endpoint, write, travel, fails } => {
                     let room = self.ceilings.room(self.now, 1, NAMES[endpoint]).unwrap();
                     let took = self.ceilings.take(self.now, 1, NAMES[endpoint]);
                     assert_eq!(took.is_ok(), room.calls > 0 && room.links_left > 0);
                     match took {
                         Ok(()) => {
-                            self.note(endpoint, Step::Started);
-                            self.out.push(Out { endpoint, written_at: self.now + write, travel, fails });
+                            self.record(endpoint, Step::Started);
+                            self.running.push(RunningCall {
+                                endpoint,
+                                written_at: self.now + write,
+                                travel,
+                                fails,
+                            });
                         }
                         Err(over) => assert!(over.wait > 0.0),
                     }
                 }
-                Deed::Kill(away) => {
-                    // What was being written may have got out just before, unreported.
-                    for o in self.out.drain(..) {
+                Operation::Kill(downtime) => {
+                    // A call that was being written may have been sent completely just before, without a
+                    // report.
+                    for o in self.running.drain(..) {
                         self.arrivals.push((o.endpoint, self.now + o.travel));
                     }
-                    self.now += away;
+                    self.now += downtime;
                     self.ceilings = Ceilings::new([self.promise.clone()]);
-                    if !self.forgets {
+                    if !self.skip_restore {
                         self.ceilings.restore(self.now, self.journal.clone());
                     }
                     self.journal = self.ceilings.spent(self.now);
                 }
             }
         }
-        self.settle(self.now + 1_000.0);
+        self.advance_to(self.now + 1_000.0);
     }
 
-    fn worst(&self) -> usize {
+    fn max_in_span(&self) -> usize {
         let of = |e: usize| self.arrivals.iter().filter(|a| a.0 == e).map(|a| a.1).collect::<Vec<_>>();
         match self.promise.scope {
-            Scope::Member => worst(&self.arrivals.iter().map(|a| a.1).collect::<Vec<_>>(), self.promise.span),
-            Scope::Endpoint => (0..3).map(|e| worst(&of(e), self.promise.span)).max().unwrap_or(0),
+            Scope::Member => {
+                max_in_span(&self.arrivals.iter().map(|a| a.1).collect::<Vec<_>>(), self.promise.span)
+            }
+            Scope::Endpoint => (0..3).map(|e| max_in_span(&of(e), self.promise.span)).max().unwrap_or(0),
         }
     }
 }
 
-fn host(p: Promise, forgets: bool) -> Host {
+fn host(p: Promise, skip_restore: bool) -> Host {
     Host {
         ceilings: Ceilings::new([p.clone()]),
         promise: p,
         journal: Vec::new(),
-        out: Vec::new(),
+        running: Vec::new(),
         arrivals: Vec::new(),
         now: 0.0,
-        forgets,
+        skip_restore,
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
-    /// Guards against a span that holds more: by travel, by restarts, by calls that were half written, by compaction.
+    /// Guards against a span that holds too many calls because of the travel time, a restart, a call that was
+    /// being written, or a compaction.
     #[test]
-    fn no_span_holds_more_than_was_promised(
+    fn no_span_holds_more_calls_than_the_limit(
         calls in 1u32..9,
         span in 50.0..2_000.0,
         each in prop::bool::ANY,
-        deeds in prop::collection::vec(deed(), 1..250),
+        operations in prop::collection::vec(operation(), 1..250),
     ) {
         let scope = if each { Scope::Endpoint } else { Scope::Member };
         let mut h = host(promise(calls, span, scope), false);
-        h.run(&deeds);
-        prop_assert!(h.worst() <= calls as usize, "{} calls in a span that may hold {}", h.worst(), calls);
+        h.run(&operations);
+        prop_assert!(
+            h.max_in_span() <= calls as usize,
+            "{} calls in a span that may hold {}",
+            h.max_in_span(),
+            calls
+        );
     }
 }
 
-/// Shows that the property can fail: a restart that forgets opens a second allowance.
+/// Shows that the property can fail: a restart that forgets the calls allows the whole limit a second time.
 #[test]
-fn a_restart_that_forgets_is_found() {
-    let call = Deed::Try { endpoint: 0, write: 1.0, travel: 1.0, fails: false };
-    let burst: Vec<Deed> = (0..4).flat_map(|_| [call.clone(), Deed::Pass(2.0)]).collect();
-    let deeds = [burst.clone(), vec![Deed::Kill(10.0)], burst].concat();
-    for (forgets, most) in [(false, 4), (true, 8)] {
-        let mut h = host(promise(4, 1_000.0, Scope::Member), forgets);
-        h.run(&deeds);
-        assert_eq!(h.worst(), most);
+fn a_restart_without_restore_is_detected() {
+    let call = Operation::TryCall { endpoint: 0, write: 1.0, travel: 1.0, fails: false };
+    let burst: Vec<Operation> = (0..4).flat_map(|_| [call.clone(), Operation::Pass(2.0)]).collect();
+    let operations = [burst.clone(), vec![Operation::Kill(10.0)], burst].concat();
+    for (skip_restore, most) in [(false, 4), (true, 8)] {
+        let mut h = host(promise(4, 1_000.0, Scope::Member), skip_restore);
+        h.run(&operations);
+        assert_eq!(h.max_in_span(), most);
     }
 }
 
-/// Guards against a ceiling that is kept by sending next to nothing: steady demand gets nearly all of its share.
+/// Guards against a limiter that allows far less than the limit: steady demand gets nearly all of it.
 #[test]
 fn steady_demand_gets_its_share() {
     let mut h = host(promise(10, 1_000.0, Scope::Member), false);
-    let call = Deed::Try { endpoint: 0, write: 0.0, travel: 0.0, fails: false };
-    h.run(&vec![[call, Deed::Pass(5.0)]; 6_000].concat());
+    let call = Operation::TryCall { endpoint: 0, write: 0.0, travel: 0.0, fails: false };
+    h.run(&vec![[call, Operation::Pass(5.0)]; 6_000].concat());
     let rate = h.arrivals.len() as f64 / 30.0;
-    assert!((9.3..=10.0).contains(&rate), "{rate} a second of 10");
+    assert!((9.3..=10.0).contains(&rate), "{rate} calls per second of 10");
 }
 
-/// Guards against a change of what is counted that opens a second allowance.
+/// Guards against a change of the scope that allows the whole limit a second time.
 #[test]
-fn windows_that_are_joined_or_divided_keep_what_has_gone_out() {
+fn a_change_of_scope_keeps_the_counted_calls() {
     for (from, to) in [(Scope::Member, Scope::Endpoint), (Scope::Endpoint, Scope::Member)] {
         let mut c = Ceilings::new([promise(3, 1_000.0, from)]);
         for endpoint in ["a", "a", "b"] {
@@ -207,9 +225,10 @@
     }
 }
 
-/// Guards against connections over the promise, and against a place that is lost for good when a call ends.
+/// Guards against more connections than the limit, and against connections that are never freed when calls
+/// end.
 #[test]
-fn connections_are_bounded_and_come_back() {
+fn connections_are_limited_and_freed() {
     let p = Promise { calls: None, ..promise(1, 1.0, Scope::Member) };
     let mut c = Ceilings::new([p]);
     for _ in 0..50 {
@@ -217,5 +236,5 @@
         assert!(c.take(0.0, 1, "a").is_err() && c.room(0.0, 1, "b").unwrap().links_left == 6);
         (0..6).for_each(|_| c.ended(1, "a", true));
     }
-    assert!(c.take(0.0, 2, "x").is_ok(), "nothing is promised of other destinations");
+    assert!(c.take(0.0, 2, "x").is_ok(), "other destinations have no limit");
 }
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -121,7 +121,7 @@
 /// Health data of a destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Learnt {
-    /// Messages per second that the destination answered recently, as measured by the dispatcher that reports
+    /// Attempts per second that the destination answered recently, as measured by the dispatcher that reports
     /// it.
     pub rate: f64,
     /// Since when the destination has been unavailable, if it is.
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -145,7 +145,7 @@
     /// The name of the destination.
     #[prost(string, tag = "1")]
     pub member: String,
-    /// Messages per second that it answered recently.
+    /// Attempts per second that it answered recently.
     #[prost(double, tag = "2")]
     pub rate: f64,
     /// For how many milliseconds it has been unavailable, if it is.
