--- a/crates/cells/src/bulkhead.rs
+++ b/crates/cells/src/bulkhead.rs
@@ -5,8 +5,8 @@
 //! ran, may all be lent: when the owner needs one, [`Pool::take`] names the cell that must return one. Units
 //! that cannot be revoked, such as the slot of a running attempt, are lent only beyond a reserve for each
 //! idle owner and beyond what that owner has needed recently ([`Pool::keep`]). An owner with steady load
-//! therefore never waits. An owner whose load rises finds the reserve at once and the rest as the borrowers'
-//! attempts end; until then no returned unit is lent again.
+//! therefore never waits. An owner whose load rises finds the reserve at once and the remainder as the
+//! borrowers' attempts end; until then no returned unit is lent again.
 
 /// A cell, by its index in the cell map.
 pub type CellNo = usize;
@@ -266,7 +266,7 @@
         let taken = (0..40).filter(|_| pool.take(0).given()).count();
         assert_eq!(taken, 15, "half of the other share is reserved");
         assert!((0..5).all(|_| pool.take(1) == Grant::Own));
-        assert_eq!(pool.take(1), Grant::Full, "the rest comes as borrowed units are returned,");
+        assert_eq!(pool.take(1), Grant::Full, "further units are free only when borrowed ones are returned,");
         pool.give(0);
         assert_eq!(pool.take(0), Grant::Full, "and they are not lent to the borrower again");
         assert_eq!(pool.take(1), Grant::Own);
--- a/crates/cells/src/moving.rs
+++ b/crates/cells/src/moving.rs
@@ -269,8 +269,8 @@
     fn begin_move(&self, to: Node) -> Result<Transition<C>, Refused> {
         match &self.phase {
             Phase::Settled => {
-                let seat = Seat { epoch: self.epoch, phase: Phase::Draining { to } };
-                Ok((seat, vec![Order::Drain]))
+                let state = Seat { epoch: self.epoch, phase: Phase::Draining { to } };
+                Ok((state, vec![Order::Drain]))
             }
             Phase::Away { at } if *at == Some(to) => Err(Refused::Here),
             Phase::Away { .. } | Phase::Received { .. } => Err(Refused::NotOwner),
@@ -320,8 +320,8 @@
     fn on_drained(&self, contents: C) -> Transition<C> {
         let Phase::Draining { to } = &self.phase else { return self.unchanged() };
         let offer = Word::Offer { epoch: self.epoch + 1, contents: contents.clone() };
-        let seat = Seat { epoch: self.epoch, phase: Phase::Offered { to: *to, contents } };
-        (seat, vec![Order::Tell(*to, offer)])
+        let state = Seat { epoch: self.epoch, phase: Phase::Offered { to: *to, contents } };
+        (state, vec![Order::Tell(*to, offer)])
     }
 
     /// The commit point: from here on the tenant belongs to the receiver.
@@ -353,11 +353,11 @@
                 Phase::Offered { to, .. }
                     if *to == from && (epoch == self.epoch + 1 || faults.ignore_epochs) =>
                 {
-                    let (seat, orders) = self.commit(from);
+                    let (state, orders) = self.commit(from);
                     if faults.forget_before_ack {
-                        return (Seat { epoch: seat.epoch, phase: Phase::Away { at: Some(from) } }, orders);
+                        return (Seat { epoch: state.epoch, phase: Phase::Away { at: Some(from) } }, orders);
                     }
-                    (seat, orders)
+                    (state, orders)
                 }
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => {
                     self.reply(from, Word::Commit { epoch })
@@ -418,11 +418,11 @@
         let again = epoch == self.epoch && matches!(self.phase, Phase::Away { .. });
         if idle && (epoch > self.epoch || again || faults.ignore_epochs) {
             if faults.serve_on_offer {
-                let seat = Seat { epoch, phase: Phase::Settled };
-                return (seat, vec![Order::Serve(contents), Order::Tell(from, Word::Received { epoch })]);
+                let state = Seat { epoch, phase: Phase::Settled };
+                return (state, vec![Order::Serve(contents), Order::Tell(from, Word::Received { epoch })]);
             }
-            let seat = Seat { epoch, phase: Phase::Received { from, contents } };
-            return (seat, vec![Order::Tell(from, Word::Received { epoch })]);
+            let state = Seat { epoch, phase: Phase::Received { from, contents } };
+            return (state, vec![Order::Tell(from, Word::Received { epoch })]);
         }
         // This dispatcher's own offer or ownership is later than the received offer, or is the received
         // offer.
@@ -441,9 +441,9 @@
             Phase::Received { from: by, contents }
                 if *by == from && (epoch == self.epoch || faults.ignore_epochs) =>
             {
-                let seat = Seat { epoch: self.epoch.max(epoch), phase: Phase::Settled };
+                let state = Seat { epoch: self.epoch.max(epoch), phase: Phase::Settled };
                 let settled = Order::Tell(from, Word::Settled { epoch });
-                (seat, vec![Order::Serve(contents.clone()), settled])
+                (state, vec![Order::Serve(contents.clone()), settled])
             }
             // A repeated commit: the tenant is, or was, served here.
             _ if epoch == self.epoch
--- a/crates/cells/src/wire.rs
+++ b/crates/cells/src/wire.rs
@@ -422,9 +422,9 @@
 }
 
 /// Converts an ownership state to its stored form; `name` returns the name of a dispatcher.
-pub fn record(tenant: &str, seat: &Seat<Contents>, name: impl Fn(u32) -> String) -> SeatRecord {
+pub fn record(tenant: &str, state: &Seat<Contents>, name: impl Fn(u32) -> String) -> SeatRecord {
     let sequence_numbers = |c: &Contents| c.held.iter().map(|h| h.no).collect();
-    let (phase, other, contents, offered) = match &seat.phase {
+    let (phase, other, contents, offered) = match &state.phase {
         Phase::Away { at } => (0, *at, None, Vec::new()),
         Phase::Settled => (1, None, None, Vec::new()),
         Phase::Draining { to } => (2, Some(*to), None, Vec::new()),
@@ -434,7 +434,7 @@
     };
     let other = other.map(name).unwrap_or_default();
     let tenant = tenant.into();
-    SeatRecord { tenant, epoch: seat.epoch, phase, other, contents, offered, ..SeatRecord::default() }
+    SeatRecord { tenant, epoch: state.epoch, phase, other, contents, offered, ..SeatRecord::default() }
 }
 
 impl SeatRecord {
@@ -552,15 +552,15 @@
             Phase::Received { from: 1, contents: contents() },
         ];
         for phase in phases {
-            let seat = Seat { epoch: 12, phase };
-            let bytes = record("t", &seat, |n| format!("n{n}")).encode_to_vec();
+            let state = Seat { epoch: 12, phase };
+            let bytes = record("t", &state, |n| format!("n{n}")).encode_to_vec();
             let node = |name: &str| name[1..].parse().unwrap();
             // The offered messages are in the same journal, under their sequence numbers.
             let offered = |nos: &[u64]| match nos.is_empty() {
                 true => Contents::default(),
                 false => contents(),
             };
-            assert_eq!(SeatRecord::decode(&bytes[..]).unwrap().seat(node, offered), Some(seat));
+            assert_eq!(SeatRecord::decode(&bytes[..]).unwrap().seat(node, offered), Some(state));
         }
         let bad = SeatRecord { phase: 3, ..SeatRecord::default() };
         assert_eq!(bad.seat(|_| 0, |_| Contents::default()), None);
--- a/crates/cells/tests/model.rs
+++ b/crates/cells/tests/model.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Dispatcher {
     /// The ownership state in the journal.
-    seat: Seat<Held>,
+    ownership: Seat<Held>,
     held: Held,
     /// Messages with a running attempt; the journal has recorded that they may run.
     running_attempts: BTreeSet<u8>,
@@ -118,8 +118,8 @@
 
 impl MoveModel {
     fn apply(&self, w: &mut World, n: usize, input: Input<Held>) {
-        let Ok((seat, orders)) = w.dispatchers[n].seat.step(input, self.faults) else { return };
-        w.dispatchers[n].seat = seat;
+        let Ok((ownership, orders)) = w.dispatchers[n].ownership.step(input, self.faults) else { return };
+        w.dispatchers[n].ownership = ownership;
         for o in orders {
             match o {
                 Order::Tell(to, message) => drop(w.network.insert((n, to as usize, to_sent(&message)))),
@@ -135,8 +135,8 @@
 
     /// A dispatcher that begins to serve, or restarts, sends a claim.
     fn claim(w: &mut World, n: usize) {
-        if w.dispatchers[n].seat.owns() {
-            let epoch = w.dispatchers[n].seat.epoch;
+        if w.dispatchers[n].ownership.owns() {
+            let epoch = w.dispatchers[n].ownership.epoch;
             w.network.insert((n, 1 - n, to_sent(&Word::Claim { epoch })));
         }
     }
@@ -155,7 +155,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let dispatcher =
-            |seat, held| Dispatcher { seat, held, running_attempts: BTreeSet::new(), crashes: 0 };
+            |ownership, held| Dispatcher { ownership, held, running_attempts: BTreeSet::new(), crashes: 0 };
         let dispatchers =
             vec![dispatcher(Seat::settled(), MESSAGES.to_vec()), dispatcher(Seat::away(Some(0)), vec![])];
         vec![World {
@@ -175,7 +175,7 @@
             for m in &dispatcher.held {
                 // The order within a key is enforced by the host: messages start in order, one at a time.
                 let first = dispatcher.held.iter().find(|x| key(**x) == key(*m)) == Some(m);
-                if dispatcher.seat.serves() && first && dispatcher.running_attempts.is_empty() {
+                if dispatcher.ownership.serves() && first && dispatcher.running_attempts.is_empty() {
                     actions.push(Action::Start(n, *m));
                 }
             }
@@ -185,17 +185,17 @@
                 }
                 actions.push(Action::Cut(n, *m));
             }
-            if w.moves < self.moves && dispatcher.seat.serves() {
+            if w.moves < self.moves && dispatcher.ownership.serves() {
                 actions.push(Action::Move(n, 1 - n));
             }
-            if w.aborts < self.aborts && dispatcher.seat.is_moving() {
+            if w.aborts < self.aborts && dispatcher.ownership.is_moving() {
                 actions.push(Action::Abort(n));
             }
-            let drained = matches!(dispatcher.seat.phase, Phase::Draining { .. });
+            let drained = matches!(dispatcher.ownership.phase, Phase::Draining { .. });
             if drained && (dispatcher.running_attempts.is_empty() || self.offer_undrained) {
                 actions.push(Action::Drained(n));
             }
-            if dispatcher.seat.is_moving() && !drained {
+            if dispatcher.ownership.is_moving() && !drained {
                 actions.push(Action::Tick(n));
             }
             if dispatcher.crashes < self.crashes {
@@ -237,7 +237,7 @@
                 self.apply(&mut w, b, Input::Heard(a as u32, from_sent(&t)));
                 if self.record_late
                     && w.dispatchers[b].crashes < self.crashes
-                    && w.dispatchers[b].seat != before.seat
+                    && w.dispatchers[b].ownership != before.ownership
                 {
                     // Crashed after it sent the message and before it recorded the state: the old state
                     // remains.
@@ -260,7 +260,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("at most one owner", |_, w: &World| {
-                w.dispatchers.iter().filter(|n| n.seat.owns()).count() <= 1
+                w.dispatchers.iter().filter(|n| n.ownership.owns()).count() <= 1
             }),
             Property::always("at most one final answer", |_, w: &World| {
                 MESSAGES.iter().all(|m| w.ended.iter().filter(|e| *e == m).count() <= 1)
@@ -280,21 +280,21 @@
             }),
             Property::always("nothing is lost", |_, w: &World| {
                 MESSAGES.iter().all(|m| {
-                    let kept = w.dispatchers.iter().any(|n| match &n.seat.phase {
+                    let kept = w.dispatchers.iter().any(|n| match &n.ownership.phase {
                         Phase::Committed { contents, .. } | Phase::Received { contents, .. } => {
                             contents.contains(m)
                         }
-                        _ => n.seat.owns() && n.held.contains(m),
+                        _ => n.ownership.owns() && n.held.contains(m),
                     });
                     kept || w.ended.contains(m)
                 })
             }),
             Property::sometimes("all messages end and all moves complete", |m: &MoveModel, w: &World| {
-                let over = w.dispatchers.iter().all(|n| !n.seat.is_moving());
+                let over = w.dispatchers.iter().all(|n| !n.ownership.is_moving());
                 w.ended.len() == MESSAGES.len()
                     && w.moves == m.moves
                     && over
-                    && w.dispatchers.iter().any(|n| n.seat.epoch > 2)
+                    && w.dispatchers.iter().any(|n| n.ownership.epoch > 2)
             }),
         ]
     }
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -5,9 +5,9 @@
 //! **Leases.** Each dispatcher sends every peer a heartbeat each [`HEARTBEAT_INTERVAL_MS`], and the peer
 //! answers it. An owner acts on a message only while every other dispatcher with a copy has answered within
 //! [`LEASE_MS`] or counts as gone. A dispatcher counts a peer as gone only if it received nothing from it for
-//! [`GONE_AFTER`], which is longer than the lease, and only while it hears from a majority of the
-//! installation itself. Both sides of a network partition therefore accept messages, each with holders on its
-//! own side, and only the majority side acts on a message that has copies on both.
+//! [`GONE_AFTER`], which is longer than the lease, and only while it has valid leases of a majority
+//! of the installation itself. Both sides of a network partition therefore accept messages, each with holders
+//! on its own side, and only the majority side acts on a message that has copies on both.
 //!
 //! **Grants.** An at-most-once message is started only with its arbiter's grant (see [`crate::owner`]). A
 //! restarted arbiter has lost its grants and gives none for messages from before the restart: the copy names
@@ -34,7 +34,8 @@
 pub const HEARTBEAT_INTERVAL_MS: Ms = 250;
 /// How long an owner relies on a peer, counted from the time at which the answered heartbeat was sent.
 pub const LEASE_MS: Ms = 2_500;
-/// A peer that was heard from within this time does not count as gone, whatever the membership view says.
+/// A peer from which anything was received within this time does not count as gone, whatever the membership
+/// view shows.
 pub const GONE_AFTER: Ms = 3_000;
 /// A peer that has not answered a heartbeat within this time is not chosen as a holder of new copies.
 const HOLDER_FRESHNESS_MS: Ms = 700;
@@ -224,7 +225,7 @@
     /// Own messages restored from an earlier incarnation whose outcome is not known yet.
     unsettled: BTreeSet<String>,
     settle_deadline: Option<Ms>,
-    /// Since when this dispatcher has heard from a majority of the installation.
+    /// Since when a majority of the installation has answered, see [`Keeper::has_majority`].
     majority_since: Option<Ms>,
     /// Messages that peers were asked about: the peers that have not answered, and the time limit.
     queries: BTreeMap<String, (BTreeSet<String>, Ms)>,
@@ -325,10 +326,11 @@
         (own, self.replicas.len() - own, self.bytes)
     }
 
-    /// Whether this dispatcher hears from a majority of the installation.
+    /// Whether a majority of the installation, including this dispatcher, has answered a heartbeat within
+    /// [`LEASE_MS`].
     pub fn has_majority(&self, now: Ms) -> bool {
-        let heard = self.peers.values().filter(|p| p.has_lease(now)).count();
-        2 * (heard + 1) > self.spec.size
+        let answered = self.peers.values().filter(|p| p.has_lease(now)).count();
+        2 * (answered + 1) > self.spec.size
     }
 
     fn send(&mut self, to: &str, payload: Say) {
@@ -651,7 +653,7 @@
     /// Updates which peers count as gone.
     fn update_gone(&mut self, now: Ms) {
         let alive: BTreeSet<String> = self.membership.alive().into_iter().collect();
-        // After a loss of the majority no peer counts as gone until it had the time to be heard from again.
+        // After a loss of the majority no peer counts as gone until it had the time to answer again.
         let since = self.majority_since.take().unwrap_or(now);
         self.majority_since = self.has_majority(now).then_some(since);
         let majority = self.majority_since.is_some_and(|t| t + GONE_AFTER <= now);
@@ -775,11 +777,11 @@
     /// Sends states again that peers have not acknowledged, and repeats unanswered grant requests.
     fn resend_unconfirmed(&mut self, now: Ms) {
         let mut due = Vec::new();
-        for (id, whom) in &mut self.unconfirmed {
+        for (id, peers) in &mut self.unconfirmed {
             if due.len() >= MAX_MESSAGES_PER_SCAN {
                 break;
             }
-            for (to, at) in whom.iter_mut().filter(|w| *w.1 <= now) {
+            for (to, at) in peers.iter_mut().filter(|w| *w.1 <= now) {
                 *at = now + RESEND_INTERVAL_MS;
                 due.push((id.clone(), to.clone()));
             }
@@ -805,9 +807,9 @@
     }
 
     fn confirm(&mut self, id: &str, by: &str) {
-        if let Some(whom) = self.unconfirmed.get_mut(id) {
-            whom.remove(by);
-            if whom.is_empty() {
+        if let Some(peers) = self.unconfirmed.get_mut(id) {
+            peers.remove(by);
+            if peers.is_empty() {
                 self.unconfirmed.remove(id);
             }
         }
@@ -1132,9 +1134,9 @@
         if !self.replicas.contains_key(&id) {
             self.on_copy(now, from, wire);
         }
-        let mine = self.spec.born;
+        let incarnation = self.spec.born;
         let Some(replica) = self.replicas.get_mut(&id) else { return };
-        let answer = if born == mine {
+        let answer = if born == incarnation {
             replica.on_grant_request(&fence, Faults::default())
         } else {
             PeerMessage::DenyGrant
--- a/crates/replica/src/owner.rs
+++ b/crates/replica/src/owner.rs
@@ -9,7 +9,7 @@
 //!
 //! An at-most-once message is started only with its arbiter's grant, and the arbiter grants to one fence
 //! only: every other request is denied, and the arbiter itself does not start the message either once it has
-//! granted. The message is therefore started at most once, whatever the membership view says and whichever
+//! granted. The message is therefore started at most once, whatever the membership view shows and whichever
 //! peer messages are lost, duplicated or late. If the arbiter is gone too, or has already granted, the
 //! message is given up without an attempt: nobody can prove that it was never sent.
 //!
--- a/crates/replica/tests/keeper.rs
+++ b/crates/replica/tests/keeper.rs
@@ -410,8 +410,8 @@
     )
 }
 
-fn from_peer(life: u64, say: Say) -> Envelope {
-    Envelope { version: 1, installation: "i".into(), from: "o".into(), life, payload: Some(say) }
+fn from_peer(life: u64, payload: Say) -> Envelope {
+    Envelope { version: 1, installation: "i".into(), from: "o".into(), life, payload: Some(payload) }
 }
 
 /// A copy of an at-most-once message of `o`, whose arbiter is this incarnation of `a`.
@@ -522,12 +522,12 @@
             let owner = taker.clone();
             Say::Store(WireCopy { id, holders, owner, taker, valid_until, body, ..WireCopy::default() })
         };
-        let from = |from: &str, life: u64, say: Say| Envelope {
+        let from = |from: &str, life: u64, payload: Say| Envelope {
             version: 1,
             installation: "i".into(),
             from: from.into(),
             life,
-            payload: Some(say),
+            payload: Some(payload),
         };
         // n1 holds them all for n0, which is down; n2 starts and lacks some.
         w.kill(0, 0);
@@ -549,7 +549,8 @@
         }
         let after: u64 = w.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).map(|k| k.counts.bytes).sum();
         println!(
-            "{missed} of {held} copies missing: {} MB sent, {now} ms simulated, {} ms processor time, {} MB held",
+            "{missed} of {held} copies missing: {} MB sent, {now} ms simulated, {} ms processor time, \
+             {} MB held",
             (after - before) / 1_000_000,
             start.elapsed().as_millis(),
             w.dispatchers[2].keeper.as_ref().unwrap().holds().2 / 1_000_000
--- a/crates/replica/tests/model.rs
+++ b/crates/replica/tests/model.rs
@@ -65,7 +65,7 @@
     Kill(usize),
     /// The lease of a disconnected dispatcher expires: its attempt is cancelled.
     ExpireLease(usize),
-    /// The peers hear from the dispatcher again: they renew its lease and send it their copies.
+    /// The peers receive from the dispatcher again: they renew its lease and send it their copies.
     RenewLease(usize),
     /// The first live holder considers the owner gone and takes over.
     TakeOver(usize),
