--- a/crates/cells/tests/model.rs
+++ b/crates/cells/tests/model.rs
@@ -32,8 +32,9 @@
     network: BTreeSet<(usize, usize, SentMessage)>,
     /// Attempts that run at the destination and have not taken effect yet.
     running: BTreeSet<u8>,
-    /// Messages in the order of their starts, and of their effects.
+    /// Messages in the order in which their attempts were started.
     started: Vec<u8>,
+    /// Messages in the order in which they took effect.
     effects: Vec<u8>,
     /// Messages with a final answer.
     ended: Vec<u8>,
