--- a/src/journal.rs
+++ b/src/journal.rs
@@ -1,8 +1,9 @@
-//! The lasting folder: one file of checksummed records, which a restart replays.
+//! The journal in the state folder: one file of checksummed records that a restart replays.
 //!
-//! A record is its length, its checksum and its body. What a process wrote outlasts it, also when it is killed, so
-//! nothing is synced. A torn tail is cut off. When the file has grown, the records that still matter are written to
-//! a second file, which then takes the first one's name; both together stay within the folder's limit.
+//! A record is its length, its checksum and its body. Completed writes outlast the process even if it is
+//! killed, so nothing is synced. A torn tail is truncated. Once the file has grown, compaction writes the
+//! live records to a second file and renames it over the first; both files together stay within the folder's
+//! size limit.
 
 mod record;
 mod scan;
@@ -11,29 +12,31 @@
 use crate::timeline::{self, Reading};
 pub use record::{CallNo, Ending, FileMark, Identity, Record, Sent, Taken};
 pub use scan::{highest, unsure};
-use scan::{scan, set_aside, Scan};
-use slot::{lock, was_cut, write_mark, SLOTS};
+use scan::{quarantine, scan, Scan};
+use slot::{lock, was_truncated, write_length_mark, SLOTS};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::{FileExt, MetadataExt};
 use std::path::{Path, PathBuf};
 
-/// Share of the limit that live records may fill before nothing more is taken in,
-const LIVE_SHARE: f64 = 0.36;
-/// that identities of calls that are over may fill before the oldest are forgotten,
-const KNOWN_SHARE: f64 = 0.08;
-/// and that the file may fill before it is compacted. Both copies together stay under the limit.
-const FILE_SHARE: f64 = 0.48;
-/// Bytes of records deferred by `defer_bounded` at most.
-const DEFERRED_MOST: usize = 256 << 10;
-/// A file that cannot be compacted takes no new call beyond this: it and the fresh one that takes its place at last stay under the
-/// limit together. What is held still ends in it.
-const GROWN_SHARE: f64 = 0.5;
-/// Part of the folder's room that each of two processes keeps to.
-const SHARED_PART: f64 = 0.5;
-
-/// Times that a start looks for a free file before it gives up.
-const LOCK_ROUNDS: u32 = 8;
+/// Share of the size limit that live records may fill; above it no new message is accepted.
+const LIVE_RECORDS_SHARE: f64 = 0.36;
+/// Share of the size limit that identities of settled messages may fill; above it the oldest are forgotten.
+const IDENTITIES_SHARE: f64 = 0.08;
+/// Share of the size limit that the file may fill before it is compacted. It leaves room for the compacted
+/// copy, so that both files together stay under the limit.
+const COMPACTION_SHARE: f64 = 0.48;
+/// Maximum size of the records deferred by `defer_bounded`.
+const MAX_DEFERRED_BYTES: usize = 256 << 10;
+/// Share of the size limit above which a file that cannot be compacted accepts no new message, so that this
+/// file and the compacted copy that finally replaces it stay under the limit together. Messages already held
+/// can still end.
+const MAX_FILE_SHARE: f64 = 0.5;
+/// Share of the size limit that each of two sibling processes on one state folder may use.
+const SIBLING_SHARE: f64 = 0.5;
+
+/// Number of times that a start tries to lock a free journal file before it gives up.
+const LOCK_ATTEMPTS: u32 = 8;
 
 /// The open journal.
 #[derive(Debug)]
@@ -42,52 +45,52 @@
     file: File,
     size: u64,
     limit: u64,
-    /// Another process has a file of its own in the folder.
+    /// A sibling process has a file of its own in the folder.
     shared: bool,
-    /// Half a record stands behind the last whole one.
+    /// A partial record follows the last whole one.
     torn: bool,
-    /// The file took no more the last time, as its disk is full or it may not be larger.
-    takes_no_more: bool,
-    /// Held for as long as this process lives; the system lets it go at any end, a kill too.
+    /// The last write failed because the disk is full or the file may not grow.
+    out_of_space: bool,
+    /// Held while this process lives; the system releases it however the process ends, also by a kill.
     _lock: File,
-    /// Which of the folder's files is this one's.
+    /// Index of this process's file among the folder's files.
     slot: usize,
-    /// Damaged stretches that its start found between good records and set aside.
+    /// Number of damaged byte ranges that the start quarantined.
     damaged: usize,
-    /// Its start found the last record cut short.
-    cut: bool,
-    /// The file as the start found it.
+    /// The start found that the file had been truncated.
+    truncated: bool,
+    /// Fingerprint of the file as the start found it.
     found: FileMark,
-    /// The clocks at the start of this process; none for those who only look at a folder.
+    /// The clocks at the start of this process; `None` for a reader that only inspects a folder.
     clocks: Option<Reading>,
-    /// Records that the file must hold before any other: it took none when they were to be written.
+    /// Encoded records that must be written before any other, because the file did not accept them earlier.
     deferred: Vec<u8>,
-    /// How far the other file has been read for news, while the process that writes it lives.
-    other_read: Tail,
+    /// Read position in the sibling process's file.
+    sibling_tail: SiblingTail,
 }
 
-/// How far a file that another process writes has been read.
+/// Read position in the file that a sibling process appends to.
 #[derive(Debug, Default)]
-struct Tail {
-    /// Which file it is: a compaction puts another one in its place.
+struct SiblingTail {
+    /// Inode of the file; it changes when a compaction replaces the file.
     inode: u64,
     read: u64,
-    /// The reading of the clocks before the records that come next.
+    /// The clock reading that applies to the next records.
     clocks: Option<Reading>,
 }
 
-impl Tail {
-    /// The records behind those of the last look, with the reading of the clocks before them.
-    fn news(&mut self, path: &Path) -> io::Result<Vec<Record>> {
+impl SiblingTail {
+    /// Reads the records appended since the last call, preceded by the clock reading that applies to them.
+    fn read_new_records(&mut self, path: &Path) -> io::Result<Vec<Record>> {
         let file = File::open(path)?;
         let about = file.metadata()?;
         if about.ino() != self.inode || about.len() < self.read {
-            *self = Tail { inode: about.ino(), ..Tail::default() };
+            *self = SiblingTail { inode: about.ino(), ..SiblingTail::default() };
         }
         let mut bytes = vec![0; (about.len() - self.read) as usize];
         file.read_exact_at(&mut bytes, self.read)?;
         let found = scan(&bytes);
-        self.read += found.good as u64;
+        self.read += found.valid_len as u64;
         let mut records: Vec<Record> = self.clocks.map(Record::Clock).into_iter().collect();
         records.extend(found.records);
         let clocks =
@@ -97,58 +100,58 @@
     }
 }
 
-/// The file of a process that has ended, taken over by this one: its records, and its lock until it is emptied.
+/// The journal file of an ended process, locked by this process until the file is truncated.
 #[derive(Debug)]
 pub struct Orphan {
     path: PathBuf,
     _lock: File,
-    /// What it held.
+    /// The records that the file held.
     pub records: Vec<Record>,
-    /// Damaged stretches among them, passed over, and a last record cut short.
+    /// Number of damaged byte ranges that were skipped, plus one if the file was truncated.
     pub damaged: usize,
-    /// By which the file is known again, if it could not be emptied.
+    /// Fingerprint by which the file is recognized if it could not be truncated.
     pub mark: FileMark,
 }
 
 impl Orphan {
-    /// Empties the file once its records are written elsewhere, and lets it go for the next process.
+    /// Truncates the file once its records are written elsewhere, and releases its lock for the next process.
     ///
     /// # Errors
     ///
-    /// The file cannot be emptied; its records stay, and are to be passed over by their mark.
+    /// The file cannot be truncated. Its records stay in it and must be skipped by its fingerprint.
     pub fn clear(self) -> io::Result<()> {
         self.empty()
     }
 
-    /// The same, and the file is still held by this process: if it cannot be emptied now, later perhaps.
+    /// Truncates the file and keeps its lock, so that a failed truncation can be retried later.
     ///
     /// # Errors
     ///
     /// See [`Orphan::clear`].
     pub fn empty(&self) -> io::Result<()> {
-        write_mark(&self._lock, 0)?;
+        write_length_mark(&self._lock, 0)?;
         OpenOptions::new().write(true).open(&self.path)?.set_len(0)
     }
 }
 
-/// The other file of a folder, as [`Journal::other`] finds it.
+/// State of the folder's other journal file, as found by [`Journal::other`].
 #[derive(Debug)]
 pub enum Other {
-    /// Nobody holds it, and it holds nothing.
+    /// No process holds its lock, and it has no records.
     Free,
-    /// A process that lives holds it: two serve on the folder, during an upgrade.
+    /// A running sibling process holds its lock, as during an upgrade.
     Lives,
-    /// A process that has ended left records in it.
+    /// It holds records of a process that has ended.
     Left(Orphan),
 }
 
-/// Does the error say that a file cannot grow now?
-fn is_out_of_room(error: &io::Error) -> bool {
+/// Whether the error means that the file cannot grow at the moment.
+fn is_out_of_space(error: &io::Error) -> bool {
     use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
     matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
 }
 
-/// Records of a file on the timeline of the process that reads them, if it has one.
+/// Translates the records' times to the timeline of the reading process, if it has one.
 fn on_timeline(records: Vec<Record>, clocks: Option<&Reading>) -> Vec<Record> {
     match clocks {
         Some(clocks) => timeline::translated(records, clocks),
@@ -156,28 +159,29 @@
     }
 }
 
-/// The file where a compaction writes before it takes the journal's name.
-fn fresh(path: &Path) -> PathBuf {
+/// Path of the file that a compaction writes before renaming it over the journal.
+fn compacted_path(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
     PathBuf::from(name)
 }
 
 impl Journal {
-    /// Opens the folder's journal and reads what it holds; creates what is missing.
+    /// Opens the folder's journal, creating what is missing, and reads its records.
     ///
-    /// Two processes may serve on one folder, each with a file of its own: this one takes the first file that no living
-    /// process holds. What the other file holds once its process has ended is taken over by [`Journal::orphan`].
+    /// Two sibling processes may serve on one folder, each with a file of its own. This process locks the
+    /// first file that no running process holds. Records that an ended process left in the other file are
+    /// taken over through [`Journal::orphan`].
     ///
     /// # Errors
     ///
-    /// The folder or a file cannot be made or read, or both files are held by processes that live.
+    /// The folder or a file cannot be created or read, or running processes hold both files.
     pub fn open(folder: &Path, limit: u64) -> io::Result<(Journal, Vec<Record>)> {
         Journal::open_at(folder, limit, None)
     }
 
-    /// The same for a process that started with this reading of the clocks: all times are on its timeline, those read and
-    /// those that it writes.
+    /// Like [`Journal::open`], for a process that started with the clock reading `clocks`: all times that it
+    /// reads or writes are on the timeline of that reading.
     ///
     /// # Errors
     ///
@@ -185,8 +189,9 @@
     pub fn open_at(folder: &Path, limit: u64, clocks: Option<Reading>) -> io::Result<(Journal, Vec<Record>)> {
         crate::disk::make_folder(folder)?;
         let mut held = None;
-        // The other process looks at a file's lock now and then, and holds it for that instant.
-        for round in 0..LOCK_ROUNDS {
+        // A sibling process briefly holds a free file's lock while it checks that file, so a failure may
+        // pass.
+        for round in 0..LOCK_ATTEMPTS {
             for slot in 0..SLOTS.len() {
                 if let Some(lock) = lock(folder, slot)? {
                     held = Some((slot, lock));
@@ -203,49 +208,51 @@
             return Err(io::Error::new(io::ErrorKind::ResourceBusy, why));
         };
         let path = folder.join(SLOTS[slot]);
-        // A compaction that was cut short left this; the journal itself is still whole.
-        let _ = std::fs::remove_file(fresh(&path));
+        // Left by an interrupted compaction; the journal itself is still whole.
+        let _ = std::fs::remove_file(compacted_path(&path));
         let mut file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        let Scan { records, good, damaged } = scan(&bytes);
+        let Scan { records, valid_len, damaged } = scan(&bytes);
         let records = on_timeline(records, clocks.as_ref());
-        if good < bytes.len() {
-            log::warn!("the journal's tail of {} bytes is torn and cut off", bytes.len() - good);
-            file.set_len(good as u64)?;
+        if valid_len < bytes.len() {
+            log::warn!("truncating a torn journal tail of {} bytes", bytes.len() - valid_len);
+            file.set_len(valid_len as u64)?;
         }
-        let cut = was_cut(&lock, good, bytes.len());
-        if cut {
-            // Said once: the next start finds a whole file, if a shorter one.
-            write_mark(&lock, good as u64)?;
+        let truncated = was_truncated(&lock, valid_len, bytes.len());
+        if truncated {
+            // Reported once: the next start compares against the new, shorter length.
+            write_length_mark(&lock, valid_len as u64)?;
         }
         let mut journal = Journal {
             path,
             file,
-            size: good as u64,
+            size: valid_len as u64,
             limit,
             shared: false,
             torn: false,
-            takes_no_more: false,
+            out_of_space: false,
             slot,
             damaged: damaged.len(),
-            cut,
+            truncated,
             found: FileMark::of(&bytes),
             clocks,
             deferred: clocks.map_or_else(Vec::new, |c| Record::Clock(c).encode()),
-            other_read: Tail::default(),
+            sibling_tail: SiblingTail::default(),
             _lock: lock,
         };
-        // From here on there is a length to go by.
-        if let Err(e) = journal.flush_deferred().and_then(|()| write_mark(&journal._lock, journal.size)) {
-            log::warn!(cause:% = e; "the journal takes no record yet: {e}");
+        // From here on the lock file records a length, so that a later truncation is detected.
+        if let Err(e) =
+            journal.flush_deferred().and_then(|()| write_length_mark(&journal._lock, journal.size))
+        {
+            log::warn!(cause:% = e; "the journal cannot be written yet: {e}");
         }
         if !damaged.is_empty() {
-            let bytes = set_aside(folder, SLOTS[slot], &bytes, &damaged);
+            let bytes = quarantine(folder, SLOTS[slot], &bytes, &damaged);
             log::warn!(
                 records = damaged.len(), bytes = bytes, kept = records.len();
-                "the journal holds {} damaged stretches of {bytes} bytes between good records; they are set aside in \
-                 the folder's file damaged and the good ones are written anew",
+                "the journal has {} damaged ranges of {bytes} bytes in total; they are copied to the state folder's \
+                 file damaged, and the journal is rewritten with the valid records",
                 damaged.len()
             );
             journal.compact(records.iter().cloned())?;
@@ -253,7 +260,7 @@
         Ok((journal, records))
     }
 
-    /// The file as the start found it.
+    /// Fingerprint of the file as the start found it.
     pub fn found(&self) -> FileMark {
         self.found
     }
@@ -263,23 +270,24 @@
         self.clocks
     }
 
-    /// Damaged stretches that the start found between good records and set aside in the folder's file `damaged`.
+    /// Number of damaged byte ranges that the start quarantined in the folder's file `damaged`.
     pub fn damaged(&self) -> usize {
         self.damaged
     }
 
-    /// May records be missing? A kill divides hardly any write: a record that is cut short may as well be where something cut
-    /// the file off, and a mark that an attempt went out may have stood behind it.
+    /// Whether records may be missing. A kill hardly ever splits a write, so a partial last record may also
+    /// mean that the file was truncated there, and the lost part may have recorded that an attempt was begun.
     pub fn may_lack_records(&self) -> bool {
-        self.damaged > 0 || self.cut
+        self.damaged > 0 || self.truncated
     }
 
-    /// Which of the folder's files this process holds, from 0.
+    /// Index of the file that this process holds, from 0.
     pub fn slot(&self) -> usize {
         self.slot
     }
 
-    /// The highest call number in the folder's other file, also while a process that lives writes it; 0 for none.
+    /// The highest message number in the folder's other file, even while a sibling process writes it; 0 if
+    /// there is none.
     pub fn other_numbers(&self) -> CallNo {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let others = (0..SLOTS.len()).filter(|s| *s != self.slot);
@@ -288,11 +296,12 @@
         highest(&records.collect::<Vec<_>>())
     }
 
-    /// The other file of the folder: held by a process that lives, left with records by one that has ended, or neither.
+    /// Checks the folder's other file: held by a running process, left with records by an ended one, or
+    /// neither.
     ///
     /// # Errors
     ///
-    /// Its lock or its file cannot be opened or read.
+    /// The other file or its lock cannot be opened or read.
     pub fn other(&self) -> io::Result<Other> {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let mut found = Other::Free;
@@ -307,13 +316,13 @@
                 Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
                 Err(e) => return Err(e),
             };
-            let Scan { records, damaged, good } = scan(&bytes);
+            let Scan { records, damaged, valid_len } = scan(&bytes);
             if !records.is_empty() || !damaged.is_empty() {
                 if !damaged.is_empty() {
-                    set_aside(folder, SLOTS[slot], &bytes, &damaged);
+                    quarantine(folder, SLOTS[slot], &bytes, &damaged);
                 }
-                let cut = was_cut(&lock, good, bytes.len());
-                let damaged = damaged.len() + usize::from(cut);
+                let truncated = was_truncated(&lock, valid_len, bytes.len());
+                let damaged = damaged.len() + usize::from(truncated);
                 let records = on_timeline(records, self.clocks.as_ref());
                 let mark = FileMark::of(&bytes);
                 return Ok(Other::Left(Orphan { path, _lock: lock, records, damaged, mark }));
@@ -322,21 +331,21 @@
         Ok(found)
     }
 
-    /// Waits that were written to the folder's other file since the last look: the process that writes it lives, and what
-    /// endpoints told it was told to this one, too.
+    /// Retry-after records that a running sibling process has written to the other file since the last call.
+    /// Endpoints asked the dispatcher as a whole to wait, so these waits bind this process too.
     pub fn other_waits(&mut self) -> Vec<Record> {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let Some(other) = (0..SLOTS.len()).find(|s| *s != self.slot) else { return Vec::new() };
-        let news = self.other_read.news(&folder.join(SLOTS[other])).unwrap_or_default();
-        let waits = on_timeline(news, self.clocks.as_ref()).into_iter();
+        let records = self.sibling_tail.read_new_records(&folder.join(SLOTS[other])).unwrap_or_default();
+        let waits = on_timeline(records, self.clocks.as_ref()).into_iter();
         waits.filter(|r| matches!(r, Record::Wait { .. })).collect()
     }
 
-    /// What [`Journal::other`] finds, if it is left by a process that has ended.
+    /// The other file, if [`Journal::other`] finds that an ended process left it.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// See [`Journal::other`].
     pub fn orphan(&self) -> io::Result<Option<Orphan>> {
         Ok(match self.other()? {
             Other::Left(orphan) => Some(orphan),
@@ -344,11 +353,11 @@
         })
     }
 
-    /// Writes what is deferred.
+    /// Writes the deferred records.
     ///
     /// # Errors
     ///
-    /// The file takes nothing now; it is as it was before.
+    /// The write failed; the file is unchanged and the records stay deferred.
     pub fn flush_deferred(&mut self) -> io::Result<()> {
         if !self.deferred.is_empty() {
             let deferred = std::mem::take(&mut self.deferred);
@@ -360,31 +369,34 @@
         Ok(())
     }
 
-    /// Records that must stand in the file before any that is written from now on, whether it takes them now or later.
+    /// Defers records: they are written before any record appended from now on, as soon as the file accepts
+    /// them.
     pub fn defer<'a>(&mut self, records: impl Iterator<Item = &'a Record>) {
         records.for_each(|r| self.deferred.extend(r.encode()));
     }
 
-    /// Is anything deferred?
+    /// Whether any record is deferred.
     pub fn has_deferred(&self) -> bool {
         !self.deferred.is_empty()
     }
 
-    /// Defers a record that the file did not take, unless too much is deferred already: a restart can do without it, at a price.
+    /// Defers a record that the file did not accept, unless too many bytes are deferred already. A restart
+    /// can do without the record, at a cost.
     pub fn defer_bounded(&mut self, record: &Record) {
-        if self.deferred.len() < DEFERRED_MOST {
+        if self.deferred.len() < MAX_DEFERRED_BYTES {
             self.defer(std::iter::once(record));
         }
     }
 
-    /// Writes a record; after a failure the file is as it was before.
+    /// Appends a record; a failed append leaves the file unchanged.
     pub fn append(&mut self, record: &Record) -> io::Result<()> {
         self.flush_deferred()?;
         let before = self.size;
         self.write(&record.encode())?;
         if matches!(record, Record::State { out: Some(_), .. }) {
-            // Beside a mark that stays behind, a cut that takes this record would not be seen.
-            if let Err(e) = write_mark(&self._lock, self.size) {
+            // If the recorded length lagged behind, a truncation that removes this record would not be
+            // detected.
+            if let Err(e) = write_length_mark(&self._lock, self.size) {
                 self.torn = self.file.set_len(before).is_err();
                 self.size = before;
                 return Err(e);
@@ -394,83 +406,86 @@
     }
 
     fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        // Half a record would hide all that follow it.
+        // A partial record left in place would make the following records unreadable.
         if self.torn {
             self.file.set_len(self.size)?;
         }
         if let Err(e) = self.file.write_all(bytes) {
             self.torn = self.file.set_len(self.size).is_err();
-            self.takes_no_more = is_out_of_room(&e);
+            self.out_of_space = is_out_of_space(&e);
             return Err(e);
         }
-        (self.torn, self.takes_no_more) = (false, false);
+        (self.torn, self.out_of_space) = (false, false);
         self.size += bytes.len() as u64;
         Ok(())
     }
 
-    /// Does another process have a file of its own in the folder, during an upgrade?
+    /// Sets whether a sibling process has a file of its own in the folder, as during an upgrade.
     pub fn share(&mut self, shared: bool) {
         self.shared = shared;
     }
 
-    /// Would live records of so many bytes still fit? Not in a file that has grown because it could not be compacted.
+    /// Whether `live` bytes of live records still fit. Also false if the file itself has grown too large
+    /// because it could not be compacted.
     pub fn has_room(&self, live: u64) -> bool {
-        let fits = |bytes: u64, share: f64| (bytes as f64) < self.own_room() * share;
-        fits(live, LIVE_SHARE) && fits(self.size, GROWN_SHARE)
+        let fits = |bytes: u64, share: f64| (bytes as f64) < self.own_limit() * share;
+        fits(live, LIVE_RECORDS_SHARE) && fits(self.size, MAX_FILE_SHARE)
     }
 
-    /// Bytes that live records may fill.
+    /// Bytes that live records may fill if no sibling process shares the folder.
     pub fn room(&self) -> u64 {
-        (self.limit as f64 * LIVE_SHARE) as u64
+        (self.limit as f64 * LIVE_RECORDS_SHARE) as u64
     }
 
-    /// Would identities of so many bytes still fit?
+    /// Whether `known` bytes of identities still fit.
     pub fn has_memory(&self, known: u64) -> bool {
-        (known as f64) < self.limit as f64 * KNOWN_SHARE
+        (known as f64) < self.limit as f64 * IDENTITIES_SHARE
     }
 
-    /// The file has grown so far that it should be compacted, or takes no more as it is.
+    /// Whether the file should be compacted: it has grown past the threshold, or its last write ran out of
+    /// space.
     pub fn is_full(&self) -> bool {
-        self.takes_no_more || self.size as f64 > self.own_room() * FILE_SHARE
+        self.out_of_space || self.size as f64 > self.own_limit() * COMPACTION_SHARE
     }
 
     /// Bytes of the folder that this process's files may fill.
-    fn own_room(&self) -> f64 {
-        self.limit as f64 * if self.shared { SHARED_PART } else { 1.0 }
+    fn own_limit(&self) -> f64 {
+        self.limit as f64 * if self.shared { SIBLING_SHARE } else { 1.0 }
     }
 
-    /// Replaces the file by one with these records only.
+    /// Replaces the file by one that holds only these records.
     pub fn compact(&mut self, records: impl Iterator<Item = Record>) -> io::Result<()> {
-        let new = fresh(&self.path);
-        let written = self.write_fresh(records);
+        let new = compacted_path(&self.path);
+        let written = self.write_compacted(records);
         let done = written.and_then(|whole| std::fs::rename(&new, &self.path).map(|()| whole));
         if done.is_err() {
             let _ = std::fs::remove_file(&new);
         }
         let (file, size) = done?;
         (self.file, self.size) = (file, size);
-        (self.torn, self.takes_no_more) = (false, false);
-        // All that was deferred is held, and was among the records.
+        (self.torn, self.out_of_space) = (false, false);
+        // The deferred records describe state that is still held, so the compacted records include them.
         self.deferred.clear();
-        write_mark(&self._lock, self.size)
+        write_length_mark(&self._lock, self.size)
     }
 
-    /// Writes the file that is to take the journal's name. Guards against a kill between the new name and the new mark: beside
-    /// the old mark the shorter file would look cut off, and all that is held would count as may have run. So the mark goes
-    /// first; until the next one is written a cut is not seen.
-    fn write_fresh(&self, records: impl Iterator<Item = Record>) -> io::Result<(File, u64)> {
-        let new = fresh(&self.path);
+    /// Writes the file that is to be renamed over the journal, and resets the recorded length before the
+    /// rename. Otherwise a kill between the rename and the new length mark would make the shorter file look
+    /// truncated, and every held message would count as possibly executed. A truncation goes undetected until
+    /// the next length mark.
+    fn write_compacted(&self, records: impl Iterator<Item = Record>) -> io::Result<(File, u64)> {
+        let new = compacted_path(&self.path);
         let mut bytes = Vec::new();
         let clocks = self.clocks.map(Record::Clock);
         clocks.into_iter().chain(records).for_each(|r| bytes.extend(r.encode()));
         let _ = std::fs::remove_file(&new);
         let mut file = OpenOptions::new().append(true).create_new(true).open(&new)?;
         file.write_all(&bytes)?;
-        write_mark(&self._lock, 0)?;
+        write_length_mark(&self._lock, 0)?;
         Ok((file, bytes.len() as u64))
     }
 
-    /// Bytes in the file.
+    /// Size of the file in bytes.
     pub fn size(&self) -> u64 {
         self.size
     }
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -1,73 +1,74 @@
-//! The journal's records and their form in the file.
+//! The journal's records and their encoding.
 //!
-//! A record is its length, its checksum and its body; the body's first byte says which record it is.
+//! A record is its length, its checksum and its body; the first byte of the body is the record's tag.
 
 use crate::api::Ms;
 use crate::timeline::Reading;
 use lilacbank_limits::{Spent, Step};
 
-/// Number of a call in the journal; grows with each call taken.
+/// Number of a message in the journal; it increases with each accepted message.
 pub type CallNo = u64;
 
-/// Where and when a delegation was sent.
+/// Time and place of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sent {
-    /// Wall-clock time.
+    /// Wall-clock time at which it was sent.
     pub at: Ms,
-    /// The worker's zone, by name.
+    /// Name of the endpoint's zone.
     pub zone: String,
 }
 
-/// How a call ended.
+/// How a message ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Ending {
-    /// A worker took it.
+    /// An endpoint accepted it.
     Delivered,
-    /// Given up, with no promise about its effect.
+    /// Given up, with no statement about its effect.
     GivenUp,
-    /// Never ran, or may be repeated: the client may come again after so many milliseconds; 0 tells nothing.
+    /// Returned to the client: it never ran or may be repeated. The client may submit it again after this
+    /// many milliseconds; 0 gives no time.
     HandedBack(Ms),
 }
 
-/// What a call is known by: who handed it in, and under which id.
+/// Identity of a message: the name of its client and the client's id for it.
 pub type Identity = (String, String);
 
-/// A call as it was handed in.
+/// A message as its client submitted it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Taken {
-    /// Its number.
+    /// The message's number.
     pub no: CallNo,
-    /// Who handed it in and under which id; the platform's clients have no name.
+    /// Client name and id; the platform's clients have an empty name.
     pub identity: Identity,
-    /// Class, by name.
+    /// Name of the class.
     pub class: String,
-    /// Tenant, by name; may be empty.
+    /// Name of the tenant; may be empty.
     pub tenant: String,
-    /// The key of its order.
+    /// The ordering key.
     pub key: Option<u64>,
-    /// Passed on to workers.
+    /// The idempotency key, passed on to endpoints.
     pub idempotency: String,
-    /// Its destination.
+    /// The destination.
     pub dest: u64,
-    /// It may be delivered until then, by the wall clock.
+    /// Deadline for delivery, in wall-clock time.
     pub valid_until: Ms,
-    /// Where its final answer goes; only its front reads this.
+    /// Where the final answer goes, in an encoding that only the message's front end reads.
     pub reply: Vec<u8>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// By which a file of records is known again: it does not change once its process has ended.
+/// Fingerprint by which a journal file is recognized. The file does not change once its process has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FileMark {
-    /// Its bytes.
+    /// Length in bytes.
     pub length: u64,
-    /// Their checksum.
+    /// CRC-32 of the bytes.
     pub checksum: u32,
 }
 
 impl FileMark {
-    /// Of a file with these bytes.
+    /// Fingerprint of a file with these bytes.
     pub fn of(bytes: &[u8]) -> FileMark {
         FileMark { length: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
     }
@@ -76,77 +77,78 @@
 /// One record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
-    /// A call was taken on.
+    /// A message was accepted.
     Taken(Taken),
-    /// The state of its delegations from now on.
+    /// The state of a message's attempts from this record on.
     State {
-        /// The call.
+        /// Number of the message.
         no: CallNo,
-        /// How many were started.
+        /// Number of attempts begun.
         attempts: u32,
-        /// The first one that may have run.
+        /// The first attempt that may have run.
         ran: Option<Sent>,
-        /// The one that is out.
+        /// The attempt in progress.
         out: Option<Sent>,
     },
-    /// Its end was decided; the client may not have heard.
+    /// The final answer of a message is decided, but its client may not have received it.
     Ended {
-        /// The call.
+        /// Number of the message.
         no: CallNo,
-        /// How.
+        /// How the message ended.
         ending: Ending,
     },
-    /// Nothing is owed any more; its identity is remembered.
+    /// Nothing is pending for a message any more; only its identity is remembered.
     Over {
-        /// The call.
+        /// Number of the message.
         no: CallNo,
-        /// Until when.
+        /// Time until which the identity is remembered.
         until: Ms,
     },
-    /// Calls that count against what was promised of a member.
+    /// Calls that count against a destination's agreed limit.
     Spent(Spent),
-    /// A message that is never to be repeated has ended and may have run.
+    /// An at-most-once message has ended and may have run.
     Once {
-        /// Under which name it is known.
+        /// Key under which it is remembered.
         name: String,
-        /// How it ended.
+        /// How the message ended.
         ending: Ending,
-        /// Until when it is remembered.
+        /// Time until which it is remembered.
         until: Ms,
-        /// Its tenant, where tenants may move.
+        /// Its tenant, where tenants may move; else empty.
         tenant: String,
     },
-    /// A call that is over, for the memory of identities.
+    /// Identity and end of a message for which nothing is pending any more.
     Known {
-        /// Who and which.
+        /// Identity of the message.
         identity: Identity,
-        /// How it ended.
+        /// How the message ended.
         ending: Ending,
-        /// Until when it is remembered.
+        /// Time until which it is remembered.
         until: Ms,
-        /// Its tenant, where tenants may move.
+        /// Its tenant, where tenants may move; else empty.
         tenant: String,
     },
-    /// A tenant's seat, as `lilacbank_cells::wire` writes it.
+    /// The ownership record of a tenant, encoded by `lilacbank_cells::wire`.
     Seat(Vec<u8>),
-    /// The machine's clocks at the start of the process that wrote the records behind it: see [`crate::timeline`].
+    /// The machine's clocks at the start of the process that wrote the following records: see
+    /// [`crate::timeline`].
     Clock(Reading),
-    /// The records of the folder's other file, left by a process that has ended, stand before this one: the file itself may
-    /// still be there.
+    /// The records of the folder's other file, left by an ended process, precede this record. The file with
+    /// this fingerprint may still exist and must not be read again.
     Adopted(FileMark),
-    /// An endpoint told to wait.
+    /// An endpoint asked for a wait (retry-after).
     Wait {
-        /// The endpoint's id in the list.
+        /// The endpoint's id in the endpoint list.
         worker: String,
-        /// Until when.
+        /// Time at which the wait ends.
         until: Ms,
     },
 }
 
 #[derive(Default)]
-struct Out(Vec<u8>);
+struct Encoder(Vec<u8>);
 
-impl Out {
+impl Encoder {
     fn u64(&mut self, n: u64) {
         self.0.extend_from_slice(&n.to_le_bytes());
     }
@@ -173,24 +175,24 @@
         self.0.push(code);
         self.ms(wait);
     }
-    /// Left out where there is none: the mark of the record says so.
+    /// An empty tenant is omitted; the record's tag tells whether there is one.
     fn tenant(&mut self, t: &str) {
         if !t.is_empty() {
             self.bytes(t.as_bytes());
         }
     }
-    fn identity(&mut self, i: &Identity) {
-        self.bytes(i.0.as_bytes());
-        self.bytes(i.1.as_bytes());
+    fn identity(&mut self, identity: &Identity) {
+        self.bytes(identity.0.as_bytes());
+        self.bytes(identity.1.as_bytes());
     }
 }
 
-struct In<'a>(&'a [u8]);
+struct Decoder<'a>(&'a [u8]);
 
-impl<'a> In<'a> {
+impl<'a> Decoder<'a> {
     fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (head, rest) = self.0.split_at_checked(n)?;
-        self.0 = rest;
+        let (head, tail) = self.0.split_at_checked(n)?;
+        self.0 = tail;
         Some(head)
     }
     fn u8(&mut self) -> Option<u8> {
@@ -228,153 +230,155 @@
 
 impl Record {
     pub(super) fn encode(&self) -> Vec<u8> {
-        let mut o = Out(vec![0; 8]);
+        let mut enc = Encoder(vec![0; 8]);
         match self {
             Record::Taken(t) => {
-                o.0.push(b'T');
-                o.u64(t.no);
-                o.identity(&t.identity);
-                o.bytes(t.class.as_bytes());
-                o.bytes(t.tenant.as_bytes());
-                o.0.push(u8::from(t.key.is_some()));
-                o.u64(t.key.unwrap_or(0));
-                o.bytes(t.idempotency.as_bytes());
-                o.u64(t.dest);
-                o.ms(t.valid_until);
-                o.bytes(&t.reply);
-                o.bytes(&t.body);
+                enc.0.push(b'T');
+                enc.u64(t.no);
+                enc.identity(&t.identity);
+                enc.bytes(t.class.as_bytes());
+                enc.bytes(t.tenant.as_bytes());
+                enc.0.push(u8::from(t.key.is_some()));
+                enc.u64(t.key.unwrap_or(0));
+                enc.bytes(t.idempotency.as_bytes());
+                enc.u64(t.dest);
+                enc.ms(t.valid_until);
+                enc.bytes(&t.reply);
+                enc.bytes(&t.body);
             }
             Record::State { no, attempts, ran, out } => {
-                o.0.push(b'S');
-                o.u64(*no);
-                o.u64(u64::from(*attempts));
-                o.sent(ran);
-                o.sent(out);
+                enc.0.push(b'S');
+                enc.u64(*no);
+                enc.u64(u64::from(*attempts));
+                enc.sent(ran);
+                enc.sent(out);
             }
             Record::Ended { no, ending } => {
-                o.0.push(b'E');
-                o.u64(*no);
-                o.ending(*ending);
+                enc.0.push(b'E');
+                enc.u64(*no);
+                enc.ending(*ending);
             }
             Record::Over { no, until } => {
-                o.0.push(b'O');
-                o.u64(*no);
-                o.ms(*until);
+                enc.0.push(b'O');
+                enc.u64(*no);
+                enc.ms(*until);
             }
             Record::Spent(s) => {
-                o.0.push(b'P');
-                o.u64(s.dest);
-                o.bytes(s.endpoint.as_bytes());
-                o.ms(s.at);
-                o.u64(u64::from(s.calls));
-                o.0.push(match s.step {
+                enc.0.push(b'P');
+                enc.u64(s.dest);
+                enc.bytes(s.endpoint.as_bytes());
+                enc.ms(s.at);
+                enc.u64(u64::from(s.calls));
+                enc.0.push(match s.step {
                     Step::Started => 0,
                     Step::Written => 1,
                     Step::GivenBack => 2,
                 });
             }
             Record::Once { name, ending, until, tenant } => {
-                o.0.push(if tenant.is_empty() { b'N' } else { b'n' });
-                o.bytes(name.as_bytes());
-                o.ending(*ending);
-                o.ms(*until);
-                o.tenant(tenant);
+                enc.0.push(if tenant.is_empty() { b'N' } else { b'n' });
+                enc.bytes(name.as_bytes());
+                enc.ending(*ending);
+                enc.ms(*until);
+                enc.tenant(tenant);
             }
             Record::Known { identity, ending, until, tenant } => {
-                o.0.push(if tenant.is_empty() { b'K' } else { b'k' });
-                o.identity(identity);
-                o.ending(*ending);
-                o.ms(*until);
-                o.tenant(tenant);
+                enc.0.push(if tenant.is_empty() { b'K' } else { b'k' });
+                enc.identity(identity);
+                enc.ending(*ending);
+                enc.ms(*until);
+                enc.tenant(tenant);
             }
             Record::Seat(bytes) => {
-                o.0.push(b'M');
-                o.bytes(bytes);
+                enc.0.push(b'M');
+                enc.bytes(bytes);
             }
             Record::Clock(reading) => {
-                o.0.push(b'C');
-                o.u64(reading.boot);
-                o.ms(reading.since_boot);
-                o.ms(reading.wall);
+                enc.0.push(b'C');
+                enc.u64(reading.boot);
+                enc.ms(reading.since_boot);
+                enc.ms(reading.wall);
             }
             Record::Adopted(mark) => {
-                o.0.push(b'A');
-                o.u64(mark.length);
-                o.u64(u64::from(mark.checksum));
+                enc.0.push(b'A');
+                enc.u64(mark.length);
+                enc.u64(u64::from(mark.checksum));
             }
             Record::Wait { worker, until } => {
-                o.0.push(b'W');
-                o.bytes(worker.as_bytes());
-                o.ms(*until);
+                enc.0.push(b'W');
+                enc.bytes(worker.as_bytes());
+                enc.ms(*until);
             }
         }
-        let len = (o.0.len() - 8) as u32;
-        let sum = crc32fast::hash(&o.0[8..]);
-        o.0[..4].copy_from_slice(&len.to_le_bytes());
-        o.0[4..8].copy_from_slice(&sum.to_le_bytes());
-        o.0
+        let len = (enc.0.len() - 8) as u32;
+        let sum = crc32fast::hash(&enc.0[8..]);
+        enc.0[..4].copy_from_slice(&len.to_le_bytes());
+        enc.0[4..8].copy_from_slice(&sum.to_le_bytes());
+        enc.0
     }
 
     pub(super) fn decode(body: &[u8]) -> Option<Record> {
-        let mut i = In(body);
-        let record = match i.u8()? {
+        let mut dec = Decoder(body);
+        let record = match dec.u8()? {
             b'T' => Record::Taken(Taken {
-                no: i.u64()?,
-                identity: i.identity()?,
-                class: i.text()?,
-                tenant: i.text()?,
-                key: match (i.u8()?, i.u64()?) {
+                no: dec.u64()?,
+                identity: dec.identity()?,
+                class: dec.text()?,
+                tenant: dec.text()?,
+                key: match (dec.u8()?, dec.u64()?) {
                     (0, _) => None,
                     (_, k) => Some(k),
                 },
-                idempotency: i.text()?,
-                dest: i.u64()?,
-                valid_until: i.ms()?,
-                reply: i.bytes()?,
-                body: i.bytes()?,
+                idempotency: dec.text()?,
+                dest: dec.u64()?,
+                valid_until: dec.ms()?,
+                reply: dec.bytes()?,
+                body: dec.bytes()?,
             }),
             b'S' => Record::State {
-                no: i.u64()?,
-                attempts: u32::try_from(i.u64()?).ok()?,
-                ran: i.sent()?,
-                out: i.sent()?,
+                no: dec.u64()?,
+                attempts: u32::try_from(dec.u64()?).ok()?,
+                ran: dec.sent()?,
+                out: dec.sent()?,
             },
-            b'E' => Record::Ended { no: i.u64()?, ending: i.ending()? },
-            b'O' => Record::Over { no: i.u64()?, until: i.ms()? },
+            b'E' => Record::Ended { no: dec.u64()?, ending: dec.ending()? },
+            b'O' => Record::Over { no: dec.u64()?, until: dec.ms()? },
             b'P' => Record::Spent(Spent {
-                dest: i.u64()?,
-                endpoint: i.text()?,
-                at: i.ms()?,
-                calls: u32::try_from(i.u64()?).ok()?,
-                step: match i.u8()? {
+                dest: dec.u64()?,
+                endpoint: dec.text()?,
+                at: dec.ms()?,
+                calls: u32::try_from(dec.u64()?).ok()?,
+                step: match dec.u8()? {
                     0 => Step::Started,
                     1 => Step::Written,
                     2 => Step::GivenBack,
                     _ => return None,
                 },
             }),
-            mark @ (b'N' | b'n') => Record::Once {
-                name: i.text()?,
-                ending: i.ending()?,
-                until: i.ms()?,
-                tenant: if mark == b'n' { i.text()? } else { String::new() },
+            tag @ (b'N' | b'n') => Record::Once {
+                name: dec.text()?,
+                ending: dec.ending()?,
+                until: dec.ms()?,
+                tenant: if tag == b'n' { dec.text()? } else { String::new() },
             },
-            mark @ (b'K' | b'k') => Record::Known {
-                identity: i.identity()?,
-                ending: i.ending()?,
-                until: i.ms()?,
-                tenant: if mark == b'k' { i.text()? } else { String::new() },
+            tag @ (b'K' | b'k') => Record::Known {
+                identity: dec.identity()?,
+                ending: dec.ending()?,
+                until: dec.ms()?,
+                tenant: if tag == b'k' { dec.text()? } else { String::new() },
             },
-            b'M' => Record::Seat(i.bytes()?),
-            b'C' => Record::Clock(Reading { boot: i.u64()?, since_boot: i.ms()?, wall: i.ms()? }),
-            b'A' => Record::Adopted(FileMark { length: i.u64()?, checksum: u32::try_from(i.u64()?).ok()? }),
-            b'W' => Record::Wait { worker: i.text()?, until: i.ms()? },
+            b'M' => Record::Seat(dec.bytes()?),
+            b'C' => Record::Clock(Reading { boot: dec.u64()?, since_boot: dec.ms()?, wall: dec.ms()? }),
+            b'A' => {
+                Record::Adopted(FileMark { length: dec.u64()?, checksum: u32::try_from(dec.u64()?).ok()? })
+            }
+            b'W' => Record::Wait { worker: dec.text()?, until: dec.ms()? },
             _ => return None,
         };
-        i.0.is_empty().then_some(record)
+        dec.0.is_empty().then_some(record)
     }
 
-    /// The call that it is about.
+    /// Number of the message that the record is about.
     pub fn call(&self) -> Option<CallNo> {
         match self {
             Record::Taken(t) => Some(t.no),
@@ -383,7 +387,7 @@
         }
     }
 
-    /// Bytes that the record takes in the file.
+    /// Size of the encoded record in bytes.
     pub fn size(&self) -> u64 {
         self.encode().len() as u64
     }
--- a/src/journal/scan.rs
+++ b/src/journal/scan.rs
@@ -1,4 +1,5 @@
-//! Reads the records of a journal's file, past damage in it, and what damage means for the calls that it holds.
+//! Reads the records of a journal file, skips damaged ranges, and derives what damage means for the messages
+//! in it.
 
 use super::record::{CallNo, Record, Sent};
 use std::collections::BTreeMap;
@@ -7,17 +8,19 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// What a reading of the file found.
+/// Result of scanning a journal file.
 #[derive(Debug, Default)]
 pub(super) struct Scan {
     pub(super) records: Vec<Record>,
-    /// Where the last good record ends.
-    pub(super) good: usize,
-    /// Stretches of bytes between good records that are no record: a flipped bit, a write torn and then written after.
+    /// Offset at which the last valid record ends; the end of the file if its tail has the length of a record but
+    /// is damaged.
+    pub(super) valid_len: usize,
+    /// Byte ranges that are not valid records, for example after a bit flip or an append behind a torn write.
     pub(super) damaged: Vec<Range<usize>>,
 }
 
-/// The record that starts at `at`, if its length fits, its checksum agrees and its body reads.
+/// Decodes the record at offset `at` and returns it with its end; `None` if its length, checksum or body is
+/// invalid.
 fn record_at(bytes: &[u8], at: usize) -> Option<(Record, usize)> {
     let head = bytes.get(at..at + 8)?;
     let number = |b: &[u8]| b.iter().rev().fold(0u32, |n, x| n << 8 | u32::from(*x));
@@ -27,28 +30,28 @@
     Some((record, at + 8 + len))
 }
 
-/// Reads whole records. Where one does not read, the next that does is looked for byte by byte: what lies between is
-/// damaged and set aside, and reading goes on; with none after it, it is a torn tail.
+/// Reads all valid records. After an invalid one it searches byte by byte for the next valid record and
+/// reports the bytes in between as damaged. If no valid record follows, the rest is a torn tail.
 pub(super) fn scan(bytes: &[u8]) -> Scan {
     let mut found = Scan::default();
     let mut at = 0;
     while at < bytes.len() {
         if let Some((record, end)) = record_at(bytes, at) {
             found.records.push(record);
-            (at, found.good) = (end, end);
+            (at, found.valid_len) = (end, end);
             continue;
         }
         match (at + 1..bytes.len()).find_map(|from| record_at(bytes, from).map(|r| (from, r))) {
             Some((from, (record, end))) => {
                 found.damaged.push(at..from);
                 found.records.push(record);
-                (at, found.good) = (end, end);
+                (at, found.valid_len) = (end, end);
             }
-            // A kill tears a write short of its length; one whose length is all there and does not read was damaged
-            // after it was written, and may have been the mark that an attempt went out.
-            None if whole_length(bytes, at) => {
+            // A kill leaves a write shorter than its length. An invalid record that has its full length was
+            // damaged after it was written, and may have been the record that an attempt was begun.
+            None if has_full_length(bytes, at) => {
                 found.damaged.push(at..bytes.len());
-                (at, found.good) = (bytes.len(), bytes.len());
+                (at, found.valid_len) = (bytes.len(), bytes.len());
             }
             None => break,
         }
@@ -56,16 +59,17 @@
     found
 }
 
-/// The record at `at` has all the bytes that its length says, and more may follow.
-fn whole_length(bytes: &[u8], at: usize) -> bool {
+/// Whether the file has at least as many bytes as the length of the record at offset `at` requires.
+fn has_full_length(bytes: &[u8], at: usize) -> bool {
     let Some(head) = bytes.get(at..at + 8) else { return false };
     let len = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     (at + 8).checked_add(len).is_some_and(|end| end <= bytes.len())
 }
 
-/// After damage the journal cannot prove that an open call never went out: each one without a mark of an attempt gets
-/// one, of no building and long ago, so that an unsafe message is never sent again and an approval order is repeated
-/// nowhere. Safe messages go as before. Returns how many were marked.
+/// Marks every open message without a recorded attempt as possibly executed, because a damaged journal cannot
+/// prove that it was never sent. The added attempt has no zone and time 0, so that an at-most-once message is
+/// never sent again and a deduplicated one is not repeated at any endpoint. Idempotent messages are sent as
+/// before. Returns the number of messages marked.
 pub fn unsure(records: &mut Vec<Record>) -> usize {
     let mut open: BTreeMap<CallNo, (u32, bool)> = BTreeMap::new();
     for r in records.iter() {
@@ -88,30 +92,32 @@
     unmarked.len()
 }
 
-/// The highest call number among the records; 0 for none.
+/// The highest message number among the records; 0 if there is none.
 pub fn highest(records: &[Record]) -> CallNo {
     records.iter().filter_map(Record::call).max().unwrap_or(0)
 }
 
-/// Bytes of damaged records that a start sets aside at most; more are counted and dropped, for the folder's room.
-const ASIDE_MOST: usize = 64 << 10;
+/// Maximum number of damaged bytes that one start copies to the file `damaged`. Further bytes are counted but
+/// dropped, to save space in the state folder.
+const MAX_QUARANTINED_BYTES: usize = 64 << 10;
 
-/// Keeps damaged stretches in the folder's file `damaged`, each after a line that says where it stood; returns its bytes.
-pub(super) fn set_aside(folder: &Path, file: &str, bytes: &[u8], damaged: &[Range<usize>]) -> usize {
+/// Appends damaged ranges to the folder's file `damaged`, each after a line that gives its position. Returns
+/// the total number of damaged bytes.
+pub(super) fn quarantine(folder: &Path, file: &str, bytes: &[u8], damaged: &[Range<usize>]) -> usize {
     let mut out = Vec::new();
     for r in damaged {
         let part = &bytes[r.clone()];
-        let part = &part[..part.len().min(ASIDE_MOST.saturating_sub(out.len()))];
+        let part = &part[..part.len().min(MAX_QUARANTINED_BYTES.saturating_sub(out.len()))];
         out.extend(format!("\n{file} at byte {} of {} bytes:\n", r.start, r.len()).into_bytes());
         out.extend(part);
     }
-    let kept = OpenOptions::new()
+    let written = OpenOptions::new()
         .append(true)
         .create(true)
         .open(folder.join("damaged"))
         .and_then(|mut f| f.write_all(&out));
-    if let Err(e) = kept {
-        log::warn!("the damaged records could not be set aside: {e}");
+    if let Err(e) = written {
+        log::warn!("cannot save the damaged records to the file damaged: {e}");
     }
     damaged.iter().map(|r| r.len()).sum()
 }
--- a/src/journal/slot.rs
+++ b/src/journal/slot.rs
@@ -1,14 +1,17 @@
-//! The files of a folder's journal, their locks, and the length beside each by which a file that was cut off is known.
+//! The journal files of a state folder, their locks, and the recorded lengths by which a truncated file is
+//! detected.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// The files of a folder's journal. Each is held by one process at a time, so that a new process can serve beside the
-/// old one during an upgrade; the first name is that of a journal of one file.
+/// Names of a folder's journal files. Each file is locked by one process at a time, so that a new process can
+/// serve next to the old one during an upgrade. The first name is the one used by journals that had a single
+/// file.
 pub(super) const SLOTS: [&str; 2] = ["journal", "journal.1"];
-/// Takes the lock of a slot of the folder if nobody holds it.
+
+/// Locks a slot of the folder; `None` if another process holds its lock.
 pub(super) fn lock(folder: &Path, slot: usize) -> io::Result<Option<File>> {
     let file = OpenOptions::new()
         .read(true)
@@ -23,9 +26,9 @@
     }
 }
 
-/// How long the journal was when an attempt was last begun, in the file of its lock. One that is shorter now was cut off,
-/// if the cut fell between two records, too.
-pub(super) fn write_mark(lock: &File, size: u64) -> io::Result<()> {
+/// Records in the lock file how long the journal is now; called whenever an attempt is begun. A journal that
+/// is later shorter than this was truncated, even if the truncation fell between two records.
+pub(super) fn write_length_mark(lock: &File, size: u64) -> io::Result<()> {
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&size.to_le_bytes());
     let sum = crc32fast::hash(&bytes[..8]);
@@ -33,8 +36,8 @@
     lock.write_all_at(&bytes, 0)
 }
 
-/// See [`write_mark`]; 0 where there is none that reads.
-fn read_mark(lock: &File) -> u64 {
+/// Reads the length written by [`write_length_mark`]; 0 if there is no valid one.
+fn read_length_mark(lock: &File) -> u64 {
     let mut bytes = [0; 12];
     let read = lock.read_exact_at(&mut bytes, 0).is_ok();
     let (size, sum) = bytes.split_at(8);
@@ -46,11 +49,12 @@
     }
 }
 
-/// Was a file of which `good` bytes read whole cut off before the mark that an attempt went out? Half a record behind them
-/// says nothing by itself: a write may fail halfway. Without a length to go by it is taken for a cut.
-pub(super) fn was_cut(lock: &File, good: usize, length: usize) -> bool {
-    match read_mark(lock) {
-        0 => good < length,
-        mark => (good as u64) < mark,
+/// Whether a file of `length` bytes, of which the first `valid_len` are valid records, was truncated below
+/// the recorded length. A partial record at the end proves nothing by itself, since a write may fail halfway;
+/// without a recorded length it counts as a truncation.
+pub(super) fn was_truncated(lock: &File, valid_len: usize, length: usize) -> bool {
+    match read_length_mark(lock) {
+        0 => valid_len < length,
+        mark => (valid_len as u64) < mark,
     }
 }
--- a/src/journal/tests.rs
+++ b/src/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the journal that must see its private parts.
+//! Tests of the journal that need access to its private items.
 
 use super::*;
 
@@ -13,9 +13,9 @@
     Record::Taken(Taken { no, identity, body: vec![0, 255, 10], key: Some(7), ..Taken::default() })
 }
 
-/// Guards against one torn record taking all others with it, or those written after the cut.
+/// Guards against a torn record making the other records unreadable, or those appended after its truncation.
 #[test]
-fn a_torn_tail_is_cut_off_and_writing_goes_on() {
+fn torn_tail_is_truncated_and_appending_continues() {
     let dir = folder("torn");
     let (mut j, none) = Journal::open(&dir, 1 << 20).unwrap();
     assert!(none.is_empty());
@@ -36,9 +36,10 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against a file cut off between two records: nothing in it shows that the mark of an attempt is gone.
+/// Guards against an undetected truncation between two records: nothing in the file itself shows that the
+/// record of an attempt is missing.
 #[test]
-fn a_cut_between_two_records_is_seen_by_the_mark_and_a_clean_end_is_none() {
+fn truncation_between_two_records_is_detected_by_the_length_mark_and_a_clean_end_is_not_reported() {
     let dir = folder("cut");
     let (mut j, _) = Journal::open(&dir, 4_000).unwrap();
     let out = Some(Sent { at: 5.5, zone: "a".into() });
@@ -54,8 +55,8 @@
     assert_eq!((back, j.may_lack_records(), j.damaged()), (vec![taken(1)], true, 0));
     drop(j);
     let mut j = Journal::open(&dir, 4_000).unwrap().0;
-    assert!(!j.may_lack_records(), "said once");
-    // Written anew it is shorter, and whole.
+    assert!(!j.may_lack_records(), "reported once");
+    // A compacted journal is shorter, but complete.
     j.append(&begun).unwrap();
     j.compact([taken(2)].into_iter()).unwrap();
     drop(j);
@@ -63,9 +64,10 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against one flipped bit taking all records after it: the damaged one is set aside, the others stay.
+/// Guards against a flipped bit making all later records unreadable: the damaged record is quarantined, the
+/// others stay.
 #[test]
-fn a_damaged_record_is_set_aside_and_those_after_it_stay() {
+fn damaged_record_is_quarantined_and_later_records_stay() {
     let dir = folder("flip");
     let (mut j, _) = Journal::open(&dir, 1 << 20).unwrap();
     let records: Vec<Record> = (1..=6).map(taken).collect();
@@ -74,7 +76,7 @@
     let mut whole = std::fs::read(dir.join("journal")).unwrap();
     let size = taken(1).size() as usize;
     for (n, at) in [(2, 12), (4, 3)] {
-        // A bit of the body of the third record and of the length of the fifth.
+        // Flips one bit in the body of the third record and one in the length of the fifth.
         whole[n * size + at] ^= 0x10;
     }
     std::fs::write(dir.join("journal"), &whole).unwrap();
@@ -85,13 +87,18 @@
     assert!(aside.len() > 2 * size && String::from_utf8_lossy(&aside).contains("journal at byte"));
     drop(j);
     let (j, again) = Journal::open(&dir, 1 << 20).unwrap();
-    assert_eq!((again.len(), j.damaged()), (4, 0), "written anew: a second start finds nothing damaged");
+    assert_eq!(
+        (again.len(), j.damaged()),
+        (4, 0),
+        "the journal was rewritten: a second start finds no damage"
+    );
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against a flipped bit in the last record being taken for a torn write: it is damage, and says so.
+/// Guards against a flipped bit in the last record being taken for a torn write: it must be reported as
+/// damage.
 #[test]
-fn a_damaged_last_record_is_damage_and_a_short_one_is_torn() {
+fn invalid_last_record_is_damaged_at_full_length_and_torn_if_shorter() {
     let dir = folder("last");
     let (mut j, _) = Journal::open(&dir, 1 << 20).unwrap();
     [taken(1), taken(2)].iter().for_each(|r| j.append(r).unwrap());
@@ -105,10 +112,10 @@
     drop(j);
     std::fs::write(dir.join("journal"), &whole[..whole.len() - 2]).unwrap();
     let (j, back) = Journal::open(&dir, 1 << 20).unwrap();
-    assert_eq!((back, j.damaged()), (vec![taken(1)], 0), "short of its length: torn");
-    assert!(!j.may_lack_records(), "no attempt was begun behind what reads whole: a write failed halfway");
+    assert_eq!((back, j.damaged()), (vec![taken(1)], 0), "shorter than its length: torn");
+    assert!(!j.may_lack_records(), "no attempt was begun after the valid records: a write failed halfway");
     drop(j);
-    // Cut within the mark of an attempt, before it, and at a place that no mark tells of.
+    // Truncates the file within the record of an attempt, before it, and within the record before that one.
     let out = Some(Sent { at: 5.5, zone: "a".into() });
     let begun = Record::State { no: 1, attempts: 1, ran: None, out };
     let mut j = Journal::open(&dir, 1 << 20).unwrap().0;
@@ -119,24 +126,24 @@
     for length in [whole.len() - 2, before as usize, before as usize - 3] {
         std::fs::write(dir.join("journal"), &whole[..length]).unwrap();
         let lock = OpenOptions::new().write(true).open(dir.join("journal.lock")).unwrap();
-        write_mark(&lock, whole.len() as u64).unwrap();
-        assert!(Journal::open(&dir, 1 << 20).unwrap().0.may_lack_records(), "cut at {length}");
+        write_length_mark(&lock, whole.len() as u64).unwrap();
+        assert!(Journal::open(&dir, 1 << 20).unwrap().0.may_lack_records(), "truncated to {length}");
         std::fs::write(dir.join("journal"), &whole[..length]).unwrap();
-        write_mark(&lock, 0).unwrap();
-        let cut = length != before as usize;
+        write_length_mark(&lock, 0).unwrap();
+        let is_detected = length != before as usize;
         assert_eq!(
             Journal::open(&dir, 1 << 20).unwrap().0.may_lack_records(),
-            cut,
-            "cut at {length}, no mark"
+            is_detected,
+            "truncated to {length}, no length mark"
         );
     }
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against an unsafe message whose mark of an attempt was in a damaged stretch going again: each open call
-/// without a mark gets one, calls that ended or are marked are left as they are.
+/// Guards against repeating an at-most-once message whose recorded attempt was in a damaged range. Each open
+/// message without an attempt gets one; messages that ended or have one are left unchanged.
 #[test]
-fn after_damage_open_calls_count_as_may_have_run() {
+fn after_damage_open_messages_count_as_possibly_executed() {
     let ran = Some(Sent { at: 5.0, zone: "a".into() });
     let mut records = vec![
         taken(1),
@@ -158,19 +165,19 @@
     );
 }
 
-/// Guards against two processes on one folder writing one file: the second has a file of its own, and takes over what
-/// the first left once that one has let go of its own.
+/// Guards against two sibling processes writing to one file: the second process has a file of its own, and
+/// takes over the records of the first once the first has released its file.
 #[test]
-fn a_second_journal_of_a_folder_has_its_own_file_and_takes_over_the_first() {
+fn second_journal_of_a_folder_has_its_own_file_and_takes_over_the_first() {
     let dir = folder("slots");
     let (mut first, _) = Journal::open(&dir, 1 << 20).unwrap();
     first.append(&taken(1)).unwrap();
     let (second, none) = Journal::open(&dir, 1 << 20).unwrap();
     assert_eq!((first.slot(), second.slot(), none), (0, 1, vec![]));
-    assert!(Journal::open(&dir, 1 << 20).is_err(), "a third finds both held");
-    assert!(second.orphan().unwrap().is_none(), "the first one lives");
+    assert!(Journal::open(&dir, 1 << 20).is_err(), "a third process finds both files locked");
+    assert!(second.orphan().unwrap().is_none(), "the first process still runs");
     drop(first);
-    let orphan = second.orphan().unwrap().expect("what the first left");
+    let orphan = second.orphan().unwrap().expect("the records of the first process");
     assert_eq!(orphan.records, [taken(1)]);
     orphan.clear().unwrap();
     assert!(second.orphan().unwrap().is_none(), "taken over once");
@@ -180,7 +187,7 @@
 }
 
 #[test]
-fn compaction_keeps_what_it_is_given_and_appends_after_it() {
+fn compaction_keeps_the_given_records_and_appends_after_them() {
     let dir = folder("compact");
     let (mut j, _) = Journal::open(&dir, 20_000).unwrap();
     while !j.is_full() {
@@ -196,10 +203,10 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against a kill in the middle of a compaction: whichever of its steps was the last, the next start finds all that
-/// matters and takes nothing for cut off.
+/// Guards against a kill during a compaction: after any of its steps, the next start must find all live
+/// records and must not take the file for truncated.
 #[test]
-fn a_kill_between_any_two_steps_of_a_compaction_loses_nothing_and_looks_like_no_cut() {
+fn kill_between_any_two_steps_of_a_compaction_loses_nothing_and_reports_no_truncation() {
     let out = Some(Sent { at: 5.5, zone: "a".into() });
     let begun = Record::State { no: 1, attempts: 1, ran: None, out };
     for steps in 0..=2 {
@@ -210,10 +217,10 @@
         }
         match steps {
             0 => {}
-            1 => drop(j.write_fresh([taken(2)].into_iter()).unwrap()),
+            1 => drop(j.write_compacted([taken(2)].into_iter()).unwrap()),
             _ => {
-                drop(j.write_fresh([taken(2)].into_iter()).unwrap());
-                std::fs::rename(fresh(&j.path), &j.path).unwrap();
+                drop(j.write_compacted([taken(2)].into_iter()).unwrap());
+                std::fs::rename(compacted_path(&j.path), &j.path).unwrap();
             }
         }
         drop(j);
@@ -224,13 +231,13 @@
     }
 }
 
-/// Guards against a journal that cannot be written anew and grows beyond its folder's limit with new calls.
+/// Guards against a journal that cannot be compacted growing beyond the folder's limit with new messages.
 #[test]
-fn a_file_that_cannot_be_compacted_takes_no_new_call_beyond_its_share() {
+fn file_that_cannot_be_compacted_has_no_room_for_new_messages_beyond_its_share() {
     let dir = folder("grown");
     let limit = 20_000;
     let (mut j, _) = Journal::open(&dir, limit).unwrap();
-    // A folder stands where the fresh file is to be.
+    // A directory at the path of the compacted file makes every compaction fail.
     std::fs::create_dir(dir.join("journal.new")).unwrap();
     let mut no = 0;
     while j.has_room(0) {
@@ -239,7 +246,7 @@
         assert!(j.size() < limit, "it grew beyond its limit");
     }
     assert!(j.is_full() && j.compact([taken(1)].into_iter()).is_err());
-    assert!(!j.has_room(0), "as it was");
+    assert!(!j.has_room(0), "unchanged by the failed compaction");
     j.append(&Record::Ended { no: 1, ending: Ending::Delivered }).unwrap();
     std::fs::remove_dir(dir.join("journal.new")).unwrap();
     j.compact([taken(no)].into_iter()).unwrap();
@@ -249,10 +256,10 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against a folder over its limit, which counts as a crash: a file that outgrew compactions that failed stands beside
-/// the fresh one for a moment, and that one holds all that is of use.
+/// Guards against a folder over its limit, which counts as a crash: after failed compactions, the grown file
+/// exists for a moment together with its compacted copy, which holds all live records and identities.
 #[test]
-fn a_grown_file_and_the_fresh_one_stay_within_the_limit_together() {
+fn grown_file_and_its_compacted_copy_stay_within_the_limit_together() {
     let dir = folder("together");
     let limit = 60_000;
     let (mut j, _) = Journal::open(&dir, limit).unwrap();
@@ -261,14 +268,14 @@
         no += 1;
         j.append(&taken(no)).unwrap();
     }
-    let of_use = (limit as f64 * (LIVE_SHARE + KNOWN_SHARE)) as u64;
-    assert!(j.size() + of_use <= limit, "{} and {of_use} of {limit}", j.size());
+    let compacted = (limit as f64 * (LIVE_RECORDS_SHARE + IDENTITIES_SHARE)) as u64;
+    assert!(j.size() + compacted <= limit, "{} and {compacted} of {limit}", j.size());
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// The same while another process serves on the folder, with a file of its own.
+/// Guards against a folder over its limit while a sibling process serves on it with a file of its own.
 #[test]
-fn two_processes_on_a_folder_keep_to_half_of_its_room_each() {
+fn two_processes_on_a_folder_use_at_most_half_of_its_limit_each() {
     let dir = folder("shared");
     let limit = 60_000;
     let (mut j, _) = Journal::open(&dir, limit).unwrap();
@@ -284,9 +291,9 @@
         no += 1;
         j.append(&taken(no)).unwrap();
     }
-    assert!(j.size() <= alone / 2 + taken(no).size(), "{} beside {alone}", j.size());
-    assert!(!j.has_room((limit as f64 * LIVE_SHARE * 0.6) as u64), "live records, too");
+    assert!(j.size() <= alone / 2 + taken(no).size(), "{} shared, {alone} alone", j.size());
+    assert!(!j.has_room((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64), "live records are halved, too");
     j.share(false);
-    assert!(!j.is_full() && j.has_room((limit as f64 * LIVE_SHARE * 0.6) as u64));
+    assert!(!j.is_full() && j.has_room((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64));
     std::fs::remove_dir_all(dir).unwrap();
 }
