--- a/src/bin/lilacbank-adapter.rs
+++ b/src/bin/lilacbank-adapter.rs
@@ -1,4 +1,5 @@
-//! Hosts decision instances for the simulator: batches on standard input, replies on standard output.
+//! Adapter for the simulator: hosts decision modules, reads batches of events on standard input and writes
+//! the actions on standard output.
 #![forbid(unsafe_code)]
 
 use lilacbank::wire::Host;
@@ -6,7 +7,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire; its trace would help nobody there.
+    // A panic is reported through the protocol, so its message on standard error is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
     match Host::default().run(input, io::stdout().lock()) {
--- a/src/disk.rs
+++ b/src/disk.rs
@@ -1,13 +1,14 @@
-//! Looks at folders, for the check and for the start; and whose a state folder is.
+//! Access to the files of a state folder apart from the journal: its owner, its life record and the cached
+//! endpoint list. Also inspects folders for the configuration check.
 
 use lilacbank_settings::check::{Folder, Folders};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The file in a state folder that names its application.
+/// The file in a state folder that names the application it belongs to.
 const OWNER: &str = "application";
 
-/// This machine's disk.
+/// The file system of this machine.
 #[derive(Debug, Clone, Copy)]
 pub struct Disk;
 
@@ -22,11 +23,11 @@
                 (None, false) => Folder::ReadOnly,
             },
             Err(e) if e.kind() == io::ErrorKind::NotFound => {
-                let whole = std::path::absolute(path).unwrap_or_else(|_| path.into());
-                let above = whole.ancestors().find(|a| a.exists()).unwrap_or(Path::new("/"));
-                match above.is_dir() && is_writable(above) {
+                let absolute = std::path::absolute(path).unwrap_or_else(|_| path.into());
+                let parent = absolute.ancestors().find(|a| a.exists()).unwrap_or(Path::new("/"));
+                match parent.is_dir() && is_writable(parent) {
                     true => Folder::Missing,
-                    false => Folder::Impossible(format!("'{}' cannot take a new folder", above.display())),
+                    false => Folder::Impossible(format!("'{}' cannot take a new folder", parent.display())),
                 }
             }
             Err(e) => Folder::Impossible(e.to_string()),
@@ -34,7 +35,7 @@
     }
 }
 
-/// Tries it: permissions alone do not tell.
+/// Whether a file can be created in the folder. Creates one, since permissions alone do not show it.
 fn is_writable(folder: &Path) -> bool {
     let probe = folder.join(format!(".lilacbank-{}", std::process::id()));
     let made = std::fs::write(&probe, "").is_ok();
@@ -50,17 +51,18 @@
     }
 }
 
-/// Takes a state folder for an application. Guards against two sidecars on one journal after a slip of the pen.
+/// Claims a state folder for an application, so that a mistake in a configuration cannot put the sidecars of
+/// two applications on one journal.
 ///
 /// # Errors
 ///
-/// Where the folder cannot be made or written to, or is another application's.
+/// The folder cannot be created or written to, or belongs to another application.
 pub fn claim(folder: &Path, application: &str) -> io::Result<()> {
     make_folder(folder)?;
     match owner(folder)? {
         Some(other) if other == application => Ok(()),
         Some(other) => {
-            let why = format!("the folder '{}' is that of '{other}' (LB0604)", folder.display());
+            let why = format!("the folder '{}' belongs to application '{other}' (LB0604)", folder.display());
             Err(io::Error::new(io::ErrorKind::AlreadyExists, why))
         }
         None => std::fs::write(folder.join(OWNER), format!("{application}\n")),
@@ -68,34 +70,35 @@
 }
 
 /// The file of a state folder that holds its life record (`crate::recovery`).
-const LIFE: &str = "life";
-/// Files of the dispatcher's that tell that a folder was used before.
-const USED: [&str; 5] = ["journal", "journal.1", "down", "damaged", "journal.lock"];
+const LIFE_FILE: &str = "life";
+/// Files of the dispatcher that show that a folder was used before.
+const USED_FOLDER_FILES: [&str; 5] = ["journal", "journal.1", "down", "damaged", "journal.lock"];
 
-/// The life record of a folder (none: no file; `Some(None)`: it does not read), and whether other files of the dispatcher's
-/// are there.
+/// The life record of a folder (`None`: no file; `Some(None)`: it is malformed), and whether the folder holds
+/// other files of the dispatcher.
 pub type LifeSeen = (Option<Option<crate::recovery::LifeRecord>>, bool);
 
-/// What a start finds of the folder's lives, before it opens the journal (which makes files of its own).
+/// Reads the folder's life record and checks for other files. Must run before the journal is opened, which
+/// creates files of its own.
 ///
 /// # Errors
 ///
-/// The file cannot be read now; that says nothing of what it holds.
+/// A file cannot be read now, which says nothing about its content.
 pub fn look_at_life(folder: &Path) -> io::Result<LifeSeen> {
-    let record = match std::fs::read(folder.join(LIFE)) {
+    let record = match std::fs::read(folder.join(LIFE_FILE)) {
         Ok(bytes) => Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::LifeRecord::decode)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         Err(e) => return Err(e),
     };
     let mut others = false;
-    for name in USED {
-        others |= is_used(&folder.join(name))?;
+    for name in USED_FOLDER_FILES {
+        others |= shows_use(&folder.join(name))?;
     }
     Ok((record, others))
 }
 
-/// Does the file say that a process has used its folder?
-fn is_used(path: &Path) -> io::Result<bool> {
+/// Whether the file shows that a process has used its folder: it is a lock file or is not empty.
+fn shows_use(path: &Path) -> io::Result<bool> {
     let is_lock = path.extension().is_some_and(|e| e == "lock");
     match std::fs::metadata(path) {
         Ok(about) => Ok(about.len() > 0 || is_lock),
@@ -104,49 +107,52 @@
     }
 }
 
-/// Makes the folder if it is not there. Guards against one that is there and cannot be looked at for a moment: that error passes,
-/// and that it exists would not.
+/// Creates the folder if it does not exist. If it exists but its metadata cannot be read, that error is
+/// returned: it may be transient, while `AlreadyExists` would count as permanent.
 ///
 /// # Errors
 ///
-/// It cannot be made or looked at, or is something else.
+/// The folder cannot be created or inspected, or the path is not a folder.
 pub fn make_folder(folder: &Path) -> io::Result<()> {
     match std::fs::create_dir_all(folder) {
         Err(e) if e.kind() == io::ErrorKind::AlreadyExists => match std::fs::metadata(folder) {
             Ok(about) if about.is_dir() => Ok(()),
             Ok(_) => Err(e),
-            Err(unseen) => Err(unseen),
+            Err(inspect_error) => Err(inspect_error),
         },
         done => done,
     }
 }
 
-/// May the same call succeed a little later? A folder may be full or fail for a while, and descriptors may be short.
+/// Whether the error is transient, so that the operation may succeed later: the disk may be full or fail for
+/// a while, or the process may be short of file descriptors.
 pub fn may_pass(error: &io::Error) -> bool {
     use io::ErrorKind::*;
-    /// Linux's numbers of errors that have no kind of their own: EIO, ENFILE, EMFILE, ENOLCK and ENOBUFS.
-    const NUMBERS: [i32; 5] = [5, 23, 24, 37, 105];
+    /// Linux error numbers without an `ErrorKind` of their own: EIO, ENFILE, EMFILE, ENOLCK and ENOBUFS.
+    const TRANSIENT_ERRNOS: [i32; 5] = [5, 23, 24, 37, 105];
     matches!(
         error.kind(),
         StorageFull | QuotaExceeded | Interrupted | ResourceBusy | OutOfMemory | StaleNetworkFileHandle
-    ) || error.raw_os_error().is_some_and(|n| NUMBERS.contains(&n))
+    ) || error.raw_os_error().is_some_and(|n| TRANSIENT_ERRNOS.contains(&n))
 }
 
-/// Writes the life record over the old one: one write of less than a page, which a kill does not divide. Not by a second
-/// file and its rename: some file systems then wait for the disk, and a start with them.
+/// Overwrites the life record in place with one write of less than a page, which a kill does not split.
+/// Writing a second file and renaming it would be slower: some file systems then wait for the disk, which
+/// delays the start.
 ///
 /// # Errors
 ///
-/// Where the folder cannot be written to.
+/// The folder cannot be written to.
 pub fn write_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
-    overwrite(&folder.join(LIFE), &format!("{:<255}\n", record.encode().trim_end()))
+    overwrite(&folder.join(LIFE_FILE), &format!("{:<255}\n", record.encode().trim_end()))
 }
 
-/// Notes that the process of this life ends as it should; a later one beside it has written its own record since.
+/// Records the clean end of this incarnation, unless a sibling process that started later has replaced the
+/// life record.
 ///
 /// # Errors
 ///
-/// Where the folder cannot be written to.
+/// The life record cannot be read, or the folder cannot be written to.
 pub fn end_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
     match look_at_life(folder)?.0.flatten() {
         Some(now) if now == *record => write_life(folder, &record.ended_well()),
@@ -154,40 +160,42 @@
     }
 }
 
-/// The files of the list and the members' health as last learnt (`crate::kept`), written in turn: a kill may divide a
-/// write, and then the other one is whole.
-const KEPT: [&str; 2] = ["kept.0", "kept.1"];
-/// It is not written where it would be larger: the folder is the journal's.
-const KEPT_MOST: usize = 32 << 10;
+/// The files with the cached endpoint list and the destinations' health (`crate::kept`). They are written
+/// alternately: if a kill splits a write to one, the other is still intact.
+const KEPT_FILES: [&str; 2] = ["kept.0", "kept.1"];
+/// Size limit of one cached endpoint list; a larger one is not written, because the folder's space is for the
+/// journal.
+const MAX_KEPT_BYTES: usize = 32 << 10;
 
-/// What earlier lives kept: the two files, as far as they are there.
+/// Reads the cached endpoint lists of earlier incarnations; files that cannot be read are left out.
 pub fn read_kept(folder: &Path) -> Vec<Vec<u8>> {
-    KEPT.iter().filter_map(|name| std::fs::read(folder.join(name)).ok()).collect()
+    KEPT_FILES.iter().filter_map(|name| std::fs::read(folder.join(name)).ok()).collect()
 }
 
-/// Keeps it for the next life, in the file whose turn it is.
+/// Writes a cached endpoint list for the next incarnation; `turn` selects the file.
 ///
 /// # Errors
 ///
-/// Where the folder cannot be written to, or it is too large.
+/// The folder cannot be written to, or the text is too large.
 pub fn write_kept(folder: &Path, turn: usize, text: &str) -> io::Result<()> {
-    if text.len() > KEPT_MOST {
+    if text.len() > MAX_KEPT_BYTES {
         return Err(io::Error::other(format!(
-            "{} bytes of list and health are too many to keep",
+            "the cached endpoint list has {} bytes; the limit is {MAX_KEPT_BYTES}",
             text.len()
         )));
     }
-    overwrite(&folder.join(KEPT[turn % KEPT.len()]), text)
+    overwrite(&folder.join(KEPT_FILES[turn % KEPT_FILES.len()]), text)
 }
 
-/// Sets files that are no hint aside, for those who look after them.
+/// Renames rejected cached endpoint lists to `*.refused`, so that operators can inspect them.
 pub fn set_kept_aside(folder: &Path) {
-    for name in KEPT {
+    for name in KEPT_FILES {
         let _ = std::fs::rename(folder.join(name), folder.join(format!("{name}.refused")));
     }
 }
 
-/// Writes over what the file holds and cuts nothing off: a file that is cut and written again is waited for, too.
+/// Overwrites the start of the file without truncating it: truncating and rewriting a file, like renaming
+/// one, makes some file systems wait for the disk.
 fn overwrite(path: &Path, text: &str) -> io::Result<()> {
     let mut file = std::fs::OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
     file.write_all(text.as_bytes())
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -1,7 +1,9 @@
-//! What outlives a process as a hint: the list as last told and the members' health as last learnt, in two files that are
-//! written in turn, so that one is whole at any moment. No I/O, no clock: the wires read and write them, with the time.
+//! The cached endpoint list: the last list of the registry and the last known health of the destinations, in
+//! two files that are written alternately, so that one is intact at any time. No I/O and no clock: the
+//! callers read and write the files and pass the time.
 //!
-//! A hint carries its age. Nothing in it is taken for the present: it says where to begin, and how carefully.
+//! The cache carries its age. Its content is never taken for the current state: it only gives the endpoints
+//! and rates with which a start begins, until the registry answers.
 
 use crate::api::{Listing, Ms};
 use crate::config::{self, Names, Node, WorkerList};
@@ -10,29 +12,33 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A writing of the future is this much ahead of the clock: two reads of one clock may differ by less.
-const AHEAD: Ms = 1_000.0;
-/// A form that is not known here is not read.
-const FORM: u32 = 1;
+/// A file counts as written in the future if its time is more than this many milliseconds ahead of the clock.
+/// Two readings of one clock may differ by less.
+const CLOCK_TOLERANCE_MS: Ms = 1_000.0;
+/// Version of the file format; files of any other version are rejected.
+const FORMAT_VERSION: u32 = 1;
 
-/// The file's content.
+/// The content of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
+    /// See [`FORMAT_VERSION`].
     form: u32,
-    /// Whose it is: see [`installation`].
+    /// Identifies the writer: see [`installation`].
     installation: u32,
-    /// When it was written, in wall-clock milliseconds on the timeline of its writer,
+    /// When it was written, in wall-clock milliseconds on the timeline of its writer.
     at: Ms,
-    /// which begins with this reading; none in files of earlier programs.
+    /// The clock reading with which the writer's timeline begins; `None` in files of program versions without
+    /// one.
     #[serde(default)]
     clocks: Option<Reading>,
-    /// Revision of the list.
+    /// Revision of the endpoint list.
     rev: u64,
     targets: Vec<Target>,
+    /// For each destination its name, its rate in calls a second, and since when it has been unreachable.
     health: Vec<(String, f64, Option<Ms>)>,
 }
 
-/// An endpoint as discovery writes it.
+/// An endpoint in the form of the registry's protocol.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Target {
     uid: String,
@@ -44,38 +50,39 @@
     capacity_hint: f64,
 }
 
-/// Why a file is no hint.
+/// Why a file is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// It does not read, or its checksum is wrong.
+    /// It is malformed, or its checksum does not match.
     Damaged,
-    /// Another installation wrote it.
+    /// Another installation or another format version wrote it.
     Foreign,
 }
 
-/// What a start takes from the file.
+/// The cached state that a start uses.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Hint {
-    /// The list, whole.
+    /// The whole endpoint list.
     pub list: WorkerList,
-    /// What is remembered of each member.
+    /// The remembered health of each destination.
     pub former: BTreeMap<String, Former>,
-    /// How old it is; none: it is from the future, or the clock was set back.
+    /// Age of the file; `None` if its time lies in the future, for example because the clock was set back.
     pub age: Option<Ms>,
 }
 
-/// A mark of who wrote a file: the dispatcher's name, and the names that its list speaks in.
+/// Identifies the writer of a file by a hash of the dispatcher's name and of the zone and kind names used in
+/// its list.
 pub fn installation(name: &str, names: &Names) -> u32 {
     let mut hash = crc32fast::Hasher::new();
-    for word in [name].into_iter().chain(names.zones.iter().chain(&names.kinds).map(String::as_str)) {
-        hash.update(word.as_bytes());
+    for text in [name].into_iter().chain(names.zones.iter().chain(&names.kinds).map(String::as_str)) {
+        hash.update(text.as_bytes());
         hash.update(&[0]);
     }
     hash.finalize()
 }
 
 impl Kept {
-    /// What is to be written now.
+    /// Collects the state to be written at the time `now`.
     pub fn new(
         installation: u32,
         (now, clocks): (Ms, Option<Reading>),
@@ -83,7 +90,7 @@
         names: &Names,
         health: impl Iterator<Item = (String, Health)>,
     ) -> Kept {
-        let word = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_default();
+        let name_of = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_default();
         let state = |l: Listing| match l {
             Listing::Ready => "in_service",
             Listing::Draining => "terminating",
@@ -92,25 +99,25 @@
         let target = |w: &config::Worker| Target {
             uid: w.uid.clone(),
             endpoint: w.address.clone(),
-            az: word(&names.zones, w.zone),
-            model: word(&names.kinds, w.kind),
+            az: name_of(&names.zones, w.zone),
+            model: name_of(&names.kinds, w.kind),
             pod_group: w.dest,
             state: state(w.listing).into(),
             capacity_hint: w.weight,
         };
         Kept {
-            form: FORM,
+            form: FORMAT_VERSION,
             installation,
             at: now,
             clocks,
             rev: list.rev,
             targets: list.workers.iter().map(target).collect(),
-            health: health.map(|(member, h)| (member, h.rate, h.away)).collect(),
+            health: health.map(|(destination, h)| (destination, h.rate, h.away)).collect(),
         }
     }
 
-    /// A line with its length and checksum, and a line of JSON. What stands behind, of an earlier and longer writing, does
-    /// not count.
+    /// Encodes a header line with length and checksum, and a line of JSON. Anything after it in the file is
+    /// left over from an earlier, longer content and is ignored.
     pub fn encode(&self) -> String {
         let body = serde_json::to_string(self).unwrap_or_default();
         format!("kept {} crc {:08x}\n{body}\n", body.len(), crc32fast::hash(body.as_bytes()))
@@ -125,11 +132,12 @@
         serde_json::from_slice(body).ok()
     }
 
-    /// The newest of these writings that is whole, as a hint for a start with this reading of the clocks; none where there is no file.
+    /// The newest valid one of these files, for a start with the clock reading `clocks`; `None` if there is
+    /// no file.
     ///
     /// # Errors
     ///
-    /// All are damaged, or of another installation.
+    /// Every file is damaged or was written by another installation or format version.
     pub fn newest(
         files: &[Vec<u8>],
         installation: u32,
@@ -138,33 +146,34 @@
     ) -> Result<Option<Hint>, Refused> {
         let read: Vec<Result<(Ms, Hint), Refused>> =
             files.iter().map(|f| Kept::hint(f, installation, clocks, names)).collect();
-        let good = read.iter().filter_map(|r| r.as_ref().ok()).max_by(|a, b| a.0.total_cmp(&b.0));
-        match (good, read.first()) {
+        let newest = read.iter().filter_map(|r| r.as_ref().ok()).max_by(|a, b| a.0.total_cmp(&b.0));
+        match (newest, read.first()) {
             (Some((_, hint)), _) => Ok(Some(hint.clone())),
             (None, Some(Err(why))) => Err(*why),
             (None, _) => Ok(None),
         }
     }
 
-    /// Reads [`Kept::encode`]'s lines as a hint for a start with this reading, with the time of its writing.
+    /// Decodes the output of [`Kept::encode`] for a start with the clock reading `clocks`; also returns when
+    /// it was written.
     ///
     /// # Errors
     ///
-    /// It is damaged, or of another installation.
+    /// The file is damaged or was written by another installation or format version.
     fn hint(text: &[u8], installation: u32, clocks: &Reading, names: &Names) -> Result<(Ms, Hint), Refused> {
         let kept = Kept::decode(text).ok_or(Refused::Damaged)?;
-        if kept.installation != installation || kept.form != FORM {
+        if kept.installation != installation || kept.form != FORMAT_VERSION {
             return Err(Refused::Foreign);
         }
         let list = serde_json::json!({ "rev": kept.rev, "all": true, "targets": kept.targets }).to_string();
         let list =
             config::json("kept", &list).and_then(|v| config::worker_list(&Node::root("kept", &v), names));
         let at = kept.clocks.map_or(kept.at, |from| clocks.translate(&from, kept.at));
-        let age = Some(clocks.wall - at).filter(|age| *age >= -AHEAD).map(|age| age.max(0.0));
-        let good = |h: &(String, f64, Option<Ms>)| h.1.is_finite() && h.1 >= 0.0;
-        let former = kept.health.into_iter().filter(good);
-        let former =
-            former.map(|(member, rate, away)| (member, Former { health: Health { rate, away }, age }));
+        let age = Some(clocks.wall - at).filter(|age| *age >= -CLOCK_TOLERANCE_MS).map(|age| age.max(0.0));
+        let is_valid = |h: &(String, f64, Option<Ms>)| h.1.is_finite() && h.1 >= 0.0;
+        let former = kept.health.into_iter().filter(is_valid);
+        let former = former
+            .map(|(destination, rate, away)| (destination, Former { health: Health { rate, away }, age }));
         Ok((at, Hint { list: list.map_err(|_| Refused::Foreign)?, former: former.collect(), age }))
     }
 }
@@ -192,13 +201,15 @@
         Kept::new(installation("n0", &names()), (now, None), &list, &names(), health.into_iter())
     }
 
-    /// Guards against a hint of another installation, of the future, or with a flipped bit, taken for one's own.
+    /// Guards against using a cached list of another installation or one with a flipped bit, and against
+    /// giving an age to one from the future.
     #[test]
-    fn a_hint_is_read_whole_with_its_age_or_not_at_all() {
+    fn cached_list_is_read_whole_with_its_age_or_rejected() {
         let (me, text) = (installation("n0", &names()), kept(1_000.0).encode());
         let at = |wall: Ms| Reading { wall, ..Reading::default() };
-        let read =
-            |bytes: &[u8], whose: u32, now: Ms| Kept::hint(bytes, whose, &at(now), &names()).map(|h| h.1);
+        let read = |bytes: &[u8], installation: u32, now: Ms| {
+            Kept::hint(bytes, installation, &at(now), &names()).map(|h| h.1)
+        };
         let hint = read(text.as_bytes(), me, 61_000.0).unwrap();
         assert_eq!((hint.list.rev, hint.list.workers[0].zone, hint.age), (9, 1, Some(60_000.0)));
         assert_eq!(hint.list.workers[0].listing, Listing::Draining);
@@ -206,9 +217,9 @@
         let future = read(text.as_bytes(), me, -5_000.0).unwrap();
         assert_eq!((future.age, future.former["w1"].age), (None, None));
         assert_eq!(read(text.as_bytes(), installation("n1", &names()), 0.0), Err(Refused::Foreign));
-        let longer = text.clone() + "of an earlier writing, which was longer";
+        let longer = text.clone() + "left over from an earlier, longer content";
         assert_eq!(read(longer.as_bytes(), me, 61_000.0), Ok(hint.clone()));
-        // Whatever the wall clock was set to meanwhile, its age is the time that went by.
+        // The age is the elapsed time, whatever the wall clock was set to in between.
         let from = Reading { boot: 3, since_boot: 100.0, wall: 1_000.0 };
         let dated = Kept { clocks: Some(from), ..kept(1_500.0) }.encode();
         for wall in [-3_600_000.0, 3_600_000.0] {
@@ -216,7 +227,7 @@
             let hint = Kept::hint(dated.as_bytes(), me, &later, &names()).unwrap().1;
             assert_eq!(hint.age, Some(2_000.0));
         }
-        // Of two files the newer; of one whole and one torn the whole one.
+        // Of two valid files the newer one is used; of a valid and a torn one, the valid one.
         let (older, torn) = (kept(500.0).encode().into_bytes(), text.as_bytes()[..90].to_vec());
         let newest = |files: &[Vec<u8>]| {
             Kept::newest(files, me, &at(61_000.0), &names()).map(|h| h.and_then(|h| h.age))
@@ -224,7 +235,7 @@
         assert_eq!(newest(&[older.clone(), text.clone().into_bytes()]), Ok(Some(60_000.0)));
         assert_eq!(newest(&[older, torn.clone()]), Ok(Some(60_500.0)));
         assert_eq!((newest(&[torn]), newest(&[])), (Err(Refused::Damaged), Ok(None)));
-        // Ten kinds of damage, and every single bit.
+        // Ten kinds of damage, and a flip of every single bit.
         let bytes = text.as_bytes();
         let mut damaged: Vec<Vec<u8>> = vec![
             Vec::new(),
@@ -244,9 +255,9 @@
             damaged.push(b);
         }
         for b in damaged {
-            // An upper-case digit of the checksum says the same.
-            let same = b.eq_ignore_ascii_case(bytes);
-            assert!(same || read(&b, me, 0.0) == Err(Refused::Damaged), "{}", String::from_utf8_lossy(&b));
+            // A flip that only changes a hex digit of the checksum to upper case leaves its value the same.
+            let is_same = b.eq_ignore_ascii_case(bytes);
+            assert!(is_same || read(&b, me, 0.0) == Err(Refused::Damaged), "{}", String::from_utf8_lossy(&b));
         }
     }
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: one form for people, one for machines, the same fields in both; and complaints that repeat themselves.
+//! The log, as text or as JSON with the same fields, and rate limiting of repeated log records.
 //!
 //! Fields: `id`, `class`, `member` (the destination), `worker`, `outcome`, `wait_ms`, `cause`, `count`.
 
@@ -9,15 +9,15 @@
 use std::io::{self, IsTerminal, Write};
 use std::time::{Duration, Instant};
 
-/// What is logged where nothing says so.
-const LEVEL: &str = "info";
+/// Level used if neither the configuration nor the environment gives one.
+const DEFAULT_LEVEL: &str = "info";
 
-/// Starts the log on standard error. `RUST_LOG` wins over the level that is given.
+/// Starts the log on standard error. `RUST_LOG` takes precedence over `level`.
 pub fn start(json: bool, level: &str) {
-    let level = if level.is_empty() { LEVEL } else { level };
+    let level = if level.is_empty() { DEFAULT_LEVEL } else { level };
     let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level));
     if !io::stderr().is_terminal() {
-        builder.target(env_logger::Target::Pipe(Box::new(Unblocked::default())));
+        builder.target(env_logger::Target::Pipe(Box::new(NonBlockingStderr::default())));
     }
     if json {
         builder.format(|out, record| {
@@ -35,55 +35,56 @@
     builder.init();
 }
 
-/// A pipe that is ready takes so many bytes at least without waiting (`PIPE_BUF`).
-const PART_MOST: usize = 4096;
+/// Number of bytes that a writable pipe accepts without blocking (`PIPE_BUF`).
+const MAX_CHUNK_BYTES: usize = 4096;
 
-/// A reader that is a little behind is waited for so long,
-const READER_PATIENCE: Duration = Duration::from_millis(20);
-/// once in such a span.
-const PATIENCE_EVERY: Duration = Duration::from_secs(1);
+/// How long a write waits for a slow reader, at most once per `READER_WAIT_INTERVAL`.
+const MAX_READER_WAIT: Duration = Duration::from_millis(20);
+/// Minimum time between two waits for a slow reader.
+const READER_WAIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Standard error, of which no write waits for long: the process has one thread, and a log whose reader stops must not stop
-/// it. What is not taken is dropped and counted.
+/// Standard error with writes that do not block for long: the process has a single thread, which must not
+/// stop when the reader of its log does. Records that cannot be written are dropped and counted.
 #[derive(Debug, Default)]
-struct Unblocked {
-    /// When the reader was waited for last.
-    waited: Option<Instant>,
-    /// Records that were dropped since the last one that was written.
+struct NonBlockingStderr {
+    /// When a write last waited for the reader.
+    last_wait: Option<Instant>,
+    /// Number of records dropped since the last one that was written.
     dropped: u64,
-    /// The last record was written in part.
-    cut: bool,
+    /// The last record was written only in part.
+    truncated: bool,
 }
 
-impl Unblocked {
-    /// Writes as much as is taken; how much that was.
-    fn write_part(&mut self, bytes: &[u8]) -> usize {
+impl NonBlockingStderr {
+    /// Writes as much as can be written without blocking for long; returns the number of bytes written.
+    fn write_available(&mut self, bytes: &[u8]) -> usize {
         let mut written = 0;
-        for part in bytes.chunks(PART_MOST) {
-            if !self.takes_more() || io::stderr().write_all(part).is_err() {
+        for chunk in bytes.chunks(MAX_CHUNK_BYTES) {
+            if !self.wait_writable() || io::stderr().write_all(chunk).is_err() {
                 break;
             }
-            written += part.len();
+            written += chunk.len();
         }
         written
     }
 
-    /// Does standard error take more now, or very soon?
-    fn takes_more(&mut self) -> bool {
+    /// Whether standard error is writable now, or becomes writable within the limited wait for a slow reader.
+    fn wait_writable(&mut self) -> bool {
         if is_writable_within(Duration::ZERO) {
             return true;
         }
-        if self.waited.is_some_and(|at| at.elapsed() < PATIENCE_EVERY) {
+        if self.last_wait.is_some_and(|at| at.elapsed() < READER_WAIT_INTERVAL) {
             return false;
         }
-        let taken = is_writable_within(READER_PATIENCE);
-        self.waited = Some(Instant::now());
-        taken
+        let writable = is_writable_within(MAX_READER_WAIT);
+        self.last_wait = Some(Instant::now());
+        writable
     }
 
-    /// What goes before the next record: the end of one that was cut, and how many are missing.
+    /// Text to write before the next record: a line end after a truncated record, and the number of dropped
+    /// records.
     fn gap(&self) -> String {
-        let end = if self.cut { "\n" } else { "" };
+        let end = if self.truncated { "\n" } else { "" };
         match self.dropped {
             0 => end.to_string(),
             dropped => format!("{end}{dropped} records of the log were dropped: nobody took them\n"),
@@ -91,18 +92,18 @@
     }
 }
 
-impl Write for Unblocked {
-    /// Takes one record, which is written whole, in part or not at all.
+impl Write for NonBlockingStderr {
+    /// Writes one record completely, partially or not at all; always reports it as written.
     fn write(&mut self, record: &[u8]) -> io::Result<usize> {
         let gap = self.gap();
-        if self.write_part(gap.as_bytes()) < gap.len() {
+        if self.write_available(gap.as_bytes()) < gap.len() {
             self.dropped += 1;
             return Ok(record.len());
         }
-        (self.dropped, self.cut) = (0, false);
-        match self.write_part(record) {
+        (self.dropped, self.truncated) = (0, false);
+        match self.write_available(record) {
             0 => self.dropped = 1,
-            written => self.cut = written < record.len(),
+            written => self.truncated = written < record.len(),
         }
         Ok(record.len())
     }
@@ -112,13 +113,14 @@
     }
 }
 
-/// Does standard error take more within this time? One that cannot be asked is taken for one that does.
-fn is_writable_within(patience: Duration) -> bool {
+/// Whether standard error becomes writable within `timeout`, which must be less than a second. If it cannot
+/// be polled, it counts as writable.
+fn is_writable_within(timeout: Duration) -> bool {
     let stderr = io::stderr();
-    let mut asked = [PollFd::new(&stderr, PollFlags::OUT)];
-    let patience = Timespec { tv_sec: 0, tv_nsec: patience.subsec_nanos().into() };
+    let mut polled = [PollFd::new(&stderr, PollFlags::OUT)];
+    let timeout = Timespec { tv_sec: 0, tv_nsec: timeout.subsec_nanos().into() };
     loop {
-        match poll(&mut asked, Some(&patience)) {
+        match poll(&mut polled, Some(&timeout)) {
             Err(Errno::INTR) => {}
             Ok(ready) => return ready > 0,
             Err(_) => return true,
@@ -126,6 +128,7 @@
     }
 }
 
+/// Copies the fields of a log record into a JSON object.
 struct Fields<'a>(&'a mut serde_json::Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -141,33 +144,35 @@
     }
 }
 
-/// The first gap between two loggings of one complaint; doubled each time,
-const GAP_FIRST: Ms = 1_000.0;
-/// up to this.
-const GAP_MOST: Ms = 600_000.0;
+/// Interval in milliseconds between the first two log records of a repeated failure; it doubles with each
+/// record.
+const MIN_INTERVAL_MS: Ms = 1_000.0;
+/// Longest interval in milliseconds between two log records of a repeated failure.
+const MAX_INTERVAL_MS: Ms = 600_000.0;
 
-/// Something that goes wrong again and again: logged at once, and then in growing intervals with a count.
+/// Limits the log records of a repeated failure: the first one is logged at once, later ones at growing
+/// intervals with a count.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Complaint {
-    /// When it may be logged again, and the gap behind that.
+    /// When the failure may be logged again, and the interval that ends at that time.
     next: Option<(Ms, Ms)>,
     count: u64,
 }
 
 impl Complaint {
-    /// It went wrong; returns how many times since it was logged last, if it is to be logged now.
+    /// Counts a failure. If it is to be logged now, returns the number of failures since the last log record.
     pub fn raise(&mut self, now: Ms) -> Option<u64> {
         self.count += 1;
-        let gap = match self.next {
+        let interval = match self.next {
             Some((at, _)) if now < at => return None,
-            Some((_, gap)) => (gap * 2.0).min(GAP_MOST),
-            None => GAP_FIRST,
+            Some((_, interval)) => (interval * 2.0).min(MAX_INTERVAL_MS),
+            None => MIN_INTERVAL_MS,
         };
-        self.next = Some((now + gap, gap));
+        self.next = Some((now + interval, interval));
         Some(std::mem::take(&mut self.count))
     }
 
-    /// It went well: the next time is news again.
+    /// Resets after a success: the next failure is logged at once.
     pub fn settle(&mut self) {
         *self = Complaint::default();
     }
@@ -177,9 +182,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a log that is filled by one complaint, and against one that never comes back.
+    /// Guards against a log filled by one repeated failure, and against a failure that is never logged again.
     #[test]
-    fn a_complaint_is_logged_in_growing_intervals_with_a_count() {
+    fn repeated_failure_is_logged_at_growing_intervals_with_a_count() {
         let mut c = Complaint::default();
         let logged: Vec<_> =
             (0..400).map(|n| f64::from(n) * 100.0).filter_map(|t| Some((t, c.raise(t)?))).collect();
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The dispatcher. Without a command it serves; the others work on files.
+//! The dispatcher. Without a command or with `serve` it runs the server; the other commands are tools for
+//! operators.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -14,25 +15,25 @@
     let cli = Cli::parse();
     match cli.command {
         None => serve(cli.serve),
-        Some(Command::Serve(how)) => serve(how),
+        Some(Command::Serve(options)) => serve(options),
         Some(command) => tool::run(command),
     }
 }
 
-fn serve(how: Serve) -> ExitCode {
-    let environment = how.environment();
+fn serve(options: Serve) -> ExitCode {
+    let environment = options.environment();
     let file = environment("ROUTER_CONFIG").unwrap_or_default();
     let read = || -> Result<(Config, Mqtt, Together), Vec<String>> {
-        let one = |e: ConfigError| vec![e.to_string()];
-        let text = Config::text(&environment).map_err(one)?;
-        let placed = |e: ConfigError| match e.line_in(&text) {
+        let without_line = |e: ConfigError| vec![e.to_string()];
+        let text = Config::text(&environment).map_err(without_line)?;
+        let with_line = |e: ConfigError| match e.line_in(&text) {
             Some(line) => vec![format!("{e} ({file}, line {line})")],
             None if e.key.starts_with("ROUTER_") => vec![e.to_string()],
             None => vec![format!("{e} ({file})")],
         };
-        let config = Config::from_json(&text, &environment).map_err(placed)?;
+        let config = Config::from_json(&text, &environment).map_err(with_line)?;
         check_sidecar(&config, &text)?;
-        let mqtt = Mqtt::read(&environment, config.sidecar.as_ref()).map_err(one)?;
+        let mqtt = Mqtt::read(&environment, config.sidecar.as_ref()).map_err(without_line)?;
         let together = Together::read(&environment).map_err(|e| vec![e])?;
         let moves = config.sidecar.as_ref().is_some_and(|s| s.mesh.is_some());
         together.fits(&config.name, moves).map_err(|e| vec![e])?;
@@ -40,12 +41,12 @@
     };
     let read = read();
     let sidecar = read.as_ref().ok().and_then(|r| r.0.sidecar.as_ref());
-    let json = how.log_format.map_or(sidecar.is_some_and(|s| s.log_json), |f| f == LogFormat::Json);
+    let json = options.log_format.map_or(sidecar.is_some_and(|s| s.log_json), |f| f == LogFormat::Json);
     logging::start(json, sidecar.map_or("", |s| &s.log_level));
     let (config, mqtt, together) = match read {
         Ok(all) => all,
-        Err(why) => {
-            why.iter().for_each(|w| log::error!("configuration: {w}"));
+        Err(errors) => {
+            errors.iter().for_each(|e| log::error!("configuration: {e}"));
             return ExitCode::from(2);
         }
     };
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -1,62 +1,67 @@
-//! What a start makes of its folder: a first start, one more life, or a folder lost or damaged; no I/O, no clock.
+//! Classifies the state folder at a start: first start, next incarnation, or a folder that is lost or
+//! damaged. No I/O and no clock.
 //!
-//! Beside the journal each start writes its life record: the number of this life, an epoch drawn at the first start,
-//! the wall-clock time of that first start and a checksum. A start that finds the record tells a restart from the rest;
-//! one that finds other files but no record knows the folder lost it; one that finds nothing at all cannot tell a first
-//! start from a folder wiped whole, and says so.
+//! Each start writes a life record next to the journal: the number of this incarnation, an epoch drawn at
+//! random at the first start, the wall-clock time of that first start, the latest starts and a checksum. A
+//! valid record shows that this is a restart. If other files exist without the record, the folder has lost
+//! it. An empty folder may be a first start or may have been wiped; these two cases cannot be told apart and
+//! are reported as such.
 
 use crate::api::Ms;
 use crate::timeline::Reading;
 
-/// The record of a folder's lives.
+/// The life record of a state folder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LifeRecord {
-    /// This life, from 1.
+    /// Number of this incarnation, from 1.
     pub life: u64,
-    /// Drawn at the first start of the folder; stays for all its lives.
+    /// Drawn at the first start in the folder; the same for all its incarnations.
     pub epoch: u64,
-    /// Wall-clock milliseconds of the first start.
+    /// Time of the first start, in wall-clock milliseconds.
     pub first_ms: u64,
-    /// Wall-clock milliseconds of the last starts that no clean end followed, oldest first, on the timeline of this life.
+    /// Times of the latest starts without a clean end, oldest first, in wall-clock milliseconds on the
+    /// timeline of this incarnation.
     pub starts: Starts,
-    /// Which boot of the machine this life began in, and milliseconds since that boot; none in records of earlier programs.
+    /// Id of the machine's boot in which this incarnation began, and milliseconds since that boot; `None` in
+    /// records of program versions that did not write it.
     pub began: Option<(u64, u64)>,
 }
 
-/// Times of the last starts; 0 where there was none.
-pub type Starts = [u64; CRASHES];
+/// Times of the latest starts; 0 for a missing one.
+pub type Starts = [u64; CRASH_LOOP_STARTS];
 
-/// So many starts without a clean end
-const CRASHES: usize = 5;
-/// within this span are a crash loop.
-const CRASH_SPAN: u64 = 30_000;
+/// Number of starts without a clean end that make a crash loop if they fall into `CRASH_LOOP_SPAN_MS`.
+const CRASH_LOOP_STARTS: usize = 5;
+/// Longest time from the first to the last start of a crash loop.
+const CRASH_LOOP_SPAN_MS: u64 = 30_000;
 
-/// What a start found in its folder.
+/// What a start found in its state folder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Found {
-    /// The life record: None where there is no file, `Some(None)` where it does not read or its checksum is wrong.
+    /// The life record: `None` if there is no file, `Some(None)` if it is malformed or its checksum does not
+    /// match.
     pub record: Option<Option<LifeRecord>>,
-    /// Other files of the dispatcher's were in the folder (journal, locks, bans).
+    /// Whether the folder held other files of the dispatcher (journal, locks, operator blocks).
     pub others: bool,
-    /// Damaged stretches that the journal's reading set aside.
+    /// Damage found in the journal; 0 if there is none.
     pub damaged: usize,
 }
 
-/// The judgement.
+/// Classification of a state folder at a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Life {
-    /// Nothing was there: a first start, or a folder wiped whole; nobody can tell which from the folder alone.
+    /// The folder was empty: a first start, or a wiped folder. The folder alone does not tell which.
     FirstOrWiped,
-    /// The folder is whole: this is its next life.
+    /// The folder is intact, and this is its next incarnation.
     Again(LifeRecord),
-    /// The folder had files but not its life record: part of it is lost.
+    /// The folder had files but no life record: part of it is lost.
     Lost,
-    /// The life record or the journal was damaged.
+    /// The life record or the journal is damaged.
     Damaged,
 }
 
 impl Life {
-    /// The word of `vars` and the log.
+    /// Name of the classification in `vars` and in the log.
     pub fn name(self) -> &'static str {
         match self {
             Life::FirstOrWiped => "first-or-wiped",
@@ -66,13 +71,13 @@
         }
     }
 
-    /// Whether the folder cannot vouch for what its earlier life sent.
+    /// Whether the folder may lack records of what an earlier incarnation sent.
     pub fn unsure(self) -> bool {
         matches!(self, Life::Lost | Life::Damaged)
     }
 }
 
-/// Judges what was found.
+/// Classifies the folder by what was found in it.
 pub fn judge(found: &Found) -> Life {
     match found.record {
         Some(Some(r)) if found.damaged == 0 => Life::Again(r),
@@ -83,80 +88,88 @@
     }
 }
 
-/// The record to write for the start with this reading of the clocks: the next life, or a first one with an epoch from `draw`.
+/// The life record for a start with the clock reading `clocks`: the next incarnation, or a first one with the
+/// epoch `draw`.
 pub fn next(life: Life, draw: u64, clocks: &Reading) -> LifeRecord {
     let now = clocks.wall.max(0.0) as u64;
     let began = Some((clocks.boot, clocks.since_boot.max(0.0) as u64));
     let mut next = match life {
         Life::Again(r) => {
-            LifeRecord { life: r.life.saturating_add(1), starts: r.starts_on(clocks), began, ..r }
+            LifeRecord { life: r.life.saturating_add(1), starts: r.translate_starts(clocks), began, ..r }
         }
-        // The folder's earlier lives are not known: a new epoch, so that nothing of them is taken for this one's.
+        // Earlier incarnations are unknown. The new epoch prevents their data from being taken for that of
+        // this one.
         _ => LifeRecord { life: 1, epoch: draw, first_ms: now, starts: Starts::default(), began },
     };
     next.starts.rotate_left(1);
-    next.starts[CRASHES - 1] = now;
+    next.starts[CRASH_LOOP_STARTS - 1] = now;
     next
 }
 
-/// What a list's revision may be, beside the one that is held. A registry that was set back tells old lists: they are
-/// refused for a while, and then believed, for a registry may also have begun anew.
+/// Decides whether an endpoint list is accepted by its revision. A registry restored to an earlier state
+/// publishes old lists; they are rejected for a limited time and then accepted, because the registry may also
+/// have started over.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Revisions {
-    held: u64,
-    refuse_for: Ms,
-    since: Option<Ms>,
-    /// Lists that were refused.
+    current: u64,
+    reject_for: Ms,
+    /// When the first older list since the last accepted one was rejected.
+    older_since: Option<Ms>,
+    /// Number of lists rejected.
     pub refused: u64,
 }
 
 impl Revisions {
-    /// With this revision held; older ones are refused for so long, 0: never.
-    pub fn new(held: u64, refuse_for: Ms) -> Revisions {
-        Revisions { held, refuse_for, since: None, refused: 0 }
+    /// Starts at the revision `current`; older revisions are rejected for the time `reject_for`, or never if
+    /// it is 0.
+    pub fn new(current: u64, reject_for: Ms) -> Revisions {
+        Revisions { current, reject_for, older_since: None, refused: 0 }
     }
 
-    /// May a list of this revision be taken over? 0: it tells none.
+    /// Whether a list of revision `rev` is accepted; 0 means that the list has no revision. An accepted
+    /// revision becomes the current one.
     pub fn takes(&mut self, now: Ms, rev: u64) -> bool {
-        let older = rev > 0 && rev < self.held && self.refuse_for > 0.0;
-        if older && now - *self.since.get_or_insert(now) < self.refuse_for {
+        let older = rev > 0 && rev < self.current && self.reject_for > 0.0;
+        if older && now - *self.older_since.get_or_insert(now) < self.reject_for {
             self.refused += 1;
             return false;
         }
-        (self.held, self.since) = (rev, None);
+        (self.current, self.older_since) = (rev, None);
         true
     }
 
-    /// Another registry is asked from now on: what it tells is not compared.
+    /// Forgets the current revision after a switch to another registry, whose revisions are not comparable.
     pub fn reset(&mut self) {
-        (self.held, self.since) = (0, None);
+        (self.current, self.older_since) = (0, None);
     }
 }
 
-/// Numbers of calls that a life may give before the next life's begin.
-const LIFE_NUMBERS: u64 = 1 << 32;
+/// Size of the range of message numbers that each incarnation has to itself.
+const NUMBERS_PER_LIFE: u64 = 1 << 32;
 
-/// The first call number of a life: above those of every earlier life of the folder, so that the order of numbers is the
-/// order of taking over all its processes, also two side by side. `seen` is the highest number that the folder's journals
-/// hold, 0 for none; it stands in where the life record was lost and counting began anew.
+/// The first message number of an incarnation. It is above all numbers of earlier incarnations of the folder,
+/// so that numbers give the order of acceptance across all its processes, also during an upgrade with two of
+/// them. `seen` is the highest number in the folder's journals, 0 if there is none; it counts where the life
+/// record was lost and `life` started over.
 pub fn first_number(life: u64, seen: u64) -> u64 {
-    let after = if seen == 0 { 0 } else { seen / LIFE_NUMBERS + 1 };
-    // Half the range at most, so that nothing overflows whatever a record says.
-    life.max(after).min(LIFE_NUMBERS / 2) * LIFE_NUMBERS
+    let after = if seen == 0 { 0 } else { seen / NUMBERS_PER_LIFE + 1 };
+    // At most half the range, so that no record, however wrong, causes an overflow.
+    life.max(after).min(NUMBERS_PER_LIFE / 2) * NUMBERS_PER_LIFE
 }
 
 impl LifeRecord {
-    /// The starts on the timeline that begins with this reading: between two lives the wall clock may have been stepped.
-    fn starts_on(&self, clocks: &Reading) -> Starts {
+    /// The start times translated to the timeline of `clocks`, since the wall clock may have been stepped in
+    /// between.
+    fn translate_starts(&self, clocks: &Reading) -> Starts {
         let Some((boot, since_boot)) = self.began else { return self.starts };
-        let wall = self.starts[CRASHES - 1] as Ms;
+        let wall = self.starts[CRASH_LOOP_STARTS - 1] as Ms;
         let from = Reading { boot, since_boot: since_boot as Ms, wall };
-        // After a clean end no start is left, and 0 is none.
+        // 0 stands for a missing start, as after a clean end, and stays 0.
         let moved = |at: u64| if at == 0 { 0 } else { clocks.translate(&from, at as Ms).max(1.0) as u64 };
         self.starts.map(moved)
     }
 
-    /// One line of text with its checksum.
+    /// Encodes the record as one line of text with a checksum.
     pub fn encode(&self) -> String {
         let starts: Vec<String> = self.starts.iter().map(u64::to_string).collect();
         let (life, epoch, first) = (self.life, self.epoch, self.first_ms);
@@ -165,7 +178,8 @@
         format!("{body} crc {:08x}\n", crc32fast::hash(body.as_bytes()))
     }
 
-    /// Reads [`LifeRecord::encode`]'s line; None where it does not read or its checksum is wrong.
+    /// Decodes the line written by [`LifeRecord::encode`]; `None` if it is malformed or its checksum does not
+    /// match.
     pub fn decode(text: &str) -> Option<LifeRecord> {
         let (body, sum) = text.trim_end().rsplit_once(" crc ")?;
         (u32::from_str_radix(sum, 16).ok()? == crc32fast::hash(body.as_bytes())).then_some(())?;
@@ -189,13 +203,13 @@
         })
     }
 
-    /// Has this folder's process died again and again of late?
+    /// Whether the folder's process is in a crash loop.
     pub fn is_crash_loop(&self) -> bool {
-        let (first, last) = (self.starts[0], self.starts[CRASHES - 1]);
-        first > 0 && last >= first && last - first <= CRASH_SPAN
+        let (first, last) = (self.starts[0], self.starts[CRASH_LOOP_STARTS - 1]);
+        first > 0 && last >= first && last - first <= CRASH_LOOP_SPAN_MS
     }
 
-    /// The same after a clean end: its starts are no crashes.
+    /// The record after a clean end, whose starts do not count as crashes.
     pub fn ended_well(self) -> LifeRecord {
         LifeRecord { starts: Starts::default(), ..self }
     }
@@ -205,10 +219,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against a folder that lost its journal's company being taken for a first start, and a damaged record
-    /// for a whole one.
+    /// Guards against a folder without its life record being taken for a first start, and a damaged life
+    /// record for a valid one.
     #[test]
-    fn each_folder_is_judged_by_what_it_holds() {
+    fn folder_is_classified_by_its_life_record_files_and_damage() {
         let r = LifeRecord { life: 3, epoch: 0xabc, first_ms: 1_000, ..LifeRecord::default() };
         assert_eq!(LifeRecord::decode(&r.encode()), Some(r));
         let flipped = r.encode().replacen("life 3", "life 4", 1);
@@ -232,7 +246,8 @@
         Reading { boot: 1, since_boot, wall }
     }
 
-    /// Guards against restarts of weeks, or planned ones, taken for a crash loop, and a loop that is not seen.
+    /// Guards against restarts over a long time, or after clean ends, being taken for a crash loop, and
+    /// against an undetected crash loop.
     #[test]
     fn five_starts_in_thirty_seconds_without_a_clean_end_are_a_crash_loop() {
         let lives = |gap: f64, step: f64| {
@@ -245,34 +260,43 @@
         assert!(lives(6_000.0, 0.0).is_crash_loop());
         assert!(!lives(60_000.0, 0.0).is_crash_loop());
         for step in [-3_600_000.0, 3_600_000.0] {
-            assert!(lives(6_000.0, step).is_crash_loop(), "the wall clock says nothing of the time between");
+            assert!(
+                lives(6_000.0, step).is_crash_loop(),
+                "a step of the wall clock does not change the time between starts"
+            );
             assert!(!lives(60_000.0, step).is_crash_loop());
         }
-        let well = lives(6_000.0, 0.0).ended_well();
-        assert!(!well.is_crash_loop() && !next(Life::Again(well), 1, &clocks(31_000.0, 2e9)).is_crash_loop());
+        let clean = lives(6_000.0, 0.0).ended_well();
+        assert!(
+            !clean.is_crash_loop() && !next(Life::Again(clean), 1, &clocks(31_000.0, 2e9)).is_crash_loop()
+        );
     }
 
-    /// Guards against a list of a registry that was set back, and against one that is refused for ever.
+    /// Guards against accepting an old list of a restored registry at once, and against rejecting it forever.
     #[test]
-    fn an_older_list_is_refused_for_a_while_and_then_believed() {
+    fn older_list_is_rejected_for_a_limited_time_and_then_accepted() {
         let mut r = Revisions::new(9, 10_000.0);
         assert!(r.takes(0.0, 9) && r.takes(1.0, 10) && r.takes(2.0, 12));
         assert!(!r.takes(100.0, 3) && !r.takes(5_000.0, 4));
         assert_eq!(r.refused, 2);
-        assert!(r.takes(6_000.0, 13), "the newest again: from here on the time counts anew");
+        assert!(r.takes(6_000.0, 13), "a newer list restarts the time limit");
         assert!(!r.takes(20_000.0, 3) && r.takes(30_000.0, 3) && r.takes(30_001.0, 4));
         assert!(r.takes(30_002.0, 0), "a list without a revision");
         let mut off = Revisions::new(9, 0.0);
         assert!(off.takes(0.0, 1));
     }
 
-    /// Guards against a number of an earlier life being given again, whatever is left of the folder.
+    /// Guards against reusing a message number of an earlier incarnation, whichever files of the folder
+    /// remain.
     #[test]
-    fn numbers_of_a_life_are_above_those_of_all_before_it() {
+    fn message_numbers_of_an_incarnation_are_above_all_earlier_ones() {
         let first = first_number(1, 0);
-        assert!(first_number(2, 0) > first + 4_000_000_000, "by the record alone");
-        assert!(first_number(1, first_number(9, 0) + 17) > first_number(9, 0) + 17, "by the journals alone");
-        assert!(first_number(3, 12) > first_number(2, 12), "numbers from before there were lives");
-        assert!(first_number(u64::MAX, u64::MAX) > 0, "nonsense overflows nothing");
+        assert!(first_number(2, 0) > first + 4_000_000_000, "with the life record alone");
+        assert!(
+            first_number(1, first_number(9, 0) + 17) > first_number(9, 0) + 17,
+            "with the journals alone"
+        );
+        assert!(first_number(3, 12) > first_number(2, 12), "journals from before incarnations were numbered");
+        assert!(first_number(u64::MAX, u64::MAX) > 0, "no overflow at the highest values");
     }
 }
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,10 +1,12 @@
-//! Times that outlive a process: how a moment that one process wrote down reads on the timeline of another; no I/O, no clock.
+//! Translates stored times from the timeline of the process that wrote them to that of the reader. No I/O and
+//! no clock.
 //!
-//! A process counts time from the reading of the machine's clocks at its start: that reading's wall-clock time, and what
-//! `CLOCK_BOOTTIME` has gone on since. The wall clock may be stepped between two starts, or while a process runs; the time
-//! since boot may not. So what is written down stands behind the reading of its writer, and whoever reads it on the same
-//! boot of the machine moves it to its own timeline by the real time between the two readings. Across a boot only the
-//! wall clock is left to tell how long it took.
+//! A process derives its time from one reading of the machine's clocks at its start: the wall-clock time of
+//! that reading plus the time that has passed on `CLOCK_BOOTTIME` since. The wall clock may be stepped
+//! between two starts or while a process runs; the time since boot cannot. Stored times are therefore
+//! preceded by the clock reading of their writer. A reader in the same boot of the machine translates them by
+//! the real time between the two readings. Across a reboot, only the wall clock tells how much time has
+//! passed.
 
 use crate::api::Ms;
 use crate::journal::{Record, Sent};
@@ -12,10 +14,10 @@
 use prost::Message as _;
 use serde::{Deserialize, Serialize};
 
-/// The machine's clocks, read together.
+/// A simultaneous reading of the machine's clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Reading {
-    /// Which boot of the machine it is; 0 if the system does not tell.
+    /// Id of the machine's current boot; 0 if the system does not provide one.
     pub boot: u64,
     /// Milliseconds since that boot.
     pub since_boot: Ms,
@@ -24,25 +26,26 @@
 }
 
 impl Reading {
-    /// Real time from `earlier` to this reading, negative if that one is later.
+    /// Real time from `earlier` to this reading; negative if `earlier` is in fact the later one.
     fn since(&self, earlier: &Reading) -> Ms {
         let unknown_and_reset = self.boot == 0 && earlier.since_boot > self.since_boot;
         if self.boot == earlier.boot && !unknown_and_reset {
             self.since_boot - earlier.since_boot
         } else {
-            // The machine was booted between them: it was not before.
+            // The machine was rebooted in between, so `earlier` cannot lie after this reading.
             (self.wall - earlier.wall).max(0.0)
         }
     }
 
-    /// The moment `at` on the timeline that begins with the reading `from`, on the timeline that begins with this one.
+    /// Translates the time `at` from the timeline of the reading `from` to the timeline of this reading.
     pub fn translate(&self, from: &Reading, at: Ms) -> Ms {
         self.wall - self.since(from) + (at - from.wall)
     }
 }
 
-/// Records of a journal on the timeline that begins with `ours`. Those before the first reading in the file were written by
-/// a program that knew of none, by the wall clock; they stay as they are. The readings themselves are left out.
+/// Translates journal records to the timeline of the reading `ours`, and omits the clock readings. Records
+/// before the first reading come from a program version without readings; their times are wall-clock times
+/// and stay unchanged.
 pub fn translated(records: Vec<Record>, ours: &Reading) -> Vec<Record> {
     let mut from = None;
     let mut all = Vec::with_capacity(records.len());
@@ -50,14 +53,14 @@
         match (record, from) {
             (Record::Clock(reading), _) => from = Some(reading),
             (record, None) => all.push(record),
-            (record, Some(from)) => all.push(moved(record, |at| ours.translate(&from, at))),
+            (record, Some(from)) => all.push(map_times(record, |at| ours.translate(&from, at))),
         }
     }
     all
 }
 
-/// The record with its times moved.
-fn moved(mut record: Record, time: impl Fn(Ms) -> Ms) -> Record {
+/// Applies `time` to every time in the record.
+fn map_times(mut record: Record, time: impl Fn(Ms) -> Ms) -> Record {
     let sent = |s: &mut Option<Sent>| s.iter_mut().for_each(|s| s.at = time(s.at));
     match &mut record {
         Record::Taken(taken) => taken.valid_until = time(taken.valid_until),
@@ -71,10 +74,10 @@
         | Record::Wait { until, .. } => *until = time(*until),
         Record::Spent(spent) => spent.at = time(spent.at),
         Record::Seat(bytes) => {
-            // One that does not read is complained of where it is taken up.
-            if let Ok(mut seat) = SeatRecord::decode(bytes.as_slice()) {
-                seat.map_times(|at| time(at as Ms).max(0.0) as u64);
-                *bytes = seat.encode_to_vec();
+            // A malformed ownership record is reported by the code that restores it.
+            if let Ok(mut ownership) = SeatRecord::decode(bytes.as_slice()) {
+                ownership.map_times(|at| time(at as Ms).max(0.0) as u64);
+                *bytes = ownership.encode_to_vec();
             }
         }
         Record::Ended { .. } | Record::Clock(_) | Record::Adopted(_) => {}
@@ -88,22 +91,22 @@
 
     const HOUR: Ms = 3_600_000.0;
 
-    /// Guards against a step of the wall clock taken for time that has passed.
+    /// Guards against a step of the wall clock being taken for elapsed time.
     #[test]
-    fn on_one_boot_only_the_time_since_boot_counts() {
+    fn within_one_boot_only_the_time_since_boot_counts() {
         let first = Reading { boot: 7, since_boot: 1_000.0, wall: 10.0 * HOUR };
         for step in [-HOUR, 0.0, HOUR] {
             let second = Reading { since_boot: 3_500.0, wall: 10.0 * HOUR + 2_500.0 + step, ..first };
             let until = first.wall + 8_000.0;
             assert_eq!(second.translate(&first, until) - second.wall, 5_500.0, "step {step}");
-            // The process beside it, which started earlier, reads the same the other way round.
+            // A sibling process that started earlier translates in the other direction.
             assert_eq!(first.translate(&second, second.wall) - first.wall, 2_500.0, "step {step}");
         }
     }
 
-    /// Across a boot the wall clock tells, and never that time went back.
+    /// Across a reboot the elapsed time is taken from the wall clock and is never negative.
     #[test]
-    fn across_a_boot_the_wall_clock_counts() {
+    fn across_a_reboot_the_wall_clock_counts() {
         let first = Reading { boot: 7, since_boot: 90_000.0, wall: HOUR };
         let later = Reading { boot: 8, since_boot: 500.0, wall: HOUR + 60_000.0 };
         assert_eq!(later.translate(&first, HOUR + 70_000.0) - later.wall, 10_000.0);
@@ -114,11 +117,12 @@
         assert_eq!(unknown(95.0, 2.0 * HOUR).translate(&unknown(90.0, HOUR), HOUR), 2.0 * HOUR - 5.0);
     }
 
-    /// Guards against a tenant's move that waits for the step: its messages, keys and memories are timed, too.
+    /// Guards against a step of the wall clock delaying a tenant move: the times of its messages, keys and
+    /// remembered outcomes must be translated, too.
     #[test]
-    fn a_seat_is_moved_with_all_its_times() {
+    fn all_times_of_an_ownership_record_are_translated() {
         use lilacbank_cells::wire::{Contents, Held, Parked, Past};
-        let seat = |at: u64| SeatRecord {
+        let ownership = |at: u64| SeatRecord {
             tenant: "t".into(),
             contents: Some(Contents {
                 held: vec![Held { valid_until: at + 1, ran_at: Some(at + 2), ..Held::default() }],
@@ -130,15 +134,16 @@
             ..SeatRecord::default()
         };
         let reading = |since_boot, wall| Reading { boot: 1, since_boot, wall };
-        let written = vec![Record::Clock(reading(0.0, 8e6)), Record::Seat(seat(8_000_000).encode_to_vec())];
-        let moved = translated(written, &reading(500.0, 1e6));
-        assert_eq!(moved, [Record::Seat(seat(999_500).encode_to_vec())]);
-        let nonsense = vec![Record::Clock(reading(0.0, 8e6)), Record::Seat(vec![0xff; 9])];
-        assert_eq!(translated(nonsense, &reading(5.0, 1e6)), [Record::Seat(vec![0xff; 9])]);
+        let written =
+            vec![Record::Clock(reading(0.0, 8e6)), Record::Seat(ownership(8_000_000).encode_to_vec())];
+        let read = translated(written, &reading(500.0, 1e6));
+        assert_eq!(read, [Record::Seat(ownership(999_500).encode_to_vec())]);
+        let malformed = vec![Record::Clock(reading(0.0, 8e6)), Record::Seat(vec![0xff; 9])];
+        assert_eq!(translated(malformed, &reading(5.0, 1e6)), [Record::Seat(vec![0xff; 9])]);
     }
 
     #[test]
-    fn records_are_moved_by_the_reading_before_them() {
+    fn records_are_translated_by_the_reading_before_them() {
         let over = |no, until| Record::Over { no, until };
         let reading = |since_boot, wall| Reading { boot: 1, since_boot, wall };
         let records = vec![
--- a/src/together.rs
+++ b/src/together.rs
@@ -1,57 +1,59 @@
-//! The operators' file on how dispatchers come back and stand together: `deploy/together.toml`, or the one that
-//! `LILACBANK_TOGETHER` names. All of it is off without the file; the platform has none.
+//! Settings for recovery after a restart and for replication between dispatchers, read from
+//! `deploy/together.toml` or from the file named by `LILACBANK_TOGETHER`. Without a file both are disabled;
+//! the platform has none.
 
 use crate::api::Ms;
 use crate::config::Lookup;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The file that is read where `LILACBANK_TOGETHER` names none.
-const FILE: &str = "deploy/together.toml";
-/// Other dispatchers of an installation, at most.
+/// The file that is read if `LILACBANK_TOGETHER` is not set.
+const DEFAULT_FILE: &str = "deploy/together.toml";
+/// Maximum number of peers of one dispatcher.
 pub const MATES_MOST: usize = 32;
 
-/// What the file holds.
+/// The content of the file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Together {
-    /// Coming back after a restart.
+    /// Recovery after a restart.
     pub recovery: Recovery,
-    /// Copies of messages at other dispatchers.
+    /// Replication of messages to peers.
     pub replication: Replication,
 }
 
-/// How a dispatcher keeps copies with others of its installation.
+/// How a dispatcher replicates messages to its peers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Replication {
-    /// Nothing below holds without it.
+    /// Enables replication; the other keys have no effect without it.
     pub enabled: bool,
-    /// Where the other dispatchers reach this one; a free port of the system's with port 0.
+    /// Address on which peers reach this dispatcher; with port 0 the system picks a free port.
     pub listen: SocketAddr,
-    /// The installation's name: what comes from another one is refused.
+    /// Name of the installation; peer messages of another installation are rejected.
     pub installation: String,
-    /// All dispatchers of the installation but this one.
+    /// All dispatchers of the installation except this one.
     pub peers: Vec<Mate>,
-    /// Copies of each message beside its own.
+    /// Number of copies of each message at peers, in addition to the dispatcher's own.
     pub copies: usize,
-    /// A client hears yes only once another dispatcher has a copy,
+    /// Whether a message is confirmed to its client only once a peer has a copy, or after `ack_ms`.
     pub ack: bool,
-    /// or after so many milliseconds without one.
+    /// Milliseconds after which a message is confirmed to its client even if no peer has a copy.
     pub ack_ms: Ms,
-    /// After a start it takes clients once it has heard what became of what it left, or after so many milliseconds.
+    /// Milliseconds for which a started dispatcher waits to learn from its peers what happened to its
+    /// messages before it accepts clients.
     pub catch_up_ms: Ms,
-    /// Megabytes of copies that it holds for others.
+    /// Size limit in megabytes of the copies held for peers.
     pub most_mb: f64,
 }
 
-/// Another dispatcher of the installation.
+/// A peer: another dispatcher of the same installation.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mate {
-    /// Its name, as its `ROUTER_NAME`.
+    /// Its name, which is its `ROUTER_NAME`.
     pub name: String,
-    /// Where it is reached: its `listen`.
+    /// Its address, which is its `listen`.
     pub address: SocketAddr,
 }
 
@@ -71,24 +73,28 @@
     }
 }
 
-/// How a process comes back.
+/// How a process recovers after a restart.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Recovery {
-    /// Nothing below holds without it.
+    /// Enables recovery; the other keys have no effect without it.
     pub enabled: bool,
-    /// Calls to each member begin at the rate of the last life and climb from there.
+    /// Whether the calls to each destination start at the rate of the previous incarnation and ramp up from
+    /// there.
     pub ramp: bool,
-    /// Calls a second to a member of which nothing is known; it doubles each second until one is refused.
+    /// Initial rate in calls a second to a destination without a known rate; it doubles each second until a
+    /// call is refused.
     pub first_rate: f64,
-    /// An unsafe message goes only to a member that the registry named, or that answered, since the start.
+    /// Whether at-most-once messages go only to destinations that the registry has listed, or that have
+    /// answered, since the start.
     pub hold_unsafe: bool,
-    /// After a start whose folder cannot vouch for an earlier life, an unsafe message that is handed in again gets its
-    /// final answer without a call.
+    /// Whether an at-most-once message that a client submits again gets its final answer without a call,
+    /// after a start whose folder may lack records of an earlier incarnation.
     pub refuse_again: bool,
-    /// Milliseconds for which a list of an older revision than the kept one is refused; then the registry is believed.
+    /// Milliseconds for which endpoint lists of an older revision than the cached one are rejected; after
+    /// that the registry's list is accepted.
     pub older_ms: Ms,
-    /// Milliseconds between two writings of the kept list and the members' health.
+    /// Milliseconds between two writes of the cached endpoint list and the destinations' health.
     pub keep_ms: Ms,
 }
 
@@ -107,48 +113,47 @@
 }
 
 impl Together {
-    /// Reads the file that `LILACBANK_TOGETHER` names, or the usual one if it is there.
+    /// Reads the file that `LILACBANK_TOGETHER` names, or else the default file if it exists.
     ///
     /// # Errors
     ///
-    /// `FILE:LINE: key KEY: what is wrong; what to do`.
+    /// `DEFAULT_FILE:LINE: key KEY: what is wrong; what to do`.
     pub fn read(env: Lookup) -> Result<Together, String> {
         let named = env("LILACBANK_TOGETHER").filter(|p| !p.is_empty());
-        let path = named.as_deref().unwrap_or(FILE);
+        let path = named.as_deref().unwrap_or(DEFAULT_FILE);
         match std::fs::read_to_string(path) {
             Ok(text) => Together::parse(path, &text),
             Err(e) if named.is_none() && e.kind() == std::io::ErrorKind::NotFound => Ok(Together::default()),
-            Err(e) => {
-                Err(format!("{path}: {e}; name a file that can be read in LILACBANK_TOGETHER, or none"))
-            }
+            Err(e) => Err(format!("{path}: {e}; set LILACBANK_TOGETHER to a readable file, or unset it")),
         }
     }
 
-    /// Does it fit the dispatcher of this name? One that is named among the others would count the majority wrong, and where
-    /// tenants move (`moves`) a message that went with its tenant would be taken over from its copies besides.
+    /// Checks the settings against the dispatcher's own name and against tenant moves. A dispatcher that
+    /// lists itself as a peer would count the majority wrongly. Where tenants move (`moves`), a message that
+    /// moved with its tenant could in addition be taken over from its copies.
     ///
     /// # Errors
     ///
     /// The key, what is wrong and what to do.
     pub fn fits(&self, name: &str, moves: bool) -> Result<(), String> {
-        let c = &self.replication;
-        if c.enabled && moves {
-            let why = "tenants move between these dispatchers ([mesh]), and a copy does not move with them";
-            return Err(format!("key replication.enabled: {why}; leave one of the two out"));
+        let r = &self.replication;
+        if r.enabled && moves {
+            let why = "tenants move between these dispatchers ([mesh]), but copies do not move with them";
+            return Err(format!("key replication.enabled: {why}; disable one of the two"));
         }
-        if c.enabled && c.peers.iter().any(|p| p.name == name) {
+        if r.enabled && r.peers.iter().any(|p| p.name == name) {
             return Err(format!(
-                "key replication.peers: {name} is this dispatcher itself; name only the others in its own file"
+                "key replication.peers: {name} is this dispatcher itself; list only the other dispatchers"
             ));
         }
         Ok(())
     }
 
-    /// The same from the file's text; `file` names it in faults.
+    /// Reads the settings from the text of a file; error messages name it `file`.
     ///
     /// # Errors
     ///
-    /// As [`Together::read`].
+    /// See [`Together::read`].
     pub fn parse(file: &str, text: &str) -> Result<Together, String> {
         let line_of = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
         let together: Together = toml::from_str(text).map_err(|e| {
@@ -171,39 +176,40 @@
             ("replication.catch_up_ms", c.catch_up_ms, 0.0, 60_000.0, "milliseconds"),
             ("replication.most_mb", c.most_mb, 0.1, 4_096.0, "megabytes"),
         ];
-        for (key, value, least, most, unit) in bounds {
-            if !(least..=most).contains(&value) {
+        for (key, value, min, max, unit) in bounds {
+            if !(min..=max).contains(&value) {
                 let line = at(key.rsplit('.').next().unwrap_or(key));
                 return Err(format!(
-                    "{file}:{line}: key {key}: {value} is not from {least} to {most} {unit}; give a number in that range"
+                    "{file}:{line}: key {key}: {value} is not from {min} to {max} {unit}; give a number in that range"
                 ));
             }
         }
         if c.enabled && c.installation.is_empty() {
             return Err(format!(
-                "{file}:{}: key replication.installation: it is missing; give the installation's name, the same in all files",
+                "{file}:{}: key replication.installation: it is missing; give all dispatchers the same name",
                 at("[replication]")
             ));
         }
         if c.enabled && c.peers.is_empty() {
             return Err(format!(
-                "{file}:{}: key replication.peers: none is named; name each other dispatcher, or set enabled = false",
+                "{file}:{}: key replication.peers: no peer is listed; list all peers, or set enabled = false",
                 at("[replication]")
             ));
         }
-        let twice = c.peers.iter().enumerate().find(|(n, p)| c.peers[..*n].iter().any(|q| q.name == p.name));
-        if let Some((_, p)) = twice {
+        let duplicate =
+            c.peers.iter().enumerate().find(|(n, p)| c.peers[..*n].iter().any(|q| q.name == p.name));
+        if let Some((_, p)) = duplicate {
             let line =
                 text.lines().enumerate().filter(|(_, l)| l.contains(&format!("\"{}\"", p.name))).last();
             return Err(format!(
-                "{file}:{}: key replication.peers: {} is named twice; name each other dispatcher once",
+                "{file}:{}: key replication.peers: {} is listed twice; list every other dispatcher once",
                 line.map_or(1, |l| l.0 + 1),
                 p.name
             ));
         }
         if c.enabled && c.peers.len() > MATES_MOST {
             return Err(format!(
-                "{file}:{}: key replication.peers: {} are named; {MATES_MOST} at most",
+                "{file}:{}: key replication.peers: {} peers are listed; the maximum is {MATES_MOST}",
                 at("[replication]"),
                 c.peers.len()
             ));
@@ -217,11 +223,11 @@
     use super::*;
 
     #[test]
-    fn the_shipped_file_is_off_and_faults_name_file_line_and_key() {
+    fn shipped_file_disables_everything_and_errors_name_file_line_and_key() {
         let shipped = Together::parse("f", include_str!("../deploy/together.toml")).unwrap();
         assert_eq!(shipped, Together::default());
         assert!(!shipped.recovery.enabled);
-        for (text, said) in [
+        for (text, expected) in [
             ("[recovery]\nenabled = true\nramps = true\n", "f:3: key ramps: unknown field"),
             ("[recovery]\n\nfirst_rate = 0\n", "f:3: key recovery.first_rate: 0 is not from 0.1"),
             ("[recovery]\nenabled = \"yes\"\n", "f:2: key enabled: invalid type"),
@@ -231,16 +237,16 @@
             ("[replication]\nlisten = \"here\"\n", "f:2: key listen: invalid socket address"),
             (
                 "[replication]\nenabled = true\ninstallation = \"i\"\n",
-                "f:1: key replication.peers: none is named",
+                "f:1: key replication.peers: no peer is listed",
             ),
             (
                 "[replication]\n[[replication.peers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n\
                  [[replication.peers]]\nname = \"a\"\naddress = \"127.0.0.1:2\"\n",
-                "f:6: key replication.peers: a is named twice",
+                "f:6: key replication.peers: a is listed twice",
             ),
         ] {
             let e = Together::parse("f", text).unwrap_err();
-            assert!(e.starts_with(said), "{e}");
+            assert!(e.starts_with(expected), "{e}");
         }
         let one = "[replication]\nenabled = true\ninstallation = \"i\"\n\
                    [[replication.peers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n";
