--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,6 +1,6 @@
-//! The line protocol: parsing events, writing actions, hosting many independent instances.
+//! The simulator's line protocol: parses events, writes actions, and hosts many independent decision modules.
 //!
-//! No decision is taken here. A line that cannot be understood is an error that names the line.
+//! This module takes no decisions. A malformed line is an error that gives the line's number.
 
 use crate::api::*;
 use crate::brain::Brain;
@@ -9,10 +9,10 @@
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 
-/// What ended the conversation before its end of input.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug)]
 pub enum WireError {
-    /// The input line of that number is malformed.
+    /// The input line of this number is malformed.
     Bad(usize, String),
     /// Reading or writing failed.
     Io(io::Error),
@@ -33,14 +33,15 @@
     }
 }
 
-/// Bits of a message: handed in again, or from a forwarder that died.
-const HANDED_IN_BEFORE: u64 = 2 | 16;
-/// Bit of a message whose guess of its work is valid.
-const WORK_IS_GUESSED: u64 = 1;
+/// Bits in a message's `state_bits` that mark it as submitted before: by its client, or to a forwarder that
+/// died.
+const SUBMITTED_BEFORE_BITS: u64 = 2 | 16;
+/// Bit in a message's `state_bits` that marks its estimate of work (`effort`) as valid.
+const WORK_ESTIMATE_BIT: u64 = 1;
 
-type Parsed<T> = Result<T, String>;
+type ParseResult<T> = Result<T, String>;
 
-/// One row of a list, as the wire spells it.
+/// One row of an endpoint list, with names instead of numbers.
 struct ListRow {
     target: String,
     zone: String,
@@ -50,14 +51,16 @@
     weight: f64,
 }
 
-/// The names of one instance's settings, and the routes that it met.
+/// The names in one instance's settings, and the numbers given to endpoint addresses.
 struct Names {
-    of: config::Names,
+    settings: config::Names,
     routes: BTreeMap<String, RouteId>,
+    /// Addresses in the order of their numbers.
     addresses: Vec<String>,
 }
 
 impl Names {
+    /// The number of an address; a new address gets the next number.
     fn route(&mut self, address: &str) -> RouteId {
         if let Some(&id) = self.routes.get(address) {
             return id;
@@ -69,38 +72,43 @@
     }
 }
 
+/// A decision module with the events of the current batch.
 struct Instance {
     brain: Brain,
     names: Names,
     events: Vec<Event>,
-    touched: bool,
+    /// It is in `reply_order` for the current batch.
+    in_reply_order: bool,
 }
 
-/// Hosts the instances of one process and answers its batches.
+/// Hosts the instances of one process and answers batches of events.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
-    lists: BTreeMap<u64, Vec<ListRow>>,
-    order: Vec<String>,
+    /// Endpoint lists by slot.
+    inventories: BTreeMap<u64, Vec<ListRow>>,
+    /// Names of the instances that the current batch addressed, in the order of their first event.
+    reply_order: Vec<String>,
 }
 
-/// Splits the parts of a line, in the order of the wire.
-struct Parts<'a>(std::str::SplitN<'a, char>);
+/// The fields of a line, separated by single spaces and read in order. `-` stands for an absent optional
+/// field.
+struct LineFields<'a>(std::str::SplitN<'a, char>);
 
-impl<'a> Parts<'a> {
-    fn next(&mut self, what: &str) -> Parsed<&'a str> {
+impl<'a> LineFields<'a> {
+    fn next(&mut self, what: &str) -> ParseResult<&'a str> {
         self.0.next().ok_or_else(|| format!("{what} is missing"))
     }
-    fn opt(&mut self, what: &str) -> Parsed<Option<&'a str>> {
+    fn optional(&mut self, what: &str) -> ParseResult<Option<&'a str>> {
         Ok(Some(self.next(what)?).filter(|s| *s != "-"))
     }
-    fn whole(&mut self, what: &str) -> Parsed<u64> {
-        whole(self.next(what)?, what)
+    fn integer(&mut self, what: &str) -> ParseResult<u64> {
+        parse_integer(self.next(what)?, what)
     }
-    fn number(&mut self, what: &str) -> Parsed<f64> {
-        number(self.next(what)?, what)
+    fn number(&mut self, what: &str) -> ParseResult<f64> {
+        parse_number(self.next(what)?, what)
     }
-    fn end(mut self) -> Parsed<()> {
+    fn end(mut self) -> ParseResult<()> {
         match self.0.next() {
             None => Ok(()),
             Some(extra) => Err(format!("unexpected text '{extra}'")),
@@ -108,11 +116,11 @@
     }
 }
 
-fn whole(text: &str, what: &str) -> Parsed<u64> {
+fn parse_integer(text: &str, what: &str) -> ParseResult<u64> {
     text.parse().map_err(|_| format!("{what} '{text}' is not a whole number"))
 }
 
-fn number(text: &str, what: &str) -> Parsed<f64> {
+fn parse_number(text: &str, what: &str) -> ParseResult<f64> {
     let n: f64 = text.parse().map_err(|_| format!("{what} '{text}' is not a number"))?;
     if n.is_finite() {
         Ok(n)
@@ -121,7 +129,7 @@
     }
 }
 
-fn outcome(text: &str) -> Parsed<Outcome> {
+fn parse_outcome(text: &str) -> ParseResult<Outcome> {
     Ok(match text {
         "GOOD" => Outcome::Delivered,
         "BAD" => Outcome::Error,
@@ -135,12 +143,12 @@
     })
 }
 
-/// What a report tells of the limit; other fields are passed over.
-fn report(text: Option<&str>) -> Parsed<Report> {
+/// Parses what an endpoint reports about its limit; unknown fields are ignored.
+fn parse_report(text: Option<&str>) -> ParseResult<Report> {
     let mut report = Report::default();
     for pair in text.unwrap_or("").split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or_else(|| format!("'{pair}' is not name:value"))?;
-        let value = number(value, name)?;
+        let value = parse_number(value, name)?;
         match name {
             "x0" => report.left = Some(value),
             "x1" => report.limit = Some(value),
@@ -150,77 +158,80 @@
     Ok(report)
 }
 
-fn parts(line: &str, most: usize) -> Parts<'_> {
-    Parts(line.splitn(most, ' '))
+/// Splits a line into at most `max` fields; the last one holds the rest of the line.
+fn line_fields(line: &str, max: usize) -> LineFields<'_> {
+    LineFields(line.splitn(max, ' '))
 }
 
-fn entry(line: &str) -> Parsed<ListRow> {
-    let mut p = parts(line, 9);
-    if p.next("entry")? != "entry" {
+fn parse_entry(line: &str) -> ParseResult<ListRow> {
+    let mut fields = line_fields(line, 9);
+    if fields.next("entry")? != "entry" {
         return Err("an entry line was expected".into());
     }
     let row = ListRow {
-        target: p.next("target")?.to_string(),
-        zone: p.next("dc")?.to_string(),
-        kind: p.next("sku")?.to_string(),
-        dest: p.whole("owner_no")?,
-        listing: match p.next("lifecycle")? {
+        target: fields.next("target")?.to_string(),
+        zone: fields.next("dc")?.to_string(),
+        kind: fields.next("sku")?.to_string(),
+        dest: fields.integer("owner_no")?,
+        listing: match fields.next("lifecycle")? {
             "1" => Listing::Ready,
             "0" => Listing::Draining,
             "2" => Listing::Gone,
             other => return Err(format!("unknown lifecycle '{other}'")),
         },
-        weight: p.opt("size")?.map_or(Ok(1.0), |s| number(s, "size"))?,
+        weight: fields.optional("size")?.map_or(Ok(1.0), |s| parse_number(s, "size"))?,
     };
-    p.opt("online_since")?.map_or(Ok(0.0), |s| number(s, "online_since"))?;
-    p.end()?;
+    fields.optional("online_since")?.map_or(Ok(0.0), |s| parse_number(s, "online_since"))?;
+    fields.end()?;
     Ok(row)
 }
 
 impl Host {
-    fn instance(&mut self, name: &str) -> Parsed<&mut Instance> {
+    /// The instance of this name, which then takes part in the reply to the current batch.
+    fn instance(&mut self, name: &str) -> ParseResult<&mut Instance> {
         let inst = self.instances.get_mut(name).ok_or_else(|| format!("'{name}' has not been enlisted"))?;
-        if !inst.touched {
-            inst.touched = true;
-            self.order.push(name.to_string());
+        if !inst.in_reply_order {
+            inst.in_reply_order = true;
+            self.reply_order.push(name.to_string());
         }
         Ok(inst)
     }
 
-    fn forget(&mut self, name: &str) {
+    fn remove_instance(&mut self, name: &str) {
         self.instances.remove(name);
-        self.order.retain(|n| n != name);
+        self.reply_order.retain(|n| n != name);
     }
 
-    fn enlist(&mut self, line: &str) -> Parsed<()> {
-        let mut p = parts(line, 4);
-        p.next("event")?;
-        let name = p.next("forwarder")?.to_string();
-        let seed = p.whole("seed")?;
-        let json = p.next("params")?;
+    fn enlist(&mut self, line: &str) -> ParseResult<()> {
+        let mut fields = line_fields(line, 4);
+        fields.next("event")?;
+        let name = fields.next("forwarder")?.to_string();
+        let seed = fields.integer("seed")?;
+        let json = fields.next("params")?;
         let value = config::json("params", json).map_err(|e| e.to_string())?;
-        let (settings, of) =
+        let (settings, setting_names) =
             config::settings(seed, &Node::root("params", &value)).map_err(|e| e.to_string())?;
-        let names = Names { of, routes: BTreeMap::new(), addresses: Vec::new() };
-        self.forget(&name);
-        let fresh = Instance { brain: Brain::new(settings), names, events: Vec::new(), touched: true };
-        self.order.push(name.clone());
-        self.instances.insert(name, fresh);
+        let names = Names { settings: setting_names, routes: BTreeMap::new(), addresses: Vec::new() };
+        self.remove_instance(&name);
+        let instance =
+            Instance { brain: Brain::new(settings), names, events: Vec::new(), in_reply_order: true };
+        self.reply_order.push(name.clone());
+        self.instances.insert(name, instance);
         Ok(())
     }
 
-    fn roster(&mut self, line: &str) -> Parsed<()> {
-        let mut p = parts(line, 6);
-        p.next("event")?;
-        let name = p.next("forwarder")?;
-        let form = p.next("form")?;
-        p.opt("serial")?;
-        let slot = p.opt("slot")?.map_or(Ok(0), |s| whole(s, "slot"))?;
-        p.end()?;
+    fn roster_change(&mut self, line: &str) -> ParseResult<()> {
+        let mut fields = line_fields(line, 6);
+        fields.next("event")?;
+        let name = fields.next("forwarder")?;
+        let form = fields.next("form")?;
+        fields.optional("serial")?;
+        let slot = fields.optional("slot")?.map_or(Ok(0), |s| parse_integer(s, "slot"))?;
+        fields.end()?;
         if !matches!(form, "0" | "1" | "2" | "3") {
             return Err(format!("unknown form '{form}'"));
         }
-        let list = if form == "3" { None } else { self.lists.remove(&slot) };
+        let list = if form == "3" { None } else { self.inventories.remove(&slot) };
         let inst = self.instance(name)?;
         let event = match (&list, form) {
             (None, "3") => Event::ListFailed,
@@ -230,8 +241,10 @@
                 for r in list {
                     rows.push(Row {
                         route: inst.names.route(&r.target),
-                        zone: place(&inst.names.of.zones, &r.zone).unwrap_or(inst.names.of.zones.len()),
-                        kind: place(&inst.names.of.kinds, &r.kind).unwrap_or(inst.names.of.kinds.len()),
+                        zone: place(&inst.names.settings.zones, &r.zone)
+                            .unwrap_or(inst.names.settings.zones.len()),
+                        kind: place(&inst.names.settings.kinds, &r.kind)
+                            .unwrap_or(inst.names.settings.kinds.len()),
                         dest: r.dest,
                         listing: r.listing,
                         weight: r.weight,
@@ -242,110 +255,111 @@
         };
         inst.events.push(event);
         if let Some(list) = list {
-            self.lists.insert(slot, list);
+            self.inventories.insert(slot, list);
         }
         Ok(())
     }
 
-    fn arrived(&mut self, line: &str) -> Parsed<()> {
-        let mut p = parts(line, 11);
-        p.next("event")?;
-        let inst = self.instance(p.next("forwarder")?)?;
-        let id = p.whole("msg_id")?;
-        let class = p.next("type")?;
-        let tenant = p.opt("account")?.filter(|t| *t != "0");
-        let key = p.opt("resource")?.map(|k| whole(k, "resource")).transpose()?;
-        let valid_until = p.number("valid_until")?;
-        let work = p.opt("effort")?.map_or(Ok(0.0), |e| number(e, "effort"))?;
-        let dest = p.number("called_node")?;
-        let bits = p.opt("state_bits")?.map_or(Ok(0), |b| whole(b, "state_bits"))?;
-        p.end()?;
-        let class = place(&inst.names.of.classes, class);
+    fn new_request(&mut self, line: &str) -> ParseResult<()> {
+        let mut fields = line_fields(line, 11);
+        fields.next("event")?;
+        let inst = self.instance(fields.next("forwarder")?)?;
+        let id = fields.integer("msg_id")?;
+        let class = fields.next("type")?;
+        let tenant = fields.optional("account")?.filter(|t| *t != "0");
+        let key = fields.optional("resource")?.map(|k| parse_integer(k, "resource")).transpose()?;
+        let valid_until = fields.number("valid_until")?;
+        let work = fields.optional("effort")?.map_or(Ok(0.0), |e| parse_number(e, "effort"))?;
+        let dest = fields.number("called_node")?;
+        let bits = fields.optional("state_bits")?.map_or(Ok(0), |b| parse_integer(b, "state_bits"))?;
+        fields.end()?;
+        let class = place(&inst.names.settings.classes, class);
         inst.events.push(Event::Arrived(Message {
             id,
             class: class.ok_or("unknown type")?,
-            tenant: tenant.and_then(|t| place(&inst.names.of.tenants, t)),
+            tenant: tenant.and_then(|t| place(&inst.names.settings.tenants, t)),
             key,
             valid_until,
             dest: dest as DestId,
-            again: bits & HANDED_IN_BEFORE != 0,
-            work: if bits & WORK_IS_GUESSED != 0 { work } else { 0.0 },
+            again: bits & SUBMITTED_BEFORE_BITS != 0,
+            work: if bits & WORK_ESTIMATE_BIT != 0 { work } else { 0.0 },
         }));
         Ok(())
     }
 
-    fn ended(&mut self, line: &str) -> Parsed<()> {
-        let mut p = parts(line, 11);
-        p.next("event")?;
-        let inst = self.instance(p.next("forwarder")?)?;
-        let id = p.whole("msg_id")?;
-        let attempt = p.whole("copy")? as u32;
-        let route = inst.names.route(p.next("target")?);
-        let outcome = outcome(p.next("ending")?)?;
-        let took = p.opt("took")?.map_or(Ok(0.0), |t| number(t, "took"))?;
-        let over = p.next("ended")? == "1";
-        let note = p.opt("remark_ms")?.map_or(Ok(0.0), |w| number(w, "remark_ms"))?;
-        let report = report(p.opt("feedback")?)?;
-        p.end()?;
-        let wait = if outcome == Outcome::Refused { note } else { 0.0 };
-        // The platform counts what it did not send: `unspent` stays false.
+    fn answer(&mut self, line: &str) -> ParseResult<()> {
+        let mut fields = line_fields(line, 11);
+        fields.next("event")?;
+        let inst = self.instance(fields.next("forwarder")?)?;
+        let id = fields.integer("msg_id")?;
+        let attempt = fields.integer("copy")? as u32;
+        let route = inst.names.route(fields.next("target")?);
+        let outcome = parse_outcome(fields.next("ending")?)?;
+        let took = fields.optional("took")?.map_or(Ok(0.0), |t| parse_number(t, "took"))?;
+        let over = fields.next("ended")? == "1";
+        let remark = fields.optional("remark_ms")?.map_or(Ok(0.0), |w| parse_number(w, "remark_ms"))?;
+        let report = parse_report(fields.optional("feedback")?)?;
+        fields.end()?;
+        let wait = if outcome == Outcome::Refused { remark } else { 0.0 };
+        // The simulator counts an attempt even if nothing of it was sent, so `unspent` stays false.
         let ended = Ended { took, over, wait, report, ..Ended::of(id, attempt, route, outcome) };
         inst.events.push(Event::Ended(ended));
         Ok(())
     }
 
-    fn probed(&mut self, line: &str) -> Parsed<()> {
-        let mut p = parts(line, 7);
-        p.next("event")?;
-        let inst = self.instance(p.next("forwarder")?)?;
-        let outcome = outcome(p.next("ending")?)?;
-        let route = inst.names.route(p.next("target")?);
-        let took = p.opt("took")?.map_or(Ok(0.0), |t| number(t, "took"))?;
-        let report = report(p.opt("feedback")?)?;
-        p.end()?;
+    fn echo(&mut self, line: &str) -> ParseResult<()> {
+        let mut fields = line_fields(line, 7);
+        fields.next("event")?;
+        let inst = self.instance(fields.next("forwarder")?)?;
+        let outcome = parse_outcome(fields.next("ending")?)?;
+        let route = inst.names.route(fields.next("target")?);
+        let took = fields.optional("took")?.map_or(Ok(0.0), |t| parse_number(t, "took"))?;
+        let report = parse_report(fields.optional("feedback")?)?;
+        fields.end()?;
         inst.events.push(Event::Probed { route, outcome, took, report });
         Ok(())
     }
 
-    fn event(&mut self, line: &str) -> Parsed<()> {
-        let word = line.split(' ').next().unwrap_or("");
-        match word {
+    fn event(&mut self, line: &str) -> ParseResult<()> {
+        let kind = line.split(' ').next().unwrap_or("");
+        match kind {
             "enlist" => self.enlist(line),
-            "roster_change" => self.roster(line),
-            "new_request" => self.arrived(line),
-            "answer" => self.ended(line),
-            "echo" => self.probed(line),
+            "roster_change" => self.roster_change(line),
+            "new_request" => self.new_request(line),
+            "answer" => self.answer(line),
+            "echo" => self.echo(line),
             "crash_now" => {
-                let mut p = parts(line, 3);
-                p.next("event")?;
-                let name = p.next("forwarder")?;
-                p.end()?;
-                self.forget(name);
+                let mut fields = line_fields(line, 3);
+                fields.next("event")?;
+                let name = fields.next("forwarder")?;
+                fields.end()?;
+                self.remove_instance(name);
                 Ok(())
             }
             "timed_out_client" | "elapsed" => {
-                let mut p = parts(line, 4);
-                p.next("event")?;
-                let inst = self.instance(p.next("forwarder")?)?;
-                let n = p.whole("number")?;
-                p.end()?;
-                inst.events.push(if word == "elapsed" { Event::Timer(n) } else { Event::ClientGone(n) });
+                let mut fields = line_fields(line, 4);
+                fields.next("event")?;
+                let inst = self.instance(fields.next("forwarder")?)?;
+                let n = fields.integer("number")?;
+                fields.end()?;
+                inst.events.push(if kind == "elapsed" { Event::Timer(n) } else { Event::ClientGone(n) });
                 Ok(())
             }
-            // Known events on which nothing is decided; they still let the instance act.
+            // Events without content for the decision module; the instance still runs a step in this batch.
             "started" | "datagram" => {
-                let mut p = parts(line, 3);
-                p.next("event")?;
-                self.instance(p.next("forwarder")?).map(|_| ())
+                let mut fields = line_fields(line, 3);
+                fields.next("event")?;
+                self.instance(fields.next("forwarder")?).map(|_| ())
             }
             other => Err(format!("unknown message '{other}'")),
         }
     }
 
+    /// Runs one step of each instance that the batch addressed and writes its actions.
     fn reply(&mut self, now: Ms, out: &mut String) {
-        for name in std::mem::take(&mut self.order) {
+        for name in std::mem::take(&mut self.reply_order) {
             let Some(inst) = self.instances.get_mut(&name) else { continue };
-            inst.touched = false;
+            inst.in_reply_order = false;
             let events = std::mem::take(&mut inst.events);
             let mut actions = Vec::new();
             let step = std::panic::AssertUnwindSafe(|| inst.brain.step(now, &events, &mut actions));
@@ -359,7 +373,7 @@
         }
     }
 
-    /// Answers batches until the input ends.
+    /// Answers batches until the end of the input.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
         let mut lines = input.lines();
         let mut count = 0usize;
@@ -376,27 +390,27 @@
             }
         };
         while let Some((n, line)) = read()? {
-            let (now, batch) = sync(&line).map_err(|e| WireError::Bad(n, e))?;
+            let (now, batch) = parse_sync(&line).map_err(|e| WireError::Bad(n, e))?;
             loop {
-                let cut = || WireError::Bad(n, "the batch that starts here is cut short".into());
-                let (n, line) = read()?.ok_or_else(cut)?;
+                let incomplete = || WireError::Bad(n, "the batch that starts here is cut short".into());
+                let (n, line) = read()?.ok_or_else(incomplete)?;
                 if line == "eob" {
                     break;
                 }
-                let bad = |e| WireError::Bad(n, e);
-                if let Some(rest) = line.strip_prefix("inventory ") {
-                    let mut p = parts(rest, 3);
-                    let slot = p.whole("slot").map_err(bad)?;
-                    let rows = p.whole("rows_in").map_err(bad)?;
-                    p.end().map_err(bad)?;
+                let malformed = |e| WireError::Bad(n, e);
+                if let Some(text) = line.strip_prefix("inventory ") {
+                    let mut fields = line_fields(text, 3);
+                    let slot = fields.integer("slot").map_err(malformed)?;
+                    let rows = fields.integer("rows_in").map_err(malformed)?;
+                    fields.end().map_err(malformed)?;
                     let mut list = Vec::new();
                     for _ in 0..rows {
-                        let (n, line) = read()?.ok_or_else(cut)?;
-                        list.push(entry(&line).map_err(|e| WireError::Bad(n, e))?);
+                        let (n, line) = read()?.ok_or_else(incomplete)?;
+                        list.push(parse_entry(&line).map_err(|e| WireError::Bad(n, e))?);
                     }
-                    self.lists.insert(slot, list);
+                    self.inventories.insert(slot, list);
                 } else {
-                    self.event(&line).map_err(bad)?;
+                    self.event(&line).map_err(malformed)?;
                 }
             }
             out.clear();
@@ -409,13 +423,13 @@
     }
 }
 
-fn sync(line: &str) -> Parsed<(Ms, u64)> {
-    let mut p = parts(line, 4);
-    if p.next("sync")? != "sync" {
+fn parse_sync(line: &str) -> ParseResult<(Ms, u64)> {
+    let mut fields = line_fields(line, 4);
+    if fields.next("sync")? != "sync" {
         return Err("a sync line was expected".into());
     }
-    let head = (p.number("clock")?, p.whole("batch index")?);
-    p.end()?;
+    let head = (fields.number("clock")?, fields.integer("batch index")?);
+    fields.end()?;
     Ok(head)
 }
 
@@ -440,15 +454,16 @@
 mod tests {
     use super::*;
 
-    /// A told limit of 0 is news (no limit but the capacity); an absent one is not.
+    /// A reported limit of 0 has a meaning (no limit but the capacity) and must not be taken for an absent
+    /// one.
     #[test]
-    fn a_report_is_read_for_what_it_holds() {
-        let read = |text| report(Some(text)).map(|r| (r.left, r.limit));
+    fn report_contains_exactly_the_known_fields_that_are_present() {
+        let read = |text| parse_report(Some(text)).map(|r| (r.left, r.limit));
         assert_eq!(read("x0:0,x1:0"), Ok((Some(0.0), Some(0.0))));
         assert_eq!(read("x1:5.5,later:7,x0:0.25"), Ok((Some(0.25), Some(5.5))));
         assert_eq!(read("x0:0.5"), Ok((Some(0.5), None)));
         assert_eq!(read("later:1"), Ok((None, None)));
-        assert_eq!(report(None), Ok(Report::default()));
+        assert_eq!(parse_report(None), Ok(Report::default()));
         assert!(read("x0").is_err() && read("x1:many").is_err());
     }
 }
