--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and checks the configuration and applies defaults.
 //!
-//! The platform tells a dispatcher what it is by `ROUTER_*` variables and a JSON file; the simulator hands the same
-//! settings to the adapter. Every complaint names the key at fault. Keys that are not known are skipped.
+//! The platform configures a dispatcher by `ROUTER_*` environment variables and a JSON file; the simulator
+//! passes the same settings to the adapter. Every error names the key at fault. Unknown keys are ignored.
 
 use crate::api::*;
 use crate::dispatch::{CellSpec, MeshSpec, PeerSpec};
@@ -12,10 +12,10 @@
 use std::path::PathBuf;
 use tinyjson::JsonValue;
 
-/// What is wrong with which key.
+/// A configuration error and the key at fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The key, with the keys above it: `settings.classes[1].deadline`.
+    /// Full path of the key, such as `settings.classes[1].deadline`.
     pub key: String,
     /// What is wrong.
     pub what: String,
@@ -30,7 +30,8 @@
 impl std::error::Error for ConfigError {}
 
 impl ConfigError {
-    /// The line of the file where its key is written, from 1; none for a variable or a key that is not there.
+    /// Number of the first line, from 1, in which the text has a key of this name; `None` for an environment
+    /// variable or a missing key.
     pub fn line_in(&self, text: &str) -> Option<usize> {
         let last = self.key.rsplit('.').next()?.split('[').next()?;
         if last.is_empty() || last.starts_with("ROUTER_") {
@@ -45,16 +46,16 @@
     }
 }
 
-/// A result that names the key at fault.
+/// Result of reading a configuration value.
 pub type Checked<T> = Result<T, ConfigError>;
 
-fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Checked<T> {
+fn config_error<T>(key: impl Into<String>, what: impl Into<String>) -> Checked<T> {
     Err(ConfigError { key: key.into(), what: what.into() })
 }
 
 static NULL: JsonValue = JsonValue::Null;
 
-/// A JSON value that knows the keys above it.
+/// A JSON value with the path of its key.
 #[derive(Debug, Clone)]
 pub struct Node<'a> {
     path: String,
@@ -62,12 +63,12 @@
 }
 
 impl<'a> Node<'a> {
-    /// The top of a document, under a name for complaints.
+    /// The root of a document; its error messages start with `name`.
     pub fn root(name: &str, value: &'a JsonValue) -> Node<'a> {
         Node { path: name.into(), value }
     }
 
-    /// The value under a key; null if there is none.
+    /// The value of a key; null if there is none.
     pub fn get(&self, key: &str) -> Node<'a> {
         let value = match self.value {
             JsonValue::Object(map) => map.get(key).unwrap_or(&NULL),
@@ -77,17 +78,17 @@
         Node { path, value }
     }
 
-    /// Complains about this key.
+    /// An error for this key.
     pub fn fault<T>(&self, what: impl Into<String>) -> Checked<T> {
-        fault(self.path.clone(), what)
+        config_error(self.path.clone(), what)
     }
 
-    /// Is it absent or null?
+    /// Whether the value is absent or null.
     pub fn absent(&self) -> bool {
         matches!(self.value, JsonValue::Null)
     }
 
-    /// A number, or the default where it is absent; a boolean counts as 1 or 0.
+    /// The value as a number, or `absent` if there is none; a boolean counts as 1 or 0.
     pub fn num(&self, absent: f64) -> Checked<f64> {
         match self.value {
             JsonValue::Null => Ok(absent),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// A number that is not negative.
+    /// The value as a number that is not negative, or `absent` if there is none.
     pub fn amount(&self, absent: f64) -> Checked<f64> {
         let n = self.num(absent)?;
         if n < 0.0 {
@@ -106,12 +107,12 @@
         Ok(n)
     }
 
-    /// A yes or no; absent is no.
+    /// The value as a boolean; false if absent.
     pub fn flag(&self) -> Checked<bool> {
         Ok(self.num(0.0)? != 0.0)
     }
 
-    /// A text; absent is empty.
+    /// The value as a string; empty if absent.
     pub fn text(&self) -> Checked<&'a str> {
         match self.value {
             JsonValue::Null => Ok(""),
@@ -120,13 +121,13 @@
         }
     }
 
-    /// The items of a list; absent is empty.
+    /// The items of the value as a list; empty if absent.
     pub fn items(&self) -> Checked<Vec<Node<'a>>> {
         match self.value {
             JsonValue::Null => Ok(Vec::new()),
-            JsonValue::Array(all) => {
+            JsonValue::Array(values) => {
                 let item = |(i, value)| Node { path: format!("{}[{i}]", self.path), value };
-                Ok(all.iter().enumerate().map(item).collect())
+                Ok(values.iter().enumerate().map(item).collect())
             }
             _ => self.fault("a list was expected"),
         }
@@ -144,22 +145,23 @@
     }
 }
 
-/// Names that the settings give to numbers: a class, zone, kind or tenant is its place in its list.
+/// Names from the settings. The number of a class, zone, kind or tenant is its index in the list of names.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Names {
-    /// The classes of message.
+    /// Names of the message classes.
     pub classes: Vec<String>,
-    /// The zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The kinds of destination.
+    /// Names of the kinds of destinations.
     pub kinds: Vec<String>,
-    /// The tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
 impl Names {
-    /// Changed settings, fitted to numbers that are in use: what was there keeps its place, and what is new comes behind.
-    /// Returns them with the names that are only kept for what is held. The workers of a list are renumbered, too.
+    /// Merges reloaded settings into the numbering in use: existing names keep their index and new names are
+    /// appended. Returns the merged settings, all names, and the retired classes and tenants, which exist
+    /// only for the messages still held. The workers in `list` are renumbered to match.
     pub fn carry(
         &self,
         old: &Settings,
@@ -176,16 +178,18 @@
             kinds: join(&self.kinds, &names.kinds),
             tenants: join(&self.tenants, &names.tenants),
         };
-        let gone = |a: &[String], b: &[String]| a.iter().filter(|n| !b.contains(n)).cloned().collect();
+        let removed = |a: &[String], b: &[String]| a.iter().filter(|n| !b.contains(n)).cloned().collect();
         let retired = Names {
-            classes: gone(&self.classes, &names.classes),
-            tenants: gone(&self.tenants, &names.tenants),
+            classes: removed(&self.classes, &names.classes),
+            tenants: removed(&self.tenants, &names.tenants),
             ..Names::default()
         };
-        // Each list of values by the joined names: the new value, or the old one where there is none.
+        // The values in the order of the merged names: the new value of each name, or its old one if there is
+        // no new one.
         fn values<T: Clone>(all: &[String], new: (&[String], &[T]), old: (&[String], &[T])) -> Vec<T> {
-            let of = |of: (&[String], &[T]), n: &String| place(of.0, n).and_then(|i| of.1.get(i)).cloned();
-            all.iter().filter_map(|n| of(new, n).or_else(|| of(old, n))).collect()
+            let value_of =
+                |list: (&[String], &[T]), n: &String| place(list.0, n).and_then(|i| list.1.get(i)).cloned();
+            all.iter().filter_map(|n| value_of(new, n).or_else(|| value_of(old, n))).collect()
         }
         let renumber = |all: &[String], names: &[String], at: usize| -> usize {
             names.get(at).and_then(|n| place(all, n)).unwrap_or(all.len())
@@ -211,12 +215,12 @@
     }
 }
 
-/// The place of a name in its list.
+/// The index of a name in its list.
 pub fn place(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-fn class(v: &Node) -> Checked<Class> {
+fn parse_class(v: &Node) -> Checked<Class> {
     let effect = match v.get("effect").text()? {
         "idempotent" => Effect::Safe,
         "deduplicated" => Effect::Keyed { by_zone: v.get("group").text()? != "all" },
@@ -236,13 +240,13 @@
     })
 }
 
-/// Dispatchers that can be meant.
-const BALANCERS_MOST: f64 = 100_000.0;
+/// Largest accepted number of dispatchers.
+const MAX_BALANCERS: f64 = 100_000.0;
 
-/// Reads the settings object; absent keys get the documented meaning.
+/// Reads the settings object; absent keys get their documented defaults.
 pub fn settings(seed: u64, v: &Node) -> Checked<(Settings, Names)> {
     v.object()?;
-    let (limits, rules) = (v.get("ceilings"), v.get("guarantees"));
+    let (limits, guarantees) = (v.get("ceilings"), v.get("guarantees"));
     let (family, prices) = (v.get("family_info"), v.get("prices"));
     let names = |key: &str| -> Checked<Vec<String>> {
         v.get(key).items()?.iter().map(|c| Ok(c.get("name").text()?.to_string())).collect()
@@ -254,19 +258,19 @@
         kinds: v.get("kinds").texts()?,
     };
     let (apart, batch) = (family.get("kind_apart").items()?, family.get("batch_by_kind").items()?);
-    let kind = |i: usize| -> Checked<Kind> {
+    let parse_kind = |i: usize| -> Checked<Kind> {
         let apart = apart.get(i).or(apart.last()).map_or(Ok(false), |n| n.flag())?;
         let batch = batch.get(i).or(batch.last()).map_or(Ok(1.0), |n| n.num(1.0))?;
         Ok(Kind { apart, batch: batch.max(1.0) as usize })
     };
-    let advice =
+    let max_advice =
         if limits.get("retry_after").flag()? { limits.get("max_retry_after").amount(0.0)? } else { 0.0 };
     let zone = v.get("zone").text()?;
     let (balancers, rank) = (v.get("balancers").num(1.0)?, v.get("rank").num(0.0)?);
-    if balancers.fract() != 0.0 || !(1.0..=BALANCERS_MOST).contains(&balancers) {
+    if balancers.fract() != 0.0 || !(1.0..=MAX_BALANCERS).contains(&balancers) {
         return v
             .get("balancers")
-            .fault(format!("{balancers} is no number of dispatchers: 1 to {BALANCERS_MOST}"));
+            .fault(format!("{balancers} is no number of dispatchers: 1 to {MAX_BALANCERS}"));
     }
     if rank.fract() != 0.0 || !(0.0..balancers).contains(&rank) {
         return v
@@ -277,9 +281,9 @@
         seed,
         senders: balancers as usize,
         round: v.get("round").amount(0.0)?,
-        classes: v.get("classes").items()?.iter().map(class).collect::<Checked<_>>()?,
+        classes: v.get("classes").items()?.iter().map(parse_class).collect::<Checked<_>>()?,
         decay: if family.get("decay").text()? == "halves" { Decay::Halves } else { Decay::Line },
-        kinds: (0..names.kinds.len().max(1)).map(kind).collect::<Checked<_>>()?,
+        kinds: (0..names.kinds.len().max(1)).map(parse_kind).collect::<Checked<_>>()?,
         zone_fees: family.get("route_fee").items()?.iter().map(|f| f.num(0.0)).collect::<Checked<_>>()?,
         zone: place(&names.zones, zone).unwrap_or(names.zones.len()),
         cross_zone: prices.get("cross_zone").num(0.0)?,
@@ -300,37 +304,37 @@
         most_attempts: limits.get("most_tries").amount(1e9)? as u32,
         can_cancel: limits.get("cancel").flag()?,
         can_probe: limits.get("probes").flag()?,
-        max_advice: advice,
+        max_advice,
         connect_timeout: limits.get("connect_timeout").amount(0.0)?,
         list_on_request: v.get("discovery").text()? == "on_request",
-        ask_within: rules.get("ask_within").amount(0.0)?,
+        ask_within: guarantees.get("ask_within").amount(0.0)?,
         weights: match v.get("weights").text()? {
             "nominal" => Weights::Rate,
             "rough" => Weights::RoughRate,
             _ => Weights::None,
         },
-        answer_slack: rules.get("answer_slack").amount(0.0)?,
-        drain_grace: rules.get("drain_grace").amount(0.0)?,
-        overload_factor: rules.get("overload_factor").num(1.0)?,
-        overload_for: rules.get("overload_for").amount(0.0)?,
-        cold_from: rules.get("cold_from").num(1.0)?,
-        cold: rules.get("cold").amount(0.0)?,
-        key_quiet: rules.get("key_quiet").amount(0.0)?,
+        answer_slack: guarantees.get("answer_slack").amount(0.0)?,
+        drain_grace: guarantees.get("drain_grace").amount(0.0)?,
+        overload_factor: guarantees.get("overload_factor").num(1.0)?,
+        overload_for: guarantees.get("overload_for").amount(0.0)?,
+        cold_from: guarantees.get("cold_from").num(1.0)?,
+        cold: guarantees.get("cold").amount(0.0)?,
+        key_quiet: guarantees.get("key_quiet").amount(0.0)?,
         ends_confirmed: false,
     };
     Ok((s, names))
 }
 
-/// One entry of the registry's list.
+/// An endpoint in the registry's list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Worker {
-    /// Its id, the same at every dispatcher.
+    /// Id of the endpoint, the same at every dispatcher.
     pub uid: String,
-    /// Where it is reached.
+    /// Address of the endpoint.
     pub address: String,
-    /// Its zone, by number.
+    /// Number of its zone.
     pub zone: usize,
-    /// Its destination's kind, by number.
+    /// Number of its destination's kind.
     pub kind: usize,
     /// Its destination.
     pub dest: DestId,
@@ -340,21 +344,21 @@
     pub weight: f64,
 }
 
-/// News of the registry: its version, and the entries, which may be the whole list.
+/// An endpoint list from the registry, complete or only the changed entries.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WorkerList {
-    /// The version.
+    /// Revision of the list.
     pub rev: u64,
-    /// These are all that there are.
+    /// Whether these are all endpoints; otherwise endpoints that are not listed are unchanged.
     pub whole: bool,
-    /// The entries.
+    /// The endpoints.
     pub workers: Vec<Worker>,
 }
 
-/// Reads the registry's list.
+/// Parses the registry's endpoint list.
 pub fn worker_list(v: &Node, names: &Names) -> Checked<WorkerList> {
     v.object()?;
-    let worker = |t: &Node| -> Checked<Worker> {
+    let parse_worker = |t: &Node| -> Checked<Worker> {
         let uid = t.get("uid").text()?.to_string();
         if uid.is_empty() {
             return t.get("uid").fault("missing");
@@ -377,50 +381,50 @@
     Ok(WorkerList {
         rev: v.get("rev").amount(0.0)? as u64,
         whole: v.get("all").flag()?,
-        workers: v.get("targets").items()?.iter().map(worker).collect::<Checked<_>>()?,
+        workers: v.get("targets").items()?.iter().map(parse_worker).collect::<Checked<_>>()?,
     })
 }
 
-/// Reads a JSON text.
+/// Parses a JSON text; `name` is the key in errors.
 pub fn json(name: &str, text: &str) -> Checked<JsonValue> {
-    text.parse().or_else(|e| fault(name, format!("not JSON: {e}")))
+    text.parse().or_else(|e| config_error(name, format!("not JSON: {e}")))
 }
 
-/// What the dispatcher may use.
+/// Resource limits of the process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
-    /// Bytes in the folder that lasts.
+    /// Bytes in the state folder.
     pub disk: u64,
-    /// Memory in bytes.
+    /// Bytes of memory.
     pub memory: u64,
 }
 
-/// All that a dispatcher is told at its start.
+/// The whole configuration of a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Its name.
+    /// Name of the dispatcher.
     pub name: String,
-    /// Where acceptors connect.
+    /// Address on which RESP2 clients connect.
     pub listen: SocketAddr,
-    /// Where the operators' door listens; none: there is no door.
+    /// Address of the control interface; `None` disables it.
     pub control: Option<SocketAddr>,
-    /// Where the registry is; none: the list below is all.
+    /// Address of the registry; `None` if `known` is the fixed endpoint list.
     pub registry: Option<SocketAddr>,
-    /// Where the ends of calls are told that were taken on and not delivered.
+    /// Where the dispatcher reports messages that it accepted and ended undelivered.
     pub notices: Notify,
-    /// What makes it a sidecar; none on the platform.
+    /// Settings that only a sidecar has; `None` on the platform.
     pub sidecar: Option<Sidecar>,
-    /// The folder that lasts.
+    /// Path of the state folder.
     pub state: PathBuf,
-    /// What it may use.
+    /// Resource limits.
     pub limits: Limits,
-    /// The list as it was last held.
+    /// The endpoint list to start with.
     pub known: WorkerList,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Their names.
+    /// Names of the settings' classes, zones, kinds and tenants.
     pub names: Names,
 }
 
@@ -433,27 +437,27 @@
     Log,
 }
 
-/// What a sidecar promised and needs beside a platform's dispatcher.
+/// Settings of a sidecar beyond those of a dispatcher on the platform.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sidecar {
-    /// What is promised of the members' limits.
+    /// The limits agreed with each destination.
     pub promises: Vec<Promise>,
-    /// Classes that are never repeated, each with the span for which a message is remembered after its end.
+    /// At-most-once classes, each with the time for which a message is remembered after its end.
     pub once: Vec<(String, Ms)>,
-    /// The cells that share it; none: it is undivided.
+    /// The cells that share the dispatcher; empty if it is not divided.
     pub cells: Vec<CellSpec>,
-    /// The map that it shares with other dispatchers, if there are any.
+    /// The cell map that it shares with other dispatchers, if there are any.
     pub mesh: Option<MeshSpec>,
-    /// The MQTT front.
+    /// The MQTT front end.
     pub mqtt: Mqtt,
-    /// The log is JSON.
+    /// Whether the log is written as JSON.
     pub log_json: bool,
-    /// What is logged, where the environment does not say.
+    /// Log level if the environment does not set one.
     pub log_level: String,
 }
 
-fn sidecar(v: &Node) -> Checked<Sidecar> {
-    let member = |m: &Node| -> Checked<Promise> {
+fn parse_sidecar(v: &Node) -> Checked<Sidecar> {
+    let parse_promise = |m: &Node| -> Checked<Promise> {
         let count = |key: &str| -> Checked<Option<u32>> {
             let n = m.get(key);
             Ok(if n.absent() { None } else { Some(n.amount(0.0)? as u32) })
@@ -468,10 +472,10 @@
             connections: count("connections")?,
         })
     };
-    let once = |o: &Node| -> Checked<(String, Ms)> {
+    let parse_once = |o: &Node| -> Checked<(String, Ms)> {
         Ok((o.get("class").text()?.to_string(), o.get("remembered").amount(0.0)?))
     };
-    let cell = |c: &Node| -> Checked<CellSpec> {
+    let parse_cell = |c: &Node| -> Checked<CellSpec> {
         let tenants = c.get("tenants").texts()?;
         Ok(CellSpec {
             name: c.get("name").text()?.to_string(),
@@ -488,22 +492,22 @@
         },
     };
     Ok(Sidecar {
-        promises: v.get("members").items()?.iter().map(member).collect::<Checked<_>>()?,
-        once: v.get("once").items()?.iter().map(once).collect::<Checked<_>>()?,
-        cells: v.get("cells").items()?.iter().map(cell).collect::<Checked<_>>()?,
-        mesh: mesh(&v.get("mesh"))?,
-        mqtt: Mqtt { listen, sessions: mqtt.get("sessions").amount(MQTT_SESSIONS as f64)? as usize },
+        promises: v.get("members").items()?.iter().map(parse_promise).collect::<Checked<_>>()?,
+        once: v.get("once").items()?.iter().map(parse_once).collect::<Checked<_>>()?,
+        cells: v.get("cells").items()?.iter().map(parse_cell).collect::<Checked<_>>()?,
+        mesh: parse_mesh(&v.get("mesh"))?,
+        mqtt: Mqtt { listen, sessions: mqtt.get("sessions").amount(DEFAULT_MQTT_SESSIONS as f64)? as usize },
         log_json: log.get("format").text()? == "json",
         log_level: log.get("level").text()?.to_string(),
     })
 }
 
-/// The map; none where there is none.
-fn mesh(v: &Node) -> Checked<Option<MeshSpec>> {
+/// Parses the cell map, if there is one.
+fn parse_mesh(v: &Node) -> Checked<Option<MeshSpec>> {
     if v.absent() {
         return Ok(None);
     }
-    let address = |n: &Node| -> Checked<Option<SocketAddr>> {
+    let parse_address = |n: &Node| -> Checked<Option<SocketAddr>> {
         match n.text()? {
             "" => Ok(None),
             text => match text.parse() {
@@ -512,14 +516,14 @@
             },
         }
     };
-    let peer = |p: &Node| -> Checked<PeerSpec> {
-        let Some(at) = address(&p.get("peer"))? else {
+    let parse_peer = |p: &Node| -> Checked<PeerSpec> {
+        let Some(peer) = parse_address(&p.get("peer"))? else {
             return p.get("peer").fault("an address with a port was expected");
         };
-        let (resp, mqtt) = (address(&p.get("resp"))?, address(&p.get("mqtt"))?);
-        Ok(PeerSpec { name: p.get("name").text()?.to_string(), peer: at, resp, mqtt })
+        let (resp, mqtt) = (parse_address(&p.get("resp"))?, parse_address(&p.get("mqtt"))?);
+        Ok(PeerSpec { name: p.get("name").text()?.to_string(), peer, resp, mqtt })
     };
-    let area = |c: &Node| -> Checked<Area> {
+    let parse_area = |c: &Node| -> Checked<Area> {
         Ok(Area {
             name: c.get("name").text()?.to_string(),
             weight: c.get("weight").amount(1.0)?,
@@ -530,8 +534,8 @@
     let spec = MeshSpec {
         me: v.get("dispatcher").text()?.to_string(),
         version: v.get("version").amount(1.0)? as u64,
-        peers: v.get("dispatchers").items()?.iter().map(peer).collect::<Checked<_>>()?,
-        areas: v.get("cells").items()?.iter().map(area).collect::<Checked<_>>()?,
+        peers: v.get("dispatchers").items()?.iter().map(parse_peer).collect::<Checked<_>>()?,
+        areas: v.get("cells").items()?.iter().map(parse_area).collect::<Checked<_>>()?,
     };
     match spec.peer(&spec.me) {
         Some(_) => Ok(Some(spec)),
@@ -539,11 +543,12 @@
     }
 }
 
-/// Where a value of the environment comes from; tests pass their own.
+/// Looks up an environment variable; tests pass their own function.
 pub type Lookup<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 impl Config {
-    /// Reads the environment and the file that `ROUTER_CONFIG` names. A variable wins over the file's key.
+    /// Reads the environment and the file that `ROUTER_CONFIG` names. Environment variables override the
+    /// file's keys.
     pub fn read(env: Lookup) -> Checked<Config> {
         Config::from_json(&Config::text(env)?, env)
     }
@@ -551,26 +556,26 @@
     /// The text of the file that `ROUTER_CONFIG` names.
     pub fn text(env: Lookup) -> Checked<String> {
         match env("ROUTER_CONFIG") {
-            None => fault("ROUTER_CONFIG", "missing"),
+            None => config_error("ROUTER_CONFIG", "missing"),
             Some(path) => std::fs::read_to_string(&path)
-                .or_else(|e| fault("ROUTER_CONFIG", format!("cannot read '{path}': {e}"))),
+                .or_else(|e| config_error("ROUTER_CONFIG", format!("cannot read '{path}': {e}"))),
         }
     }
 
-    /// Reads the same again while it serves. Here the file's `discovery` wins: the variable is as old as the process,
-    /// and the file was replaced since.
+    /// Reads the configuration again while the process serves. Here the file's `discovery` overrides the
+    /// variable, which is as old as the process, while the file has been replaced since.
     pub fn reread(text: &str, env: Lookup) -> Checked<Config> {
         let value = json("ROUTER_CONFIG", text)?;
-        let named = !Node::root("", &value).get("discovery").absent();
-        Config::from_json(text, &|name| env(name).filter(|_| !(named && name == "ROUTER_DISCOVERY")))
+        let in_file = !Node::root("", &value).get("discovery").absent();
+        Config::from_json(text, &|name| env(name).filter(|_| !(in_file && name == "ROUTER_DISCOVERY")))
     }
 
-    /// Keys in which another configuration differs and that are read only at the start.
+    /// The keys that differ in another configuration but are read only at the start.
     pub fn needs_restart(&self, other: &Config) -> Vec<&'static str> {
         let settings = Settings { seed: self.settings.seed, ..other.settings.clone() };
         let cells = |c: &Config| c.sidecar.as_ref().map(|s| s.cells.clone());
         let mqtt = |c: &Config| c.sidecar.as_ref().map(|s| s.mqtt.clone());
-        // A map that names it anew, or elsewhere, needs another listener.
+        // A cell map that gives the dispatcher another name or address requires another listener.
         let mesh = |c: &Config| {
             let spec = c.sidecar.as_ref().and_then(|s| s.mesh.as_ref());
             spec.map(|m| (m.me.clone(), m.peer(&m.me).map(|p| p.peer)))
@@ -582,7 +587,7 @@
             ("control", self.control != other.control),
             ("state", self.state != other.state),
             ("limits", self.limits != other.limits),
-            // A sidecar takes these over while it serves.
+            // A sidecar applies these while it serves.
             ("settings", self.sidecar.is_none() && (self.settings != settings || self.names != other.names)),
             ("sidecar.mqtt", mqtt(self) != mqtt(other)),
             ("sidecar.log", log(self) != log(other)),
@@ -593,27 +598,29 @@
         differs.into_iter().filter(|d| d.1).map(|d| d.0).collect()
     }
 
-    /// The same from the file's text.
+    /// Reads the configuration from the text of the JSON file; environment variables override its keys.
     pub fn from_json(text: &str, env: Lookup) -> Checked<Config> {
         let value = json("ROUTER_CONFIG", text)?;
         let v = Node::root("", &value);
-        v.object().or_else(|_| fault("ROUTER_CONFIG", "an object was expected"))?;
-        let told = |variable: &str, key: &str| -> Checked<(String, String)> {
+        v.object().or_else(|_| config_error("ROUTER_CONFIG", "an object was expected"))?;
+        // The value, and the name of the variable or key that it comes from.
+        let lookup = |variable: &str, key: &str| -> Checked<(String, String)> {
             match env(variable).filter(|t| !t.is_empty()) {
                 Some(t) => Ok((variable.to_string(), t)),
                 None => Ok((key.to_string(), v.get(key).text()?.to_string())),
             }
         };
         let parse = |key: &str, text: &str| -> Checked<SocketAddr> {
-            text.parse().or_else(|_| fault(key, format!("'{text}' is not an address with a port")))
+            text.parse().or_else(|_| config_error(key, format!("'{text}' is not an address with a port")))
         };
         let address = |variable: &str, key: &str| -> Checked<SocketAddr> {
-            let (key, text) = told(variable, key)?;
+            let (key, text) = lookup(variable, key)?;
             parse(&key, &text)
         };
         let known = v.get("known");
-        // A list of its own takes the registry's place; then somebody else must hear of ends.
-        let registry = match told("ROUTER_DISCOVERY", "discovery")?.1.is_empty()
+        // A fixed endpoint list replaces the registry, which would receive the notices; these then need a
+        // destination of their own.
+        let registry = match lookup("ROUTER_DISCOVERY", "discovery")?.1.is_empty()
             && !known.get("targets").items()?.is_empty()
         {
             true => None,
@@ -627,9 +634,9 @@
             }
             (text, _) => Notify::To(parse("notices", text)?),
         };
-        let state = told("ROUTER_STATE", "state")?.1;
+        let state = lookup("ROUTER_STATE", "state")?.1;
         if state.is_empty() {
-            return fault("ROUTER_STATE", "missing");
+            return config_error("ROUTER_STATE", "missing");
         }
         let seed_text = v.get("seed").text()?;
         let seed = u64::from_str_radix(seed_text, 16);
@@ -644,14 +651,14 @@
         if settings.classes.is_empty() {
             return v.get("settings").get("classes").fault("at least one class is needed");
         }
-        let side = v.get("sidecar");
+        let sidecar = v.get("sidecar");
         Ok(Config {
-            name: told("ROUTER_NAME", "name")?.1,
+            name: lookup("ROUTER_NAME", "name")?.1,
             listen: address("ROUTER_LISTEN", "listen")?,
-            control: match told("ROUTER_CONTROL", "control")? {
+            control: match lookup("ROUTER_CONTROL", "control")? {
                 (_, text) if text.is_empty() => None,
                 (key, text) => Some(text.parse().or_else(|_| {
-                    fault(
+                    config_error(
                         key,
                         format!("'{text}' is not an address with a port; give one such as 127.0.0.1:7001"),
                     )
@@ -659,7 +666,7 @@
             },
             registry,
             notices,
-            sidecar: if side.absent() { None } else { Some(sidecar(&side)?) },
+            sidecar: if sidecar.absent() { None } else { Some(parse_sidecar(&sidecar)?) },
             state: PathBuf::from(state),
             limits: Limits {
                 sockets: limits.get("sockets").amount(1024.0)? as usize,
@@ -673,75 +680,80 @@
     }
 }
 
-/// The MQTT front's own file.
+/// Settings of the MQTT front end.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Mqtt {
-    /// Where MQTT clients connect; none: the front is off.
+    /// Address on which MQTT clients connect; `None` disables the front end.
     pub listen: Option<SocketAddr>,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub sessions: usize,
 }
 
-/// The file that is read where `LILACBANK_MQTT` names none.
-const MQTT_FILE: &str = "deploy/mqtt.toml";
-const MQTT_SESSIONS: usize = 64;
+/// The file that is read if `LILACBANK_MQTT` is not set.
+const DEFAULT_MQTT_FILE: &str = "deploy/mqtt.toml";
+/// Maximum number of concurrent MQTT connections if the configuration does not set one.
+const DEFAULT_MQTT_SESSIONS: usize = 64;
 
 impl Mqtt {
-    /// Reads the file that `LILACBANK_MQTT` names, or the usual one if it is there. A sidecar has it in its own file.
+    /// Reads the file that `LILACBANK_MQTT` names, or else the default file if it exists. A sidecar without
+    /// the variable uses the settings in its own file.
     pub fn read(env: Lookup, sidecar: Option<&Sidecar>) -> Checked<Mqtt> {
         let named = env("LILACBANK_MQTT").filter(|p| !p.is_empty());
         if let (None, Some(sidecar)) = (&named, sidecar) {
             return Ok(sidecar.mqtt.clone());
         }
-        let path = named.as_deref().unwrap_or(MQTT_FILE);
+        let path = named.as_deref().unwrap_or(DEFAULT_MQTT_FILE);
         match std::fs::read_to_string(path) {
             Ok(text) => Mqtt::from_toml(&text),
             Err(e) if named.is_none() && e.kind() == std::io::ErrorKind::NotFound => Ok(Mqtt::default()),
-            Err(e) => fault("LILACBANK_MQTT", format!("cannot read '{path}': {e}")),
+            Err(e) => config_error("LILACBANK_MQTT", format!("cannot read '{path}': {e}")),
         }
     }
 
-    /// The same from the file's text. Here the keys are ours, so one that is not known is a mistake.
+    /// Reads the settings from the text of the file. Unlike the platform's file, it is defined by this
+    /// program alone, so an unknown key is an error.
     pub fn from_toml(text: &str) -> Checked<Mqtt> {
         let top: toml::Table =
-            text.parse().or_else(|e: toml::de::Error| fault("LILACBANK_MQTT", e.message()))?;
+            text.parse().or_else(|e: toml::de::Error| config_error("LILACBANK_MQTT", e.message()))?;
         if let Some(key) = top.keys().find(|k| *k != "acceptor") {
-            return fault(key, "unknown key");
+            return config_error(key, "unknown key");
         }
-        let none = toml::Table::new();
-        let part = match top.get("acceptor") {
-            None => &none,
-            Some(v) => v.as_table().map_or_else(|| fault("acceptor", "a table was expected"), Ok)?,
+        let empty = toml::Table::new();
+        let acceptor = match top.get("acceptor") {
+            None => &empty,
+            Some(v) => v.as_table().map_or_else(|| config_error("acceptor", "a table was expected"), Ok)?,
         };
-        if let Some(key) = part.keys().find(|k| !["enabled", "listen", "sessions"].contains(&k.as_str())) {
-            return fault(format!("acceptor.{key}"), "unknown key");
+        if let Some(key) = acceptor.keys().find(|k| !["enabled", "listen", "sessions"].contains(&k.as_str()))
+        {
+            return config_error(format!("acceptor.{key}"), "unknown key");
         }
-        let enabled = match part.get("enabled") {
+        let enabled = match acceptor.get("enabled") {
             None => false,
-            Some(v) => {
-                v.as_bool().map_or_else(|| fault("acceptor.enabled", "true or false was expected"), Ok)?
-            }
+            Some(v) => v
+                .as_bool()
+                .map_or_else(|| config_error("acceptor.enabled", "true or false was expected"), Ok)?,
         };
-        let sessions = match part.get("sessions").map(|v| v.as_integer()) {
-            None => MQTT_SESSIONS,
+        let sessions = match acceptor.get("sessions").map(|v| v.as_integer()) {
+            None => DEFAULT_MQTT_SESSIONS,
             Some(Some(n)) if (1..=512).contains(&n) => n as usize,
-            Some(_) => return fault("acceptor.sessions", "a number from 1 to 512 was expected"),
+            Some(_) => return config_error("acceptor.sessions", "a number from 1 to 512 was expected"),
         };
-        let listen = match part.get("listen").map(|v| v.as_str().and_then(|t| t.parse().ok())) {
-            Some(None) => return fault("acceptor.listen", "an address with a port was expected"),
-            None if enabled => return fault("acceptor.listen", "missing"),
+        let listen = match acceptor.get("listen").map(|v| v.as_str().and_then(|t| t.parse().ok())) {
+            Some(None) => return config_error("acceptor.listen", "an address with a port was expected"),
+            None if enabled => return config_error("acceptor.listen", "missing"),
             listen => listen.flatten(),
         };
         Ok(Mqtt { listen: listen.filter(|_| enabled), sessions })
     }
 }
 
-/// The environment of this process.
+/// Looks up a variable in the environment of this process.
 pub fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Options of the form `name=value,name=value`; the last of a name wins.
+/// Parses options of the form `name=value,name=value`; the last value of a name wins. `None` if a part has no
+/// `=`.
 pub fn options(text: &str) -> Option<HashMap<&str, &str>> {
     text.split(',').filter(|p| !p.is_empty()).map(|p| p.split_once('=')).collect()
 }
@@ -750,31 +762,32 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+    const VALID_CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
       "state":"s","limits":{"sockets":99,"disk_mb":2,"later":[]},"novelty":{"a":1},
       "known":{"rev":41,"all":true,"targets":[{"uid":"u","endpoint":"127.0.0.1:1","az":"b","model":"m2","pod_group":3,
         "state":"terminating","capacity_hint":1.0,"boot_ms":0}]},
       "settings":{"zones":["a","b"],"kinds":["m1","m2"],"classes":[{"name":"x","deadline":5,"novelty":0}]}}"#;
 
-    fn none(_: &str) -> Option<String> {
+    fn empty_environment(_: &str) -> Option<String> {
         None
     }
 
     #[test]
-    fn a_platform_s_file_is_read_and_what_is_unknown_in_it_is_skipped() {
-        let c = Config::from_json(GOOD, &none).unwrap();
+    fn platform_file_is_read_and_its_unknown_keys_are_ignored() {
+        let c = Config::from_json(VALID_CONFIG, &empty_environment).unwrap();
         assert_eq!((c.name.as_str(), c.limits.sockets, c.limits.disk), ("n3", 99, 2_000_000));
         assert_eq!((c.settings.seed, c.settings.classes.len(), c.known.rev), (0x8c1f_30d2_7a5b_e964, 1, 41));
         let w = &c.known.workers[0];
         assert_eq!((w.zone, w.kind, w.dest, w.listing), (1, 1, 3, Listing::Draining));
         let env = |name: &str| (name == "ROUTER_NAME").then(|| "n4".to_string());
-        assert_eq!(Config::from_json(GOOD, &env).unwrap().name, "n4", "a variable wins");
-        let other = Config::from_json(&GOOD.replacen("\"sockets\":99", "\"sockets\":98", 1), &env).unwrap();
+        assert_eq!(Config::from_json(VALID_CONFIG, &env).unwrap().name, "n4", "a variable overrides the key");
+        let other =
+            Config::from_json(&VALID_CONFIG.replacen("\"sockets\":99", "\"sockets\":98", 1), &env).unwrap();
         assert_eq!(c.needs_restart(&other), ["name", "limits"]);
     }
 
     #[test]
-    fn every_fault_is_named_by_its_key() {
+    fn every_error_names_its_key() {
         let cases = [
             ("127.0.0.1:6379", "here", "listen"),
             ("\"8c1f30d27a5be964\"", "\"xyz\"", "seed"),
@@ -786,22 +799,23 @@
             ("\"state\":\"s\",", "", "ROUTER_STATE"),
             ("{\"name\":\"x\",\"deadline\":5,\"novelty\":0}", "", "settings.classes"),
         ];
-        for (good, bad, key) in cases {
-            assert!(GOOD.contains(good), "{good}");
-            let e = Config::from_json(&GOOD.replacen(good, bad, 1), &none).unwrap_err();
+        for (valid, invalid, key) in cases {
+            assert!(VALID_CONFIG.contains(valid), "{valid}");
+            let e =
+                Config::from_json(&VALID_CONFIG.replacen(valid, invalid, 1), &empty_environment).unwrap_err();
             assert_eq!(e.key, key, "{e}");
         }
-        assert_eq!(Config::read(&none).unwrap_err().key, "ROUTER_CONFIG");
+        assert_eq!(Config::read(&empty_environment).unwrap_err().key, "ROUTER_CONFIG");
         let text = "{\"name\":\"n\",\n \"control\" : \"localhost\"}";
-        let bad = ConfigError { key: "control".into(), what: String::new() };
-        assert_eq!(bad.line_in(text), Some(2));
+        let key = ConfigError { key: "control".into(), what: String::new() };
+        assert_eq!(key.line_in(text), Some(2));
         let variable = ConfigError { key: "ROUTER_CONTROL".into(), what: String::new() };
         assert_eq!(variable.line_in(text), None);
-        assert_eq!(Config::from_json("{", &none).unwrap_err().key, "ROUTER_CONFIG");
+        assert_eq!(Config::from_json("{", &empty_environment).unwrap_err().key, "ROUTER_CONFIG");
     }
 
     #[test]
-    fn the_mqtt_front_is_off_unless_its_file_enables_it() {
+    fn mqtt_front_end_is_off_unless_its_file_enables_it() {
         let read = |text| Mqtt::from_toml(text).map(|m| m.listen.map(|a| a.port())).map_err(|e| e.key);
         assert_eq!(read(""), Ok(None));
         assert_eq!(read("[acceptor]\nlisten = \"127.0.0.1:1883\""), Ok(None));
@@ -814,9 +828,10 @@
         assert_eq!(read(shipped), Ok(None), "the platform has no MQTT");
     }
 
-    /// Guards against shares of a limit that are a multiple of what they should be.
+    /// Guards against a wrong number of dispatchers, which would give each one a multiple of its share of a
+    /// limit.
     #[test]
-    fn numbers_of_dispatchers_that_cannot_be_meant_are_named() {
+    fn invalid_numbers_of_dispatchers_are_rejected_with_their_key() {
         let read = |text: &str| {
             let value = json("settings", text).unwrap();
             settings(1, &Node::root("settings", &value)).map(|s| s.0.senders).map_err(|e| e.key)
