--- a/src/config.rs
+++ b/src/config.rs
@@ -79,37 +79,37 @@
     }
 
     /// An error for this key.
-    pub fn fault<T>(&self, what: impl Into<String>) -> Checked<T> {
+    pub fn error<T>(&self, what: impl Into<String>) -> Checked<T> {
         config_error(self.path.clone(), what)
     }
 
     /// Whether the value is absent or null.
-    pub fn absent(&self) -> bool {
+    pub fn is_absent(&self) -> bool {
         matches!(self.value, JsonValue::Null)
     }
 
     /// The value as a number, or `absent` if there is none; a boolean counts as 1 or 0.
-    pub fn num(&self, absent: f64) -> Checked<f64> {
+    pub fn number(&self, absent: f64) -> Checked<f64> {
         match self.value {
             JsonValue::Null => Ok(absent),
             JsonValue::Boolean(b) => Ok(f64::from(u8::from(*b))),
             JsonValue::Number(n) if n.is_finite() => Ok(*n),
-            _ => self.fault("a number was expected"),
+            _ => self.error("a number was expected"),
         }
     }
 
     /// The value as a number that is not negative, or `absent` if there is none.
-    pub fn amount(&self, absent: f64) -> Checked<f64> {
-        let n = self.num(absent)?;
+    pub fn non_negative(&self, absent: f64) -> Checked<f64> {
+        let n = self.number(absent)?;
         if n < 0.0 {
-            return self.fault("a negative number makes no sense here");
+            return self.error("a negative number makes no sense here");
         }
         Ok(n)
     }
 
     /// The value as a boolean; false if absent.
-    pub fn flag(&self) -> Checked<bool> {
-        Ok(self.num(0.0)? != 0.0)
+    pub fn boolean(&self) -> Checked<bool> {
+        Ok(self.number(0.0)? != 0.0)
     }
 
     /// The value as a string; empty if absent.
@@ -117,7 +117,7 @@
         match self.value {
             JsonValue::Null => Ok(""),
             JsonValue::String(s) => Ok(s),
-            _ => self.fault("a text was expected"),
+            _ => self.error("a text was expected"),
         }
     }
 
@@ -129,14 +129,14 @@
                 let item = |(i, value)| Node { path: format!("{}[{i}]", self.path), value };
                 Ok(values.iter().enumerate().map(item).collect())
             }
-            _ => self.fault("a list was expected"),
+            _ => self.error("a list was expected"),
         }
     }
 
-    fn object(&self) -> Checked<()> {
+    fn expect_object(&self) -> Checked<()> {
         match self.value {
             JsonValue::Object(_) => Ok(()),
-            _ => self.fault("an object was expected"),
+            _ => self.error("an object was expected"),
         }
     }
 
@@ -225,18 +225,18 @@
         "idempotent" => Effect::Safe,
         "deduplicated" => Effect::Keyed { by_zone: v.get("group").text()? != "all" },
         "at_most_once" | "" => Effect::Unsafe,
-        other => return v.get("effect").fault(format!("unknown effect '{other}'")),
+        other => return v.get("effect").error(format!("unknown effect '{other}'")),
     };
-    let deadline = v.get("deadline").amount(0.0)?;
+    let deadline = v.get("deadline").non_negative(0.0)?;
     Ok(Class {
-        promise: v.get("promise").amount(deadline)?,
+        promise: v.get("promise").non_negative(deadline)?,
         deadline,
         effect,
-        window: v.get("window").amount(0.0)?,
-        in_order: v.get("in_order").flag()?,
-        late_worth: v.get("late_worth").num(0.0)?,
-        worth: v.get("worth").num(1.0)?,
-        aim_stretch: v.get("aim_stretch").num(0.0)?,
+        window: v.get("window").non_negative(0.0)?,
+        in_order: v.get("in_order").boolean()?,
+        late_worth: v.get("late_worth").number(0.0)?,
+        worth: v.get("worth").number(1.0)?,
+        aim_stretch: v.get("aim_stretch").number(0.0)?,
     })
 }
 
@@ -245,7 +245,7 @@
 
 /// Reads the settings object; absent keys get their documented defaults.
 pub fn settings(seed: u64, v: &Node) -> Checked<(Settings, Names)> {
-    v.object()?;
+    v.expect_object()?;
     let (limits, guarantees) = (v.get("ceilings"), v.get("guarantees"));
     let (family, prices) = (v.get("family_info"), v.get("prices"));
     let names = |key: &str| -> Checked<Vec<String>> {
@@ -259,67 +259,70 @@
     };
     let (apart, batch) = (family.get("kind_apart").items()?, family.get("batch_by_kind").items()?);
     let parse_kind = |i: usize| -> Checked<Kind> {
-        let apart = apart.get(i).or(apart.last()).map_or(Ok(false), |n| n.flag())?;
-        let batch = batch.get(i).or(batch.last()).map_or(Ok(1.0), |n| n.num(1.0))?;
+        let apart = apart.get(i).or(apart.last()).map_or(Ok(false), |n| n.boolean())?;
+        let batch = batch.get(i).or(batch.last()).map_or(Ok(1.0), |n| n.number(1.0))?;
         Ok(Kind { apart, batch: batch.max(1.0) as usize })
     };
-    let max_advice =
-        if limits.get("retry_after").flag()? { limits.get("max_retry_after").amount(0.0)? } else { 0.0 };
+    let max_advice = if limits.get("retry_after").boolean()? {
+        limits.get("max_retry_after").non_negative(0.0)?
+    } else {
+        0.0
+    };
     let zone = v.get("zone").text()?;
-    let (balancers, rank) = (v.get("balancers").num(1.0)?, v.get("rank").num(0.0)?);
+    let (balancers, rank) = (v.get("balancers").number(1.0)?, v.get("rank").number(0.0)?);
     if balancers.fract() != 0.0 || !(1.0..=MAX_BALANCERS).contains(&balancers) {
         return v
             .get("balancers")
-            .fault(format!("{balancers} is no number of dispatchers: 1 to {MAX_BALANCERS}"));
+            .error(format!("{balancers} is no number of dispatchers: 1 to {MAX_BALANCERS}"));
     }
     if rank.fract() != 0.0 || !(0.0..balancers).contains(&rank) {
         return v
             .get("rank")
-            .fault(format!("{rank} is not the number of one of {balancers}, counted from 0"));
+            .error(format!("{rank} is not the number of one of {balancers}, counted from 0"));
     }
     let s = Settings {
         seed,
         senders: balancers as usize,
-        round: v.get("round").amount(0.0)?,
+        round: v.get("round").non_negative(0.0)?,
         classes: v.get("classes").items()?.iter().map(parse_class).collect::<Checked<_>>()?,
         decay: if family.get("decay").text()? == "halves" { Decay::Halves } else { Decay::Line },
         kinds: (0..names.kinds.len().max(1)).map(parse_kind).collect::<Checked<_>>()?,
-        zone_fees: family.get("route_fee").items()?.iter().map(|f| f.num(0.0)).collect::<Checked<_>>()?,
+        zone_fees: family.get("route_fee").items()?.iter().map(|f| f.number(0.0)).collect::<Checked<_>>()?,
         zone: place(&names.zones, zone).unwrap_or(names.zones.len()),
-        cross_zone: prices.get("cross_zone").num(0.0)?,
-        refused_price: family.get("turned_away_price").num(0.0)?,
-        handshake_price: prices.get("handshake").num(0.0)?,
-        keep_idle: limits.get("keepalive").amount(0.0)?,
+        cross_zone: prices.get("cross_zone").number(0.0)?,
+        refused_price: family.get("turned_away_price").number(0.0)?,
+        handshake_price: prices.get("handshake").number(0.0)?,
+        keep_idle: limits.get("keepalive").non_negative(0.0)?,
         tenant_quota: v
             .get("tenants")
             .items()?
             .iter()
-            .map(|t| t.get("quota_per_s").amount(0.0))
+            .map(|t| t.get("quota_per_s").non_negative(0.0))
             .collect::<Checked<_>>()?,
-        over_share_worth: v.get("over_share_worth").num(1.0)?,
-        marks_again: v.get("callers").get("marks_retry").flag()?,
+        over_share_worth: v.get("over_share_worth").number(1.0)?,
+        marks_again: v.get("callers").get("marks_retry").boolean()?,
         reports: v.get("telemetry").get("via").text()? == "answers",
-        slots: family.get("slots").amount(1.0)? as usize,
-        max_held: limits.get("max_open").amount(1e9)? as usize,
-        most_attempts: limits.get("most_tries").amount(1e9)? as u32,
-        can_cancel: limits.get("cancel").flag()?,
-        can_probe: limits.get("probes").flag()?,
+        slots: family.get("slots").non_negative(1.0)? as usize,
+        max_held: limits.get("max_open").non_negative(1e9)? as usize,
+        most_attempts: limits.get("most_tries").non_negative(1e9)? as u32,
+        can_cancel: limits.get("cancel").boolean()?,
+        can_probe: limits.get("probes").boolean()?,
         max_advice,
-        connect_timeout: limits.get("connect_timeout").amount(0.0)?,
+        connect_timeout: limits.get("connect_timeout").non_negative(0.0)?,
         list_on_request: v.get("discovery").text()? == "on_request",
-        ask_within: guarantees.get("ask_within").amount(0.0)?,
+        ask_within: guarantees.get("ask_within").non_negative(0.0)?,
         weights: match v.get("weights").text()? {
             "nominal" => Weights::Rate,
             "rough" => Weights::RoughRate,
             _ => Weights::None,
         },
-        answer_slack: guarantees.get("answer_slack").amount(0.0)?,
-        drain_grace: guarantees.get("drain_grace").amount(0.0)?,
-        overload_factor: guarantees.get("overload_factor").num(1.0)?,
-        overload_for: guarantees.get("overload_for").amount(0.0)?,
-        cold_from: guarantees.get("cold_from").num(1.0)?,
-        cold: guarantees.get("cold").amount(0.0)?,
-        key_quiet: guarantees.get("key_quiet").amount(0.0)?,
+        answer_slack: guarantees.get("answer_slack").non_negative(0.0)?,
+        drain_grace: guarantees.get("drain_grace").non_negative(0.0)?,
+        overload_factor: guarantees.get("overload_factor").number(1.0)?,
+        overload_for: guarantees.get("overload_for").non_negative(0.0)?,
+        cold_from: guarantees.get("cold_from").number(1.0)?,
+        cold: guarantees.get("cold").non_negative(0.0)?,
+        key_quiet: guarantees.get("key_quiet").non_negative(0.0)?,
         ends_confirmed: false,
     };
     Ok((s, names))
@@ -357,30 +360,30 @@
 
 /// Parses the registry's endpoint list.
 pub fn worker_list(v: &Node, names: &Names) -> Checked<WorkerList> {
-    v.object()?;
+    v.expect_object()?;
     let parse_worker = |t: &Node| -> Checked<Worker> {
         let uid = t.get("uid").text()?.to_string();
         if uid.is_empty() {
-            return t.get("uid").fault("missing");
+            return t.get("uid").error("missing");
         }
         Ok(Worker {
             uid,
             address: t.get("endpoint").text()?.to_string(),
             zone: place(&names.zones, t.get("az").text()?).unwrap_or(names.zones.len()),
             kind: place(&names.kinds, t.get("model").text()?).unwrap_or(names.kinds.len()),
-            dest: t.get("pod_group").amount(0.0)? as DestId,
+            dest: t.get("pod_group").non_negative(0.0)? as DestId,
             listing: match t.get("state").text()? {
                 "in_service" | "" => Listing::Ready,
                 "terminating" => Listing::Draining,
                 "terminated" => Listing::Gone,
-                other => return t.get("state").fault(format!("unknown state '{other}'")),
+                other => return t.get("state").error(format!("unknown state '{other}'")),
             },
-            weight: t.get("capacity_hint").num(1.0)?,
+            weight: t.get("capacity_hint").number(1.0)?,
         })
     };
     Ok(WorkerList {
-        rev: v.get("rev").amount(0.0)? as u64,
-        whole: v.get("all").flag()?,
+        rev: v.get("rev").non_negative(0.0)? as u64,
+        whole: v.get("all").boolean()?,
         workers: v.get("targets").items()?.iter().map(parse_worker).collect::<Checked<_>>()?,
     })
 }
@@ -460,26 +463,26 @@
     let parse_promise = |m: &Node| -> Checked<Promise> {
         let count = |key: &str| -> Checked<Option<u32>> {
             let n = m.get(key);
-            Ok(if n.absent() { None } else { Some(n.amount(0.0)? as u32) })
+            Ok(if n.is_absent() { None } else { Some(n.non_negative(0.0)? as u32) })
         };
         Ok(Promise {
             member: m.get("name").text()?.to_string(),
-            dest: m.get("dest").amount(0.0)? as DestId,
+            dest: m.get("dest").non_negative(0.0)? as DestId,
             calls: count("calls")?,
-            span: m.get("span").amount(0.0)?,
-            travel: m.get("travel").amount(0.0)?,
-            scope: if m.get("each").flag()? { Scope::Endpoint } else { Scope::Member },
+            span: m.get("span").non_negative(0.0)?,
+            travel: m.get("travel").non_negative(0.0)?,
+            scope: if m.get("each").boolean()? { Scope::Endpoint } else { Scope::Member },
             connections: count("connections")?,
         })
     };
     let parse_once = |o: &Node| -> Checked<(String, Ms)> {
-        Ok((o.get("class").text()?.to_string(), o.get("remembered").amount(0.0)?))
+        Ok((o.get("class").text()?.to_string(), o.get("remembered").non_negative(0.0)?))
     };
     let parse_cell = |c: &Node| -> Checked<CellSpec> {
         let tenants = c.get("tenants").texts()?;
         Ok(CellSpec {
             name: c.get("name").text()?.to_string(),
-            weight: c.get("weight").amount(1.0)?,
+            weight: c.get("weight").non_negative(1.0)?,
             tenants,
         })
     };
@@ -488,7 +491,7 @@
         "" => None,
         text => match text.parse() {
             Ok(address) => Some(address),
-            Err(_) => return mqtt.get("listen").fault("an address with a port was expected"),
+            Err(_) => return mqtt.get("listen").error("an address with a port was expected"),
         },
     };
     Ok(Sidecar {
@@ -496,7 +499,10 @@
         once: v.get("once").items()?.iter().map(parse_once).collect::<Checked<_>>()?,
         cells: v.get("cells").items()?.iter().map(parse_cell).collect::<Checked<_>>()?,
         mesh: parse_mesh(&v.get("mesh"))?,
-        mqtt: Mqtt { listen, sessions: mqtt.get("sessions").amount(DEFAULT_MQTT_SESSIONS as f64)? as usize },
+        mqtt: Mqtt {
+            listen,
+            sessions: mqtt.get("sessions").non_negative(DEFAULT_MQTT_SESSIONS as f64)? as usize,
+        },
         log_json: log.get("format").text()? == "json",
         log_level: log.get("level").text()?.to_string(),
     })
@@ -504,7 +510,7 @@
 
 /// Parses the cell map, if there is one.
 fn parse_mesh(v: &Node) -> Checked<Option<MeshSpec>> {
-    if v.absent() {
+    if v.is_absent() {
         return Ok(None);
     }
     let parse_address = |n: &Node| -> Checked<Option<SocketAddr>> {
@@ -512,13 +518,13 @@
             "" => Ok(None),
             text => match text.parse() {
                 Ok(address) => Ok(Some(address)),
-                Err(_) => n.fault("an address with a port was expected"),
+                Err(_) => n.error("an address with a port was expected"),
             },
         }
     };
     let parse_peer = |p: &Node| -> Checked<PeerSpec> {
         let Some(peer) = parse_address(&p.get("peer"))? else {
-            return p.get("peer").fault("an address with a port was expected");
+            return p.get("peer").error("an address with a port was expected");
         };
         let (resp, mqtt) = (parse_address(&p.get("resp"))?, parse_address(&p.get("mqtt"))?);
         Ok(PeerSpec { name: p.get("name").text()?.to_string(), peer, resp, mqtt })
@@ -526,35 +532,35 @@
     let parse_area = |c: &Node| -> Checked<Area> {
         Ok(Area {
             name: c.get("name").text()?.to_string(),
-            weight: c.get("weight").amount(1.0)?,
+            weight: c.get("weight").non_negative(1.0)?,
             dispatchers: c.get("dispatchers").texts()?,
             tenants: c.get("tenants").texts()?,
         })
     };
     let spec = MeshSpec {
         me: v.get("dispatcher").text()?.to_string(),
-        version: v.get("version").amount(1.0)? as u64,
+        version: v.get("version").non_negative(1.0)? as u64,
         peers: v.get("dispatchers").items()?.iter().map(parse_peer).collect::<Checked<_>>()?,
         areas: v.get("cells").items()?.iter().map(parse_area).collect::<Checked<_>>()?,
     };
     match spec.peer(&spec.me) {
         Some(_) => Ok(Some(spec)),
-        None => v.get("dispatcher").fault("one of the map's dispatchers was expected"),
+        None => v.get("dispatcher").error("one of the map's dispatchers was expected"),
     }
 }
 
 /// Looks up an environment variable; tests pass their own function.
-pub type Lookup<'a> = &'a dyn Fn(&str) -> Option<String>;
+pub type EnvLookup<'a> = &'a dyn Fn(&str) -> Option<String>;
 
 impl Config {
     /// Reads the environment and the file that `ROUTER_CONFIG` names. Environment variables override the
     /// file's keys.
-    pub fn read(env: Lookup) -> Checked<Config> {
+    pub fn read(env: EnvLookup) -> Checked<Config> {
         Config::from_json(&Config::text(env)?, env)
     }
 
     /// The text of the file that `ROUTER_CONFIG` names.
-    pub fn text(env: Lookup) -> Checked<String> {
+    pub fn text(env: EnvLookup) -> Checked<String> {
         match env("ROUTER_CONFIG") {
             None => config_error("ROUTER_CONFIG", "missing"),
             Some(path) => std::fs::read_to_string(&path)
@@ -564,9 +570,9 @@
 
     /// Reads the configuration again while the process serves. Here the file's `discovery` overrides the
     /// variable, which is as old as the process, while the file has been replaced since.
-    pub fn reread(text: &str, env: Lookup) -> Checked<Config> {
+    pub fn reread(text: &str, env: EnvLookup) -> Checked<Config> {
         let value = json("ROUTER_CONFIG", text)?;
-        let in_file = !Node::root("", &value).get("discovery").absent();
+        let in_file = !Node::root("", &value).get("discovery").is_absent();
         Config::from_json(text, &|name| env(name).filter(|_| !(in_file && name == "ROUTER_DISCOVERY")))
     }
 
@@ -599,10 +605,10 @@
     }
 
     /// Reads the configuration from the text of the JSON file; environment variables override its keys.
-    pub fn from_json(text: &str, env: Lookup) -> Checked<Config> {
+    pub fn from_json(text: &str, env: EnvLookup) -> Checked<Config> {
         let value = json("ROUTER_CONFIG", text)?;
         let v = Node::root("", &value);
-        v.object().or_else(|_| config_error("ROUTER_CONFIG", "an object was expected"))?;
+        v.expect_object().or_else(|_| config_error("ROUTER_CONFIG", "an object was expected"))?;
         // The value, and the name of the variable or key that it comes from.
         let lookup = |variable: &str, key: &str| -> Checked<(String, String)> {
             match env(variable).filter(|t| !t.is_empty()) {
@@ -630,7 +636,7 @@
             ("log", _) => Notify::Log,
             ("", Some(to)) => Notify::To(to),
             ("", None) => {
-                return v.get("notices").fault("without a registry, an address or \"log\" is needed")
+                return v.get("notices").error("without a registry, an address or \"log\" is needed")
             }
             (text, _) => Notify::To(parse("notices", text)?),
         };
@@ -643,13 +649,13 @@
         let seed = match seed {
             Ok(s) => s,
             Err(_) if seed_text.is_empty() => 0,
-            Err(_) => return v.get("seed").fault("hex digits were expected"),
+            Err(_) => return v.get("seed").error("hex digits were expected"),
         };
         let limits = v.get("limits");
         let (mut settings, names) = settings(seed, &v.get("settings"))?;
         settings.ends_confirmed = true;
         if settings.classes.is_empty() {
-            return v.get("settings").get("classes").fault("at least one class is needed");
+            return v.get("settings").get("classes").error("at least one class is needed");
         }
         let sidecar = v.get("sidecar");
         Ok(Config {
@@ -666,14 +672,14 @@
             },
             registry,
             notices,
-            sidecar: if sidecar.absent() { None } else { Some(parse_sidecar(&sidecar)?) },
+            sidecar: if sidecar.is_absent() { None } else { Some(parse_sidecar(&sidecar)?) },
             state: PathBuf::from(state),
             limits: Limits {
-                sockets: limits.get("sockets").amount(1024.0)? as usize,
-                disk: (limits.get("disk_mb").amount(3.0)? * 1e6) as u64,
-                memory: (limits.get("memory_mb").amount(192.0)? * 1e6) as u64,
+                sockets: limits.get("sockets").non_negative(1024.0)? as usize,
+                disk: (limits.get("disk_mb").non_negative(3.0)? * 1e6) as u64,
+                memory: (limits.get("memory_mb").non_negative(192.0)? * 1e6) as u64,
             },
-            known: if known.absent() { WorkerList::default() } else { worker_list(&known, &names)? },
+            known: if known.is_absent() { WorkerList::default() } else { worker_list(&known, &names)? },
             settings,
             names,
         })
@@ -697,7 +703,7 @@
 impl Mqtt {
     /// Reads the file that `LILACBANK_MQTT` names, or else the default file if it exists. A sidecar without
     /// the variable uses the settings in its own file.
-    pub fn read(env: Lookup, sidecar: Option<&Sidecar>) -> Checked<Mqtt> {
+    pub fn read(env: EnvLookup, sidecar: Option<&Sidecar>) -> Checked<Mqtt> {
         let named = env("LILACBANK_MQTT").filter(|p| !p.is_empty());
         if let (None, Some(sidecar)) = (&named, sidecar) {
             return Ok(sidecar.mqtt.clone());
--- a/src/disk.rs
+++ b/src/disk.rs
@@ -76,7 +76,7 @@
 
 /// The life record of a folder (`None`: no file; `Some(None)`: it is malformed), and whether the folder holds
 /// other files of the dispatcher.
-pub type LifeSeen = (Option<Option<crate::recovery::LifeRecord>>, bool);
+pub type FolderHistory = (Option<Option<crate::recovery::LifeRecord>>, bool);
 
 /// Reads the folder's life record and checks for other files. Must run before the journal is opened, which
 /// creates files of its own.
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// A file cannot be read now, which says nothing about its content.
-pub fn look_at_life(folder: &Path) -> io::Result<LifeSeen> {
+pub fn look_at_life(folder: &Path) -> io::Result<FolderHistory> {
     let record = match std::fs::read(folder.join(LIFE_FILE)) {
         Ok(bytes) => Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::LifeRecord::decode)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -251,8 +251,8 @@
             let bytes = quarantine(folder, SLOTS[slot], &bytes, &damaged);
             log::warn!(
                 records = damaged.len(), bytes = bytes, kept = records.len();
-                "the journal has {} damaged ranges of {bytes} bytes in total; they are copied to the state folder's \
-                 file damaged, and the journal is rewritten with the valid records",
+                "the journal has {} damaged ranges of {bytes} bytes in total; they are copied to the file damaged \
+                 in the state folder, and the journal is rewritten with the valid records",
                 damaged.len()
             );
             journal.compact(records.iter().cloned())?;
--- a/src/journal/scan.rs
+++ b/src/journal/scan.rs
@@ -12,8 +12,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Scan {
     pub(super) records: Vec<Record>,
-    /// Offset at which the last valid record ends; the end of the file if its tail has the length of a record but
-    /// is damaged.
+    /// Offset at which the last valid record ends, or the end of the file if the last record has its full
+    /// length but is invalid.
     pub(super) valid_len: usize,
     /// Byte ranges that are not valid records, for example after a bit flip or an append behind a torn write.
     pub(super) damaged: Vec<Range<usize>>,
@@ -31,7 +31,8 @@
 }
 
 /// Reads all valid records. After an invalid one it searches byte by byte for the next valid record and
-/// reports the bytes in between as damaged. If no valid record follows, the rest is a torn tail.
+/// reports the bytes in between as damaged. If no valid record follows, the rest is a torn
+/// tail, or damaged if it has the full length of its record.
 pub(super) fn scan(bytes: &[u8]) -> Scan {
     let mut found = Scan::default();
     let mut at = 0;
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -145,10 +145,10 @@
         names: &Names,
     ) -> Result<Option<Hint>, Refused> {
         let read: Vec<Result<(Ms, Hint), Refused>> =
-            files.iter().map(|f| Kept::hint(f, installation, clocks, names)).collect();
+            files.iter().map(|f| Kept::read_file(f, installation, clocks, names)).collect();
         let newest = read.iter().filter_map(|r| r.as_ref().ok()).max_by(|a, b| a.0.total_cmp(&b.0));
         match (newest, read.first()) {
-            (Some((_, hint)), _) => Ok(Some(hint.clone())),
+            (Some((_, cached)), _) => Ok(Some(cached.clone())),
             (None, Some(Err(why))) => Err(*why),
             (None, _) => Ok(None),
         }
@@ -160,7 +160,12 @@
     /// # Errors
     ///
     /// The file is damaged or was written by another installation or format version.
-    fn hint(text: &[u8], installation: u32, clocks: &Reading, names: &Names) -> Result<(Ms, Hint), Refused> {
+    fn read_file(
+        text: &[u8],
+        installation: u32,
+        clocks: &Reading,
+        names: &Names,
+    ) -> Result<(Ms, Hint), Refused> {
         let kept = Kept::decode(text).ok_or(Refused::Damaged)?;
         if kept.installation != installation || kept.form != FORMAT_VERSION {
             return Err(Refused::Foreign);
@@ -208,24 +213,24 @@
         let (me, text) = (installation("n0", &names()), kept(1_000.0).encode());
         let at = |wall: Ms| Reading { wall, ..Reading::default() };
         let read = |bytes: &[u8], installation: u32, now: Ms| {
-            Kept::hint(bytes, installation, &at(now), &names()).map(|h| h.1)
+            Kept::read_file(bytes, installation, &at(now), &names()).map(|h| h.1)
         };
-        let hint = read(text.as_bytes(), me, 61_000.0).unwrap();
-        assert_eq!((hint.list.rev, hint.list.workers[0].zone, hint.age), (9, 1, Some(60_000.0)));
-        assert_eq!(hint.list.workers[0].listing, Listing::Draining);
-        assert_eq!(hint.former["w1"].health, Health { rate: 7.5, away: Some(3.0) });
+        let cached = read(text.as_bytes(), me, 61_000.0).unwrap();
+        assert_eq!((cached.list.rev, cached.list.workers[0].zone, cached.age), (9, 1, Some(60_000.0)));
+        assert_eq!(cached.list.workers[0].listing, Listing::Draining);
+        assert_eq!(cached.former["w1"].health, Health { rate: 7.5, away: Some(3.0) });
         let future = read(text.as_bytes(), me, -5_000.0).unwrap();
         assert_eq!((future.age, future.former["w1"].age), (None, None));
         assert_eq!(read(text.as_bytes(), installation("n1", &names()), 0.0), Err(Refused::Foreign));
         let longer = text.clone() + "left over from an earlier, longer content";
-        assert_eq!(read(longer.as_bytes(), me, 61_000.0), Ok(hint.clone()));
+        assert_eq!(read(longer.as_bytes(), me, 61_000.0), Ok(cached.clone()));
         // The age is the elapsed time, whatever the wall clock was set to in between.
         let from = Reading { boot: 3, since_boot: 100.0, wall: 1_000.0 };
         let dated = Kept { clocks: Some(from), ..kept(1_500.0) }.encode();
         for wall in [-3_600_000.0, 3_600_000.0] {
             let later = Reading { since_boot: 2_600.0, wall, ..from };
-            let hint = Kept::hint(dated.as_bytes(), me, &later, &names()).unwrap().1;
-            assert_eq!(hint.age, Some(2_000.0));
+            let cached = Kept::read_file(dated.as_bytes(), me, &later, &names()).unwrap().1;
+            assert_eq!(cached.age, Some(2_000.0));
         }
         // Of two valid files the newer one is used; of a valid and a torn one, the valid one.
         let (older, torn) = (kept(500.0).encode().into_bytes(), text.as_bytes()[..90].to_vec());
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -21,14 +21,14 @@
     pub first_ms: u64,
     /// Times of the latest starts without a clean end, oldest first, in wall-clock milliseconds on the
     /// timeline of this incarnation.
-    pub starts: Starts,
+    pub starts: RecentStarts,
     /// Id of the machine's boot in which this incarnation began, and milliseconds since that boot; `None` in
     /// records of program versions that did not write it.
     pub began: Option<(u64, u64)>,
 }
 
 /// Times of the latest starts; 0 for a missing one.
-pub type Starts = [u64; CRASH_LOOP_STARTS];
+pub type RecentStarts = [u64; CRASH_LOOP_STARTS];
 
 /// Number of starts without a clean end that make a crash loop if they fall into `CRASH_LOOP_SPAN_MS`.
 const CRASH_LOOP_STARTS: usize = 5;
@@ -72,7 +72,7 @@
     }
 
     /// Whether the folder may lack records of what an earlier incarnation sent.
-    pub fn unsure(self) -> bool {
+    pub fn may_lack_records(self) -> bool {
         matches!(self, Life::Lost | Life::Damaged)
     }
 }
@@ -99,7 +99,7 @@
         }
         // Earlier incarnations are unknown. The new epoch prevents their data from being taken for that of
         // this one.
-        _ => LifeRecord { life: 1, epoch: draw, first_ms: now, starts: Starts::default(), began },
+        _ => LifeRecord { life: 1, epoch: draw, first_ms: now, starts: RecentStarts::default(), began },
     };
     next.starts.rotate_left(1);
     next.starts[CRASH_LOOP_STARTS - 1] = now;
@@ -160,7 +160,7 @@
 impl LifeRecord {
     /// The start times translated to the timeline of `clocks`, since the wall clock may have been stepped in
     /// between.
-    fn translate_starts(&self, clocks: &Reading) -> Starts {
+    fn translate_starts(&self, clocks: &Reading) -> RecentStarts {
         let Some((boot, since_boot)) = self.began else { return self.starts };
         let wall = self.starts[CRASH_LOOP_STARTS - 1] as Ms;
         let from = Reading { boot, since_boot: since_boot as Ms, wall };
@@ -211,7 +211,7 @@
 
     /// The record after a clean end, whose starts do not count as crashes.
     pub fn ended_well(self) -> LifeRecord {
-        LifeRecord { starts: Starts::default(), ..self }
+        LifeRecord { starts: RecentStarts::default(), ..self }
     }
 }
 
@@ -239,7 +239,7 @@
         let first = next(Life::Lost, 9, &clocks(70.0, 5.0));
         assert_eq!(first, LifeRecord { life: 1, epoch: 9, first_ms: 5, starts, began });
         assert_eq!(LifeRecord::decode(&first.encode()), Some(first));
-        assert!(Life::Lost.unsure() && !Life::FirstOrWiped.unsure());
+        assert!(Life::Lost.may_lack_records() && !Life::FirstOrWiped.may_lack_records());
     }
 
     fn clocks(since_boot: Ms, wall: Ms) -> Reading {
--- a/src/together.rs
+++ b/src/together.rs
@@ -3,14 +3,14 @@
 //! the platform has none.
 
 use crate::api::Ms;
-use crate::config::Lookup;
+use crate::config::EnvLookup;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
 /// The file that is read if `LILACBANK_TOGETHER` is not set.
 const DEFAULT_FILE: &str = "deploy/together.toml";
 /// Maximum number of peers of one dispatcher.
-pub const MATES_MOST: usize = 32;
+pub const MAX_PEERS: usize = 32;
 
 /// The content of the file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// `DEFAULT_FILE:LINE: key KEY: what is wrong; what to do`.
-    pub fn read(env: Lookup) -> Result<Together, String> {
+    pub fn read(env: EnvLookup) -> Result<Together, String> {
         let named = env("LILACBANK_TOGETHER").filter(|p| !p.is_empty());
         let path = named.as_deref().unwrap_or(DEFAULT_FILE);
         match std::fs::read_to_string(path) {
@@ -207,9 +207,9 @@
                 p.name
             ));
         }
-        if c.enabled && c.peers.len() > MATES_MOST {
+        if c.enabled && c.peers.len() > MAX_PEERS {
             return Err(format!(
-                "{file}:{}: key replication.peers: {} peers are listed; the maximum is {MATES_MOST}",
+                "{file}:{}: key replication.peers: {} peers are listed; the maximum is {MAX_PEERS}",
                 at("[replication]"),
                 c.peers.len()
             ));
