--- a/src/disk.rs
+++ b/src/disk.rs
@@ -155,7 +155,7 @@
 /// The life record cannot be read, or the folder cannot be written to.
 pub fn end_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
     match look_at_life(folder)?.0.flatten() {
-        Some(now) if now == *record => write_life(folder, &record.ended_well()),
+        Some(now) if now == *record => write_life(folder, &record.after_clean_end()),
         _ => Ok(()),
     }
 }
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -210,7 +210,7 @@
     }
 
     /// The record after a clean end, whose starts do not count as crashes.
-    pub fn ended_well(self) -> LifeRecord {
+    pub fn after_clean_end(self) -> LifeRecord {
         LifeRecord { starts: RecentStarts::default(), ..self }
     }
 }
@@ -266,7 +266,7 @@
             );
             assert!(!lives(60_000.0, step).is_crash_loop());
         }
-        let clean = lives(6_000.0, 0.0).ended_well();
+        let clean = lives(6_000.0, 0.0).after_clean_end();
         assert!(
             !clean.is_crash_loop() && !next(Life::Again(clean), 1, &clocks(31_000.0, 2e9)).is_crash_loop()
         );
