--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,4 +1,5 @@
-//! The process clock: wall-clock milliseconds at the start, plus the monotonic time since then.
+//! The process clock: wall-clock milliseconds at the start, plus the time that the boot-time clock has
+//! advanced since.
 
 use crate::api::Ms;
 use crate::disk::may_pass;
@@ -63,7 +64,7 @@
         self.start
     }
 
-    /// Milliseconds since 1970, as the wall clock was at the start.
+    /// Milliseconds since 1970, based on the wall clock at the start.
     pub fn now(&self) -> Ms {
         self.start.wall + milliseconds(ClockId::Boottime) - self.start.since_boot
     }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -52,8 +52,8 @@
     pub fn accept(&mut self, now: Ms, tcp: TcpStream, reactor: &Rc<Reactor>) {
         if self.conns.len() >= CONNS_MAX {
             let oldest = self.conns.iter().min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|c| c.0);
-            if let Some(at) = oldest {
-                self.conns.remove(at);
+            if let Some(index) = oldest {
+                self.conns.remove(index);
                 self.refused += 1;
             }
         }
@@ -67,8 +67,8 @@
     }
 
     /// Handles an event on a connection. `serving`: this process accepts clients.
-    pub fn ready(&mut self, now: Ms, at: usize, core: &mut Core, serving: bool, effects: &mut Effects) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    pub fn ready(&mut self, now: Ms, index: usize, core: &mut Core, serving: bool, effects: &mut Effects) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if !c.answered {
             let fill = c.stream.fill(door::LINE_MOST);
             let line = match door::read(&c.stream.read_buf) {
@@ -94,11 +94,11 @@
         match c.stream.flush() {
             Ok(true) => {
                 c.stream.finish();
-                self.conns.remove(at);
+                self.conns.remove(index);
             }
             Ok(false) => {}
             Err(_) => {
-                self.conns.remove(at);
+                self.conns.remove(index);
             }
         }
     }
@@ -110,10 +110,14 @@
 
     /// Closes connections that have timed out; one without a complete line gets the reason.
     pub fn tick(&mut self, now: Ms) {
-        let due: Vec<usize> =
-            self.conns.iter().filter(|(_, c)| now - c.since >= LINE_TIMEOUT).map(|(at, _)| at).collect();
-        for at in due {
-            if let Some(mut c) = self.conns.try_remove(at) {
+        let due: Vec<usize> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| now - c.since >= LINE_TIMEOUT)
+            .map(|(index, _)| index)
+            .collect();
+        for index in due {
+            if let Some(mut c) = self.conns.try_remove(index) {
                 if !c.answered {
                     self.refused += 1;
                     c.stream.queue(door::no("no whole line came in time").as_bytes());
@@ -130,7 +134,7 @@
     text.lines().map(str::trim).filter(|l| !l.is_empty()).map(String::from).collect()
 }
 
-/// Writes the operator blocks atomically.
+/// Writes the operator blocks for the next process; the file is replaced atomically.
 ///
 /// # Errors
 ///
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -35,7 +35,7 @@
     stream: Stream,
     /// Destination and endpoint. The connection belongs to the endpoint's id, not to its address, because
     /// another endpoint may get that address later.
-    unit: (DestId, RouteId),
+    target: (DestId, RouteId),
     up: bool,
     opened: Ms,
     task: Option<(Task, Ms)>,
@@ -110,7 +110,7 @@
     }
 
     /// Starts an attempt.
-    pub fn delegate(&mut self, now: Ms, d: &Delegation, reactor: &Rc<Reactor>, found: &mut Vec<Finding>) {
+    pub fn delegate(&mut self, now: Ms, d: &Delegation, reactor: &Rc<Reactor>, findings: &mut Vec<Finding>) {
         let mut text = format!("POST /inbox HTTP/1.1\r\nHost: {}\r\nX-Txn: {}\r\n", d.address, d.id);
         if !d.idempotency.is_empty() {
             let _ = write!(text, "Idempotency-Key: {}\r\n", d.idempotency);
@@ -121,23 +121,23 @@
         bytes.extend_from_slice(&d.body);
         let task = Task::Delegation(d.no, d.attempt);
         let request = Request { task, id: &d.id, bytes: &bytes, write_by: d.write_by };
-        self.start(now, request, &d.address, (d.dest, d.route), reactor, found);
+        self.start(now, request, &d.address, (d.dest, d.route), reactor, findings);
     }
 
     /// Starts a probe.
     pub fn probe(
         &mut self,
         now: Ms,
-        unit: (DestId, RouteId),
+        target: (DestId, RouteId),
         address: &str,
         reactor: &Rc<Reactor>,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
         let text = format!("GET /health HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        let task = Task::Probe(unit.1);
+        let task = Task::Probe(target.1);
         if !self.busy.contains_key(&task) {
             let request = Request { task, id: "", bytes: text.as_bytes(), write_by: f64::MAX };
-            self.start(now, request, address, unit, reactor, found);
+            self.start(now, request, address, target, reactor, findings);
         }
     }
 
@@ -146,26 +146,26 @@
         now: Ms,
         request: Request,
         address: &str,
-        unit: (DestId, RouteId),
+        target: (DestId, RouteId),
         reactor: &Rc<Reactor>,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
         let Request { task, id, bytes, write_by } = request;
-        let at = match self.take_idle(unit.1) {
-            Some(at) => at,
-            None => match self.open(now, address, unit, reactor) {
-                Ok(at) => at,
-                Err(outcome) => return found.push(ended(task, outcome, 0.0)),
+        let index = match self.take_idle(target.1) {
+            Some(index) => index,
+            None => match self.open(now, address, target, reactor) {
+                Ok(index) => index,
+                Err(outcome) => return findings.push(ended(task, outcome, 0.0)),
             },
         };
-        let Some(c) = self.conns.get_mut(at) else { return };
+        let Some(c) = self.conns.get_mut(index) else { return };
         (c.task, c.written, c.first_byte_at, c.interim) = (Some((task, now)), false, None, 0);
         (c.write_by, c.id, c.size) = (write_by, id.to_string(), bytes.len());
         c.stream.queue(bytes);
-        log::debug!(id = id, task:? = task, conn = at, bytes = bytes.len(), kept = c.up; "a request is queued");
-        self.busy.insert(task, at);
-        if self.conns[at].up {
-            self.push(now, at, found);
+        log::debug!(id = id, task:? = task, conn = index, bytes = bytes.len(), kept = c.up; "a request is queued");
+        self.busy.insert(task, index);
+        if self.conns[index].up {
+            self.push(now, index, findings);
         }
     }
 
@@ -173,12 +173,12 @@
     /// unsolicited data, which would be taken for the response to the next request.
     fn take_idle(&mut self, route: RouteId) -> Option<usize> {
         loop {
-            let at = self.idle.get_mut(&route)?.pop()?;
-            let Some(c) = self.conns.get_mut(at) else { continue };
+            let index = self.idle.get_mut(&route)?.pop()?;
+            let Some(c) = self.conns.get_mut(index) else { continue };
             if c.stream.fill(1) == Fill::Blocked && c.stream.read_buf.is_empty() {
-                return Some(at);
+                return Some(index);
             }
-            self.close(at);
+            self.close(index);
         }
     }
 
@@ -191,7 +191,7 @@
         &mut self,
         now: Ms,
         address: &str,
-        unit: (DestId, RouteId),
+        target: (DestId, RouteId),
         reactor: &Rc<Reactor>,
     ) -> Result<usize, Outcome> {
         if self.conns.len() >= self.max {
@@ -201,15 +201,15 @@
         }
         let to = address.parse().map_err(|_| Outcome::NoConnection)?;
         let entry = self.conns.vacant_entry();
-        let at = entry.key();
-        let stream = Stream::connect(to, reactor, token(SourceKind::Endpoint, at)).map_err(|e| {
+        let index = entry.key();
+        let stream = Stream::connect(to, reactor, token(SourceKind::Endpoint, index)).map_err(|e| {
             log::debug!(worker = address, cause:% = e; "cannot connect to {address}: {e}");
             Outcome::NoConnection
         })?;
-        log::debug!(worker = address, route = unit.1, conn = at; "connecting to an endpoint");
+        log::debug!(worker = address, route = target.1, conn = index; "connecting to an endpoint");
         entry.insert(Conn {
             stream,
-            unit,
+            target,
             up: false,
             opened: now,
             task: None,
@@ -223,16 +223,16 @@
             head: None,
             idle_since: now,
         });
-        Ok(at)
+        Ok(index)
     }
 
-    fn close(&mut self, at: usize) {
-        if let Some(c) = self.conns.try_remove(at) {
-            log::debug!(route = c.unit.1, conn = at; "a connection to an endpoint is closed");
-            if let Some(idle) = self.idle.get_mut(&c.unit.1) {
-                idle.retain(|i| *i != at);
+    fn close(&mut self, index: usize) {
+        if let Some(c) = self.conns.try_remove(index) {
+            log::debug!(route = c.target.1, conn = index; "a connection to an endpoint is closed");
+            if let Some(idle) = self.idle.get_mut(&c.target.1) {
+                idle.retain(|i| *i != index);
                 if idle.is_empty() {
-                    self.idle.remove(&c.unit.1);
+                    self.idle.remove(&c.target.1);
                 }
             }
             if let Some((task, _)) = c.task {
@@ -243,49 +243,49 @@
 
     /// Abandons a task by ending this side of its connection. The end is reported once the endpoint knows of
     /// it, or at once if the request was not fully written; a response that arrives meanwhile counts.
-    pub fn abandon(&mut self, now: Ms, task: Task, outcome: Outcome, found: &mut Vec<Finding>) {
-        let Some(at) = self.busy.get(&task).copied() else { return };
-        let Some(c) = self.conns.get_mut(at) else { return };
+    pub fn abandon(&mut self, now: Ms, task: Task, outcome: Outcome, findings: &mut Vec<Finding>) {
+        let Some(index) = self.busy.get(&task).copied() else { return };
+        let Some(c) = self.conns.get_mut(index) else { return };
         if !c.up || !c.written {
-            return self.end(now, at, Outcome::NoConnection, found);
+            return self.end(now, index, Outcome::NoConnection, findings);
         }
         if c.closing.is_none() {
             c.stream.finish();
-            self.await_confirmation(at, Closing::new(now, End::of(outcome), EndedFirst::Dispatcher));
+            self.await_confirmation(index, Closing::new(now, End::of(outcome), EndedFirst::Dispatcher));
         }
     }
 
     /// Waits until the endpoint knows of the end of a written attempt, before the message is attempted
     /// elsewhere.
-    fn await_confirmation(&mut self, at: usize, closing: Closing) {
-        let Some(c) = self.conns.get_mut(at) else { return };
-        log::debug!(id = c.id.as_str(), conn = at, bytes = c.size, ended_by = closing.first.name();
+    fn await_confirmation(&mut self, index: usize, closing: Closing) {
+        let Some(c) = self.conns.get_mut(index) else { return };
+        log::debug!(id = c.id.as_str(), conn = index, bytes = c.size, ended_by = closing.first.name();
             "an attempt has ended; waiting until its endpoint knows");
         c.closing = Some(closing);
     }
 
     /// Reports the end of an attempt as pending: its slot at the endpoint is free, but the endpoint may not
     /// know yet.
-    fn report_pending(&self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get(at) else { return };
+    fn report_pending(&self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get(index) else { return };
         if let (Some(closing), Some((task, started))) = (&c.closing, c.task) {
-            found.push(Finding::Ended { task, took: now - started, end: closing.pending(now) });
+            findings.push(Finding::Ended { task, took: now - started, end: closing.pending(now) });
         }
     }
 
     /// Reports that the endpoint, too, counts the attempt as ended.
-    fn confirm(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn confirm(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if let (Some(closing), Some((task, started))) = (&c.closing, c.task) {
-            log::debug!(id = c.id.as_str(), conn = at, ended_by = closing.first.name(), confirmed = closing.confirmation().name();
+            log::debug!(id = c.id.as_str(), conn = index, ended_by = closing.first.name(), confirmed = closing.confirmation().name();
                 "an attempt counts as ended at its endpoint");
             if closing.confirmation() == Confirmation::TimedOut {
                 // Data that the system still holds for this connection is no longer wanted.
                 c.stream.reset_on_close();
             }
-            found.push(Finding::Ended { task, took: now - started, end: closing.confirmed() });
+            findings.push(Finding::Ended { task, took: now - started, end: closing.confirmed() });
         }
-        self.close(at);
+        self.close(index);
     }
 
     /// Cancels attempts that are not fully written and are subject to a retry-after wait: they must not reach
@@ -295,48 +295,49 @@
         now: Ms,
         dest: DestId,
         route: Option<RouteId>,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
         let cancelled = |c: &Conn| {
-            !c.written && c.task.is_some() && c.unit.0 == dest && route.is_none_or(|r| r == c.unit.1)
+            !c.written && c.task.is_some() && c.target.0 == dest && route.is_none_or(|r| r == c.target.1)
         };
-        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| cancelled(c)).map(|(at, _)| at).collect();
-        due.into_iter().for_each(|at| self.end(now, at, Outcome::NotSent, found));
+        let due: Vec<usize> =
+            self.conns.iter().filter(|(_, c)| cancelled(c)).map(|(index, _)| index).collect();
+        due.into_iter().for_each(|index| self.end(now, index, Outcome::NotSent, findings));
     }
 
     /// Closes idle connections to an endpoint.
     pub fn close_idle(&mut self, route: RouteId) {
-        for at in self.idle.remove(&route).unwrap_or_default() {
-            log::debug!(route = route, conn = at; "a connection to an endpoint is closed");
-            self.conns.try_remove(at);
+        for index in self.idle.remove(&route).unwrap_or_default() {
+            log::debug!(route = route, conn = index; "a connection to an endpoint is closed");
+            self.conns.try_remove(index);
         }
     }
 
     /// Handles an event on a connection.
-    pub fn ready(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    pub fn ready(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if !c.up {
             match c.stream.is_up() {
                 Ok(true) => c.up = true,
                 Ok(false) => return,
-                Err(_) => return self.end(now, at, Outcome::NoConnection, found),
+                Err(_) => return self.end(now, index, Outcome::NoConnection, findings),
             }
         }
-        self.push(now, at, found);
+        self.push(now, index, findings);
     }
 
     /// Writes and reads as much as the connection allows.
-    fn push(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn push(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if c.task.is_some() && !c.written {
             if let Err(reason) = guard::may_write(now, c.write_by) {
-                return self.refuse(now, at, reason, found);
+                return self.refuse(now, index, reason, findings);
             }
         }
         let flushed = c.stream.flush();
         if let (Ok(true), Some((task, _)), false) = (&flushed, c.task, c.written) {
             c.written = true;
-            found.push(Finding::Written(task));
+            findings.push(Finding::Written(task));
         }
         if c.closing.as_ref().is_some_and(|closing| closing.endpoint_closed) {
             return;
@@ -348,13 +349,13 @@
         if c.closing.as_ref().is_some_and(|closing| closing.is_malformed) {
             c.stream.read_buf.clear();
             return if fill == Fill::Ended {
-                self.handle_endpoint_close(now, at, found)
+                self.handle_endpoint_close(now, index, findings)
             };
         }
         if c.task.is_none() && c.head.is_none() {
             // Idle: any event makes the connection useless.
             if fill != Fill::Blocked || !c.stream.read_buf.is_empty() {
-                self.close(at);
+                self.close(index);
             }
             return;
         }
@@ -373,22 +374,22 @@
                     c.stream.read_buf.drain(..h.size);
                     // Status 200 means delivered, whatever follows.
                     if let Some((task, started)) = c.task.take_if(|_| h.code == 200) {
-                        found.push(answered(task, &h, now - started));
+                        findings.push(answered(task, &h, now - started));
                         self.busy.remove(&task);
                     }
                     c.head = Some(h);
                 }
                 Ok(None) if fill == Fill::Blocked => return,
-                _ => return self.handle_broken(now, at, fill, found),
+                _ => return self.handle_broken(now, index, fill, findings),
             }
         }
-        self.body(now, at, fill, found);
+        self.body(now, index, fill, findings);
     }
 
     /// Handles the body after the head; the response counts once the body has the announced length.
-    fn body(&mut self, now: Ms, at: usize, fill: Fill, found: &mut Vec<Finding>) {
+    fn body(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<Finding>) {
         let open = fill == Fill::Blocked;
-        let Some(c) = self.conns.get_mut(at) else { return };
+        let Some(c) = self.conns.get_mut(index) else { return };
         let Some(h) = &c.head else { return };
         let have = c.stream.read_buf.len() as u64;
         let whole = match h.length {
@@ -400,35 +401,35 @@
             None => true,
         };
         if !whole {
-            return self.handle_broken(now, at, fill, found);
+            return self.handle_broken(now, index, fill, findings);
         }
         let reusable = h.reusable && c.written && open && c.closing.is_none();
         if let Some((task, started)) = c.task.take() {
-            found.push(answered(task, h, now - started));
+            findings.push(answered(task, h, now - started));
             self.busy.remove(&task);
         }
         if !reusable {
-            return self.close(at);
+            return self.close(index);
         }
         c.stream.read_buf.clear();
         (c.head, c.first_byte_at, c.idle_since) = (None, None, now);
-        self.idle.entry(c.unit.1).or_default().push(at);
+        self.idle.entry(c.target.1).or_default().push(index);
     }
 
     /// Handles a broken connection; the outcome depends on what was written and received. After a malformed
     /// response the message may have run whatever the status was, but the wait that it asked for is kept.
-    fn handle_broken(&mut self, now: Ms, at: usize, fill: Fill, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
-        let Some((task, started)) = c.task else { return self.close(at) };
+    fn handle_broken(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
+        let Some((task, started)) = c.task else { return self.close(index) };
         let (outcome, wait) = match (&c.head, status(&c.stream.read_buf)) {
             (None, Some(200)) => (Outcome::Delivered, 0.0),
             (h, _) if c.written => (Outcome::Reset, h.as_ref().map_or(0.0, |h| h.wait)),
             (_, _) => (Outcome::NoConnection, 0.0),
         };
-        let (route, stale) = (c.unit.1, c.is_stale(now, started));
+        let (route, stale) = (c.target.1, c.is_stale(now, started));
         if outcome == Outcome::Reset && matches!(task, Task::Delegation(..)) {
             let end = End { wait, heard: c.first_byte_at.is_some(), ..End::of(outcome) };
-            self.end_unanswered(now, at, fill, end, found);
+            self.end_unanswered(now, index, fill, end, findings);
         } else {
             let confirmation = if c.written { Confirmation::Answered } else { Confirmation::NeverBegun };
             let end = End {
@@ -437,8 +438,8 @@
                 confirmed: Some(confirmation),
                 ..End::of(outcome)
             };
-            found.push(Finding::Ended { task, took: now - started, end });
-            self.close(at);
+            findings.push(Finding::Ended { task, took: now - started, end });
+            self.close(index);
         }
         if stale {
             self.close_idle(route);
@@ -447,57 +448,62 @@
 
     /// Ends an attempt that was written and not answered: its endpoint closed the connection, or this side
     /// closes it because the response is malformed.
-    fn end_unanswered(&mut self, now: Ms, at: usize, fill: Fill, end: End, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn end_unanswered(&mut self, now: Ms, index: usize, fill: Fill, end: End, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         match &mut c.closing {
-            Some(_) if fill == Fill::Ended => self.handle_endpoint_close(now, at, found),
+            Some(_) if fill == Fill::Ended => self.handle_endpoint_close(now, index, findings),
             Some(closing) => closing.is_malformed = true,
             None if fill == Fill::Ended => {
                 c.stream.finish();
-                self.await_confirmation(at, Closing::new(now, end, EndedFirst::Endpoint));
-                self.report_pending(now, at, found);
+                self.await_confirmation(index, Closing::new(now, end, EndedFirst::Endpoint));
+                self.report_pending(now, index, findings);
             }
             None => {
                 c.stream.finish();
-                self.await_confirmation(at, Closing::of_malformed(now, end));
+                self.await_confirmation(index, Closing::of_malformed(now, end));
             }
         }
     }
 
     /// Handles the endpoint closing its side after this side ended the attempt: its slot there is free.
-    fn handle_endpoint_close(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        if let Some(closing) = self.conns.get_mut(at).and_then(|c| c.closing.as_mut()) {
+    fn handle_endpoint_close(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        if let Some(closing) = self.conns.get_mut(index).and_then(|c| c.closing.as_mut()) {
             closing.endpoint_closes(now);
-            self.report_pending(now, at, found);
+            self.report_pending(now, index, findings);
         }
     }
 
     /// Ends a task whose request the guard no longer allows to be written.
-    fn refuse(&mut self, now: Ms, at: usize, reason: Reason, found: &mut Vec<Finding>) {
-        self.end_at_once(at, reason.name(), |task, started| refused(task, reason, now - started), found);
+    fn refuse(&mut self, now: Ms, index: usize, reason: Reason, findings: &mut Vec<Finding>) {
+        self.end_at_once(
+            index,
+            reason.name(),
+            |task, started| refused(task, reason, now - started),
+            findings,
+        );
     }
 
-    fn end(&mut self, now: Ms, at: usize, outcome: Outcome, found: &mut Vec<Finding>) {
-        self.end_at_once(at, "given_up", |task, started| ended(task, outcome, now - started), found);
+    fn end(&mut self, now: Ms, index: usize, outcome: Outcome, findings: &mut Vec<Finding>) {
+        self.end_at_once(index, "given_up", |task, started| ended(task, outcome, now - started), findings);
     }
 
     /// Closes the connection of a probe, or of an attempt that no endpoint has begun, and reports its end at
     /// once.
     fn end_at_once(
         &mut self,
-        at: usize,
+        index: usize,
         cause: &str,
         end: impl Fn(Task, Ms) -> Finding,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
-        let Some(c) = self.conns.get(at) else { return };
+        let Some(c) = self.conns.get(index) else { return };
         if let Some((task, started)) = c.task {
             let written = c.size - c.stream.unwritten().min(c.size);
-            log::debug!(id = c.id.as_str(), conn = at, bytes = written, of = c.size, up = c.up, cause = cause;
+            log::debug!(id = c.id.as_str(), conn = index, bytes = written, of = c.size, up = c.up, cause = cause;
                 "a request and its connection are closed");
-            found.push(end(task, started));
+            findings.push(end(task, started));
         }
-        self.close(at);
+        self.close(index);
     }
 
     /// Time at which [`Workers::tick`] is due.
@@ -525,18 +531,18 @@
 
     /// Ends connections that were not established in time, probes without a response and incomplete
     /// responses; closes connections that were idle too long.
-    pub fn tick(&mut self, now: Ms, found: &mut Vec<Finding>) {
+    pub fn tick(&mut self, now: Ms, findings: &mut Vec<Finding>) {
         let due = |c: &Conn| self.due(c).is_some_and(|t| t <= now);
-        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(at, _)| at).collect();
-        for at in due {
-            match &self.conns[at] {
-                c if c.closing.is_some() => self.confirm(now, at, found),
+        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(index, _)| index).collect();
+        for index in due {
+            match &self.conns[index] {
+                c if c.closing.is_some() => self.confirm(now, index, findings),
                 c if c.task.is_some() && !c.written && c.write_by <= now => {
-                    self.refuse(now, at, Reason::WindowOver, found);
+                    self.refuse(now, index, Reason::WindowOver, findings);
                 }
-                c if c.first_byte_at.is_some() => self.handle_broken(now, at, Fill::Blocked, found),
-                c if c.up => self.end(now, at, Outcome::Late, found),
-                _ => self.end(now, at, Outcome::NoConnection, found),
+                c if c.first_byte_at.is_some() => self.handle_broken(now, index, Fill::Blocked, findings),
+                c if c.up => self.end(now, index, Outcome::Late, findings),
+                _ => self.end(now, index, Outcome::NoConnection, findings),
             }
         }
     }
--- a/src/net/links.rs
+++ b/src/net/links.rs
@@ -101,13 +101,13 @@
 
     /// Opens connections that are due, and closes those that were not established in time.
     pub fn tick(&mut self, now: Ms, reactor: &Rc<Reactor>) {
-        for (at, l) in self.all.iter_mut().enumerate() {
+        for (index, l) in self.all.iter_mut().enumerate() {
             if l.stream.is_some() && !l.up && l.since + CONNECT_TIMEOUT <= now {
                 l.handle_lost(now);
             }
             if l.stream.is_none() && l.open_at <= now {
                 l.since = now;
-                match Stream::connect(l.address, reactor, token(self.kind, at)) {
+                match Stream::connect(l.address, reactor, token(self.kind, index)) {
                     Ok(stream) => l.stream = Some(stream),
                     Err(_) => l.handle_lost(now),
                 }
@@ -116,8 +116,8 @@
     }
 
     /// Handles an event on a connection.
-    pub fn ready(&mut self, now: Ms, at: usize) -> Change<'_> {
-        let Some(l) = self.all.get_mut(at) else { return Change::None };
+    pub fn ready(&mut self, now: Ms, index: usize) -> Change<'_> {
+        let Some(l) = self.all.get_mut(index) else { return Change::None };
         let Some(stream) = &mut l.stream else { return Change::None };
         let (mut established, mut usable) = (false, true);
         match stream.is_up() {
--- a/src/net/mates.rs
+++ b/src/net/mates.rs
@@ -83,16 +83,16 @@
     }
 
     /// Handles an event on an outbound connection.
-    pub fn outbound_ready(&mut self, now: Ms, at: usize, core: &mut Core) {
-        if let Change::Lost(name) = self.outbound.ready(now, at) {
+    pub fn outbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
+        if let Change::Lost(name) = self.outbound.ready(now, index) {
             core.copy_peer_lost(name);
         }
     }
 
     /// Handles an event on an inbound connection.
-    pub fn inbound_ready(&mut self, now: Ms, at: usize, core: &mut Core) {
+    pub fn inbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
         loop {
-            let Some(i) = self.inbound.get_mut(at) else { return };
+            let Some(i) = self.inbound.get_mut(index) else { return };
             let fill = i.stream.fill(READ_MAX);
             i.frames.push(&i.stream.read_buf);
             i.stream.read_buf.clear();
@@ -110,7 +110,7 @@
                 }
             }
             if why.is_some() || fill == Fill::Ended {
-                drop(self.inbound.try_remove(at));
+                drop(self.inbound.try_remove(index));
                 return;
             }
             if fill == Fill::Blocked {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -210,7 +210,7 @@
             if self.may_exit(now) {
                 self.final_turns(now);
                 self.resp_clients.count_unanswered(&mut self.core);
-                self.mqtt_clients.leave(now);
+                self.mqtt_clients.disconnect_all(now);
                 self.write_cache(now);
                 if let Err(e) = disk::end_life(&self.config.state, &self.life) {
                     log::warn!(cause:% = e; "the life record in the state folder cannot be written: {e}");
@@ -266,17 +266,23 @@
     fn handle_event(&mut self, now: Ms, token: Token) {
         match decode_token(token) {
             (Some(SourceKind::Listener), number) => self.accept(now, number),
-            (Some(SourceKind::RespClient), at) => self.resp_clients.ready(now, at, &mut self.core),
-            (Some(SourceKind::Endpoint), at) => self.workers.ready(self.clock.now(), at, &mut self.findings),
-            (Some(SourceKind::MqttClient), at) => {
-                let acknowledged = self.mqtt_clients.ready(now, at, &mut self.core);
+            (Some(SourceKind::RespClient), index) => self.resp_clients.ready(now, index, &mut self.core),
+            (Some(SourceKind::Endpoint), index) => {
+                self.workers.ready(self.clock.now(), index, &mut self.findings)
+            }
+            (Some(SourceKind::MqttClient), index) => {
+                let acknowledged = self.mqtt_clients.ready(now, index, &mut self.core);
                 acknowledged.into_iter().for_each(|no| self.core.confirmed(now, no));
             }
-            (Some(SourceKind::PeerIn), at) => self.peers.inbound_ready(now, at, &mut self.core),
-            (Some(SourceKind::PeerOut), at) => self.peers.outbound_ready(now, at, &mut self.core),
-            (Some(SourceKind::ReplicaIn), at) => self.replica_peers.inbound_ready(now, at, &mut self.core),
-            (Some(SourceKind::ReplicaOut), at) => self.replica_peers.outbound_ready(now, at, &mut self.core),
-            (Some(SourceKind::Broker), at) => self.brokers.ready(now, at, &mut self.findings),
+            (Some(SourceKind::PeerIn), index) => self.peers.inbound_ready(now, index, &mut self.core),
+            (Some(SourceKind::PeerOut), index) => self.peers.outbound_ready(now, index, &mut self.core),
+            (Some(SourceKind::ReplicaIn), index) => {
+                self.replica_peers.inbound_ready(now, index, &mut self.core)
+            }
+            (Some(SourceKind::ReplicaOut), index) => {
+                self.replica_peers.outbound_ready(now, index, &mut self.core)
+            }
+            (Some(SourceKind::Broker), index) => self.brokers.ready(now, index, &mut self.findings),
             (Some(SourceKind::Registry), _) => {
                 let lists = self.watch.ready(now, self.core.names());
                 let current = self.watch.take_current();
@@ -295,13 +301,13 @@
             (Some(SourceKind::Notice), _) => {
                 self.notices.ready(now).into_iter().for_each(|no| self.core.confirmed(now, no));
             }
-            (Some(SourceKind::Signal), at) => self.signal(now, at),
-            (Some(SourceKind::Control), at) => {
+            (Some(SourceKind::Signal), index) => self.signal(now, index),
+            (Some(SourceKind::Control), index) => {
                 let serving = self.shutdown_since.is_none()
                     && !self.resp_clients.is_draining()
                     && !self.core.is_catching_up();
                 let mut effects = Vec::new();
-                self.control.ready(now, at, &mut self.core, serving, &mut effects);
+                self.control.ready(now, index, &mut self.core, serving, &mut effects);
                 effects.into_iter().for_each(|e| self.apply_effect(now, e));
             }
             (None, _) => {}
@@ -320,7 +326,7 @@
             };
             let Some(listener) = listener else { return };
             let room = match number {
-                MQTT_LISTENER => self.mqtt_clients.room(),
+                MQTT_LISTENER => self.mqtt_clients.make_room(),
                 PEER_LISTENER => self.peers.has_room(),
                 CONTROL_LISTENER => true,
                 REPLICA_LISTENER => self.replica_peers.has_room(),
@@ -362,8 +368,8 @@
         }
     }
 
-    fn signal(&mut self, now: Ms, at: usize) {
-        let Some((signal, reader)) = self.signals.get_mut(at) else { return };
+    fn signal(&mut self, now: Ms, index: usize) {
+        let Some((signal, reader)) = self.signals.get_mut(index) else { return };
         let mut bytes = [0; 64];
         while reader.read(&mut bytes).is_ok_and(|n| n > 0) {}
         if *signal == SIGUSR1 {
@@ -668,7 +674,7 @@
             }
             Order::Hold { dest, route } => {
                 self.workers.cancel_unwritten(now, dest, route, &mut self.findings);
-                self.brokers.hold(now, dest, route, &mut self.findings);
+                self.brokers.cancel_unwritten(now, dest, route, &mut self.findings);
             }
             Order::Probe { route, dest, address } if address.starts_with(broker::SCHEME) => {
                 self.brokers.probe(now, (dest, route), &address, reactor, &mut self.findings);
@@ -684,7 +690,7 @@
                 Notify::To(_) => self.notices.push(told),
                 Notify::Log => self.log_final_answer(now, &told),
             },
-            Order::Tell(told) => self.mqtt_clients.tell(now, told),
+            Order::Tell(told) => self.mqtt_clients.push_answer(now, told),
             // The watch is always open or being opened, so there is nothing to request.
             Order::Watch => {}
             Order::Say { to, envelope } => self.peers.send(now, &to, &envelope),
--- a/src/net/mqtt/acceptor.rs
+++ b/src/net/mqtt/acceptor.rs
@@ -1,5 +1,6 @@
-//! The acceptor for MQTT clients. A client submits by a PUBLISH to [`SUBMIT_TOPIC`] and gets one final answer on its
-//! response topic. Who it is, is its client id; a message it submits again under one id joins the message held.
+//! MQTT front end. A client submits a message with a PUBLISH to [`SUBMIT_TOPIC`] and gets one final answer on
+//! its response topic. Its client id identifies it; a message that it submits again under the same id joins
+//! the message already held.
 
 use super::super::reactor::Reactor;
 use super::{matches, publish, Extras, Session};
@@ -21,46 +22,48 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Where clients submit.
+/// Topic to which clients submit messages.
 pub const SUBMIT_TOPIC: &str = "lilacbank/submit";
-/// A client is told what was not taken on for so long.
-const REFUSAL_KEPT: Ms = 5_000.0;
-/// Filters of one client at most.
-const FILTERS_MOST: usize = 32;
-/// Answers on their way to one client at a time.
-const ANSWERS_OUT_MOST: usize = 16;
-/// Clients remembered without a connection and with nothing owed.
-const ABSENT_MOST: usize = 256;
+/// Milliseconds for which the answer to a rejected message is kept for its client.
+const REJECTION_KEPT: Ms = 5_000.0;
+/// Maximum number of topic filters of one client.
+const FILTERS_MAX: usize = 32;
+/// Maximum number of unacknowledged answers to one client at a time.
+const ANSWERS_IN_FLIGHT_MAX: usize = 16;
+/// Maximum number of clients that are remembered without a connection and without pending answers.
+const DISCONNECTED_CLIENTS_MAX: usize = 256;
 
 struct Conn {
     session: Session<Server>,
     client: Option<String>,
     since: Ms,
-    /// Tells it from an earlier connection in the same place, also one of the same client.
+    /// Distinguishes the connection from an earlier one in the same slot, also of the same client.
     serial: u64,
 }
 
-/// A final answer that a client is owed until it acknowledges it.
+/// A final answer that is pending until the client acknowledges it.
 #[derive(Debug)]
-struct Owed {
+struct PendingAnswer {
     told: Told,
-    /// The packet that carries it on the present connection.
-    out: Option<u16>,
+    /// Id of the packet that carries the answer on the current connection.
+    packet: Option<u16>,
+    /// The answer was sent before on an earlier connection.
     again: bool,
-    /// Its tenant is served by this dispatcher, whose MQTT clients connect there.
+    /// Set if another dispatcher serves the tenant: its name and the address for MQTT clients.
     moved: Option<(String, Option<SocketAddr>)>,
 }
 
-/// What outlives a connection.
+/// State of a client that outlives its connections.
 #[derive(Debug, Default)]
 struct Client {
     conn: Option<usize>,
     filters: Vec<String>,
-    owed: BTreeMap<String, Owed>,
+    answers: BTreeMap<String, PendingAnswer>,
 }
 
+/// A submission that waits for its verdict.
 #[derive(Debug)]
-struct Asked {
+struct PendingSubmission {
     conn: usize,
     serial: u64,
     client: String,
@@ -69,28 +72,29 @@
     reply: Vec<u8>,
 }
 
-/// The connections and sessions of MQTT clients.
+/// The connections and the state of MQTT clients.
 pub struct MqttClients {
     conns: Slab<Conn>,
     clients: HashMap<String, Client>,
-    asked: HashMap<Ticket, Asked>,
+    submissions: HashMap<Ticket, PendingSubmission>,
     next_ticket: Ticket,
     next_serial: u64,
-    /// Connections that had more to read than one turn takes.
-    more: Vec<usize>,
-    most: usize,
+    /// Connections with data left for the next turn.
+    unfinished: Vec<usize>,
+    max: usize,
     draining: bool,
 }
 
-/// Response topic and correlation data, as the core keeps them.
-fn reply(extras: &Extras) -> Vec<u8> {
+/// Encodes the response topic and the correlation data for the core.
+fn encode_reply(extras: &Extras) -> Vec<u8> {
     let mut bytes = (extras.response.len() as u32).to_le_bytes().to_vec();
     bytes.extend_from_slice(extras.response.as_bytes());
     bytes.extend_from_slice(&extras.correlation);
     bytes
 }
 
-fn unreply(bytes: &[u8]) -> Option<Extras> {
+/// Decodes the response topic and the correlation data.
+fn decode_reply(bytes: &[u8]) -> Option<Extras> {
     let (len, rest) = bytes.split_first_chunk::<4>()?;
     let (response, correlation) = rest.split_at_checked(u32::from_le_bytes(*len) as usize)?;
     let response = String::from_utf8(response.to_vec()).ok()?;
@@ -113,42 +117,42 @@
         dest: dest.parse().map_err(|_| "bad dest")?,
         left: extras.expiry_s.map(|s| Ms::from(s) * 1000.0),
         again: extras.get("again") == "1",
-        reply: reply(extras),
+        reply: encode_reply(extras),
         body: body.to_vec(),
     })
 }
 
 impl MqttClients {
-    /// No client yet, and so many connections at most.
-    pub fn new(most: usize) -> MqttClients {
+    /// Creates the set without clients; `max` bounds the number of connections.
+    pub fn new(max: usize) -> MqttClients {
         MqttClients {
             conns: Slab::new(),
             clients: HashMap::new(),
-            asked: HashMap::new(),
+            submissions: HashMap::new(),
             next_ticket: 0,
             next_serial: 0,
-            more: Vec::new(),
-            most,
+            unfinished: Vec::new(),
+            max,
             draining: false,
         }
     }
 
-    /// Makes room once there are too many clients: the one goes that has said nothing for longest; sessions stay.
-    /// While draining all new ones are turned away by [`MqttClients::accept`].
-    pub fn room(&mut self) -> bool {
-        if self.conns.len() <= self.most || self.draining {
+    /// Makes room if there are more than `max` connections by closing the oldest one without a CONNECT;
+    /// established sessions stay. While draining, [`MqttClients::accept`] rejects all new connections.
+    pub fn make_room(&mut self) -> bool {
+        if self.conns.len() <= self.max || self.draining {
             return true;
         }
-        let silent = self.conns.iter().filter(|(_, c)| c.client.is_none());
-        let pick = silent.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|c| c.0);
-        pick.into_iter().for_each(|at| self.close(at));
+        let unidentified = self.conns.iter().filter(|(_, c)| c.client.is_none());
+        let pick = unidentified.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|c| c.0);
+        pick.into_iter().for_each(|index| self.close(index));
         pick.is_some()
     }
 
-    /// A client has connected.
+    /// Registers a new connection.
     pub fn accept(&mut self, now: Ms, tcp: TcpStream, reactor: &Rc<Reactor>) {
         if self.draining {
-            return log::warn!("an MQTT connection is turned away");
+            return log::warn!("an MQTT connection is rejected while draining");
         }
         let entry = self.conns.vacant_entry();
         match Stream::accepted(tcp, reactor, token(SourceKind::MqttClient, entry.key())) {
@@ -157,65 +161,73 @@
                 let (session, serial) = (Session::new(stream), self.next_serial);
                 entry.insert(Conn { session, client: None, since: now, serial });
             }
-            Err(e) => log::warn!("an MQTT connection cannot be served: {e}"),
+            Err(e) => log::warn!("an MQTT connection cannot be registered: {e}"),
         }
     }
 
-    /// Something happened on a connection; returns calls whose final answer was acknowledged.
-    pub fn ready(&mut self, now: Ms, at: usize, core: &mut Core) -> Vec<CallNo> {
-        let mut heard = Vec::new();
-        let Some(c) = self.conns.get_mut(at) else { return heard };
-        // What the client has not read is written before more is read from it.
+    /// Handles an event on a connection; returns messages whose final answer was acknowledged.
+    pub fn ready(&mut self, now: Ms, index: usize, core: &mut Core) -> Vec<CallNo> {
+        let mut acknowledged = Vec::new();
+        let Some(c) = self.conns.get_mut(index) else { return acknowledged };
+        // Pending output is written before more input is read.
         if c.session.stream.flush().is_ok_and(|all| !all) {
-            return heard;
+            return acknowledged;
         }
         let (packets, more) = c.session.read(now);
         for packet in packets {
-            self.packet(now, at, packet, core, &mut heard);
+            self.packet(now, index, packet, core, &mut acknowledged);
         }
         if more {
-            self.more.push(at);
+            self.unfinished.push(index);
         }
-        self.settle(now, at);
-        heard
+        self.send_or_close(now, index);
+        acknowledged
     }
 
-    /// Writes what is owed, and closes what is over.
-    fn settle(&mut self, now: Ms, at: usize) {
-        if let Some(client) = self.conns.get(at).and_then(|c| c.client.clone()) {
-            self.answer_client(now, &client);
+    /// Sends pending answers, and closes the connection if its session has ended.
+    fn send_or_close(&mut self, now: Ms, index: usize) {
+        if let Some(client) = self.conns.get(index).and_then(|c| c.client.clone()) {
+            self.send_pending_answers(now, &client);
         }
-        let Some(c) = self.conns.get_mut(at) else { return };
-        if c.session.stream.flush().is_err() || c.session.over {
-            self.close(at);
+        let Some(c) = self.conns.get_mut(index) else { return };
+        if c.session.stream.flush().is_err() || c.session.closing {
+            self.close(index);
         }
     }
 
-    fn close(&mut self, at: usize) {
-        let Some(c) = self.conns.try_remove(at) else { return };
+    fn close(&mut self, index: usize) {
+        let Some(c) = self.conns.try_remove(index) else { return };
         c.session.stream.finish();
         let Some(client) = c.client.and_then(|name| self.clients.get_mut(&name)) else { return };
-        if client.conn == Some(at) {
+        if client.conn == Some(index) {
             client.conn = None;
-            client.owed.values_mut().for_each(|o| {
-                o.again |= o.out.take().is_some();
+            client.answers.values_mut().for_each(|o| {
+                o.again |= o.packet.take().is_some();
             });
         }
-        if self.clients.len() > ABSENT_MOST + self.conns.len() {
-            self.clients.retain(|_, c| c.conn.is_some() || !c.owed.is_empty());
+        if self.clients.len() > DISCONNECTED_CLIENTS_MAX + self.conns.len() {
+            self.clients.retain(|_, c| c.conn.is_some() || !c.answers.is_empty());
         }
     }
 
-    fn packet(&mut self, now: Ms, at: usize, packet: Packet, core: &mut Core, heard: &mut Vec<CallNo>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn packet(
+        &mut self,
+        now: Ms,
+        index: usize,
+        packet: Packet,
+        core: &mut Core,
+        acknowledged: &mut Vec<CallNo>,
+    ) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         let client = c.client.clone();
         match (packet, client) {
-            (Packet::V5_0Connect(p), None) => self.connect(now, at, p.client_id(), p.clean_start()),
-            (Packet::V5_0Publish(p), Some(client)) => self.publish(now, at, &client, &p, core),
+            (Packet::V5_0Connect(p), None) => self.connect(now, index, p.client_id(), p.clean_start()),
+            (Packet::V5_0Publish(p), Some(client)) => self.publish(now, index, &client, &p, core),
             (Packet::V5_0Puback(p), Some(name)) => {
                 let Some(client) = self.clients.get_mut(&name) else { return };
-                let id = client.owed.iter().find(|o| o.1.out == Some(p.packet_id())).map(|o| o.0.clone());
-                heard.extend(id.and_then(|id| client.owed.remove(&id)).map(|o| o.told.no));
+                let id =
+                    client.answers.iter().find(|o| o.1.packet == Some(p.packet_id())).map(|o| o.0.clone());
+                acknowledged.extend(id.and_then(|id| client.answers.remove(&id)).map(|o| o.told.no));
             }
             (Packet::V5_0Subscribe(p), Some(name)) => {
                 let Some(client) = self.clients.get_mut(&name) else { return };
@@ -223,7 +235,7 @@
                 for entry in p.entries() {
                     let filter = entry.topic_filter().to_string();
                     client.filters.retain(|f| *f != filter);
-                    let room = client.filters.len() < FILTERS_MOST;
+                    let room = client.filters.len() < FILTERS_MAX;
                     if room {
                         client.filters.push(filter);
                     }
@@ -251,12 +263,12 @@
                     c.session.send(now, pong);
                 }
             }
-            _ => c.session.over = true,
+            _ => c.session.closing = true,
         }
     }
 
-    fn connect(&mut self, now: Ms, at: usize, name: &str, clean: bool) {
-        if let Some(old) = self.clients.get(name).and_then(|c| c.conn).filter(|old| *old != at) {
+    fn connect(&mut self, now: Ms, index: usize, name: &str, clean: bool) {
+        if let Some(old) = self.clients.get(name).and_then(|c| c.conn).filter(|old| *old != index) {
             if let Some(c) = self.conns.get_mut(old) {
                 let bye = Disconnect::builder().reason_code(DisconnectReasonCode::SessionTakenOver).build();
                 bye.into_iter().for_each(|p| c.session.send(now, p));
@@ -264,8 +276,8 @@
             }
             self.close(old);
         }
-        let Some(c) = self.conns.get_mut(at) else { return };
-        // Without a name of its own a client could not be told from another after it reconnects.
+        let Some(c) = self.conns.get_mut(index) else { return };
+        // Without a client id a client could not be recognized after it reconnects.
         let code = match name.is_empty() {
             true => ConnectReasonCode::ClientIdentifierNotValid,
             false => ConnectReasonCode::Success,
@@ -281,57 +293,58 @@
             .build();
         match ack {
             Ok(ack) => c.session.send(now, ack),
-            Err(_) => c.session.over = true,
+            Err(_) => c.session.closing = true,
         }
         if name.is_empty() {
-            c.session.over = true;
+            c.session.closing = true;
             return;
         }
         c.client = Some(name.to_string());
         let client = self.clients.entry(name.to_string()).or_default();
-        client.conn = Some(at);
+        client.conn = Some(index);
         if clean {
             client.filters.clear();
         }
     }
 
-    fn publish(&mut self, now: Ms, at: usize, client: &str, p: &Publish, core: &mut Core) {
+    fn publish(&mut self, now: Ms, index: usize, client: &str, p: &Publish, core: &mut Core) {
         let extras = Extras::of(p);
         if p.qos() == Qos::ExactlyOnce {
-            self.conns[at].session.over = true;
+            self.conns[index].session.closing = true;
             return;
         }
         if p.topic_name() != SUBMIT_TOPIC {
-            return self.acknowledge(now, at, p.packet_id(), PubackReasonCode::TopicNameInvalid);
+            return self.acknowledge(now, index, p.packet_id(), PubackReasonCode::TopicNameInvalid);
         }
         match submission(client, &extras, p.payload().as_slice()) {
             Ok(s) => {
                 let ticket = self.next_ticket * 2 + 1;
                 self.next_ticket += 1;
                 let (id, reply) = (s.identity.1.clone(), s.reply.clone());
-                let (serial, client) = (self.conns[at].serial, client.to_string());
-                let asked = Asked { conn: at, serial, client, packet: p.packet_id(), id, reply };
-                self.asked.insert(ticket, asked);
+                let (serial, client) = (self.conns[index].serial, client.to_string());
+                let submission =
+                    PendingSubmission { conn: index, serial, client, packet: p.packet_id(), id, reply };
+                self.submissions.insert(ticket, submission);
                 core.submit(now, ticket, s);
             }
             Err(why) => {
                 core.counters.malformed += 1;
                 log::debug!("a submission of '{client}' cannot be read: {why}");
-                self.acknowledge(now, at, p.packet_id(), PubackReasonCode::PayloadFormatInvalid);
+                self.acknowledge(now, index, p.packet_id(), PubackReasonCode::PayloadFormatInvalid);
             }
         }
     }
 
-    fn acknowledge(&mut self, now: Ms, at: usize, packet: Option<u16>, code: PubackReasonCode) {
-        let Some((c, id)) = self.conns.get_mut(at).zip(packet) else { return };
+    fn acknowledge(&mut self, now: Ms, index: usize, packet: Option<u16>, code: PubackReasonCode) {
+        let Some((c, id)) = self.conns.get_mut(index).zip(packet) else { return };
         if let Ok(ack) = Puback::builder().packet_id(id).reason_code(code).build() {
             c.session.send(now, ack);
         }
     }
 
-    /// A verdict for a client that waits: the PUBLISH is acknowledged, and what was not taken on has its answer.
+    /// Handles a verdict: acknowledges the PUBLISH, and queues the final answer if the message was rejected.
     pub fn answer(&mut self, now: Ms, ticket: Ticket, verdict: &Verdict) {
-        let Some(a) = self.asked.remove(&ticket) else { return };
+        let Some(a) = self.submissions.remove(&ticket) else { return };
         let mut moved = None;
         let ending = match verdict {
             Verdict::Taken => None,
@@ -345,116 +358,118 @@
                 Some(Ending::GivenUp)
             }
         };
-        // Guards against acknowledging on the client's next connection, in the same place, what it never sent there.
+        // Prevents an acknowledgement on a later connection in the same slot, on which the PUBLISH was never
+        // sent.
         if self.conns.get(a.conn).is_some_and(|c| c.serial == a.serial) {
             self.acknowledge(now, a.conn, a.packet, PubackReasonCode::Success);
         }
         if let Some(ending) = ending {
             let identity = (a.client, a.id);
-            let told = Told { no: 0, identity, ending, reply: a.reply, until: now + REFUSAL_KEPT };
-            self.owe(now, told, moved);
+            let told = Told { no: 0, identity, ending, reply: a.reply, until: now + REJECTION_KEPT };
+            self.queue_answer(now, told, moved);
         }
-        self.settle(now, a.conn);
+        self.send_or_close(now, a.conn);
     }
 
-    /// Owes a client its final answer.
-    pub fn tell(&mut self, now: Ms, told: Told) {
-        self.owe(now, told, None);
+    /// Queues a final answer for a client.
+    pub fn push_answer(&mut self, now: Ms, told: Told) {
+        self.queue_answer(now, told, None);
     }
 
-    fn owe(&mut self, now: Ms, told: Told, moved: Option<(String, Option<SocketAddr>)>) {
+    fn queue_answer(&mut self, now: Ms, told: Told, moved: Option<(String, Option<SocketAddr>)>) {
         let name = told.identity.0.clone();
         let client = self.clients.entry(name.clone()).or_default();
         let id = told.identity.1.clone();
-        // One that is on its way already is not sent a second time on the same connection.
-        if client.owed.get(&id).is_none_or(|o| o.out.is_none()) {
-            client.owed.insert(id, Owed { told, out: None, again: false, moved });
+        // An answer in flight is not sent again on the same connection.
+        if client.answers.get(&id).is_none_or(|o| o.packet.is_none()) {
+            client.answers.insert(id, PendingAnswer { told, packet: None, again: false, moved });
         }
-        if let Some(at) = client.conn {
-            self.settle(now, at);
+        if let Some(index) = client.conn {
+            self.send_or_close(now, index);
         }
     }
 
-    fn answer_client(&mut self, now: Ms, name: &str) {
+    fn send_pending_answers(&mut self, now: Ms, name: &str) {
         let Some(client) = self.clients.get_mut(name) else { return };
-        let Some(c) = client.conn.and_then(|at| self.conns.get_mut(at)) else { return };
-        let mut out = client.owed.values().filter(|o| o.out.is_some()).count();
-        for owed in client.owed.values_mut().filter(|o| o.out.is_none()) {
-            let Some(extras) = unreply(&owed.told.reply) else { continue };
-            // The client may allow fewer answers on their way than this side does.
+        let Some(c) = client.conn.and_then(|index| self.conns.get_mut(index)) else { return };
+        let mut in_flight = client.answers.values().filter(|o| o.packet.is_some()).count();
+        for pending in client.answers.values_mut().filter(|o| o.packet.is_none()) {
+            let Some(extras) = decode_reply(&pending.told.reply) else { continue };
+            // The client may allow fewer unacknowledged answers than this side does.
             let vacancy = c.session.mqtt.get_receive_maximum_vacancy_for_send();
-            if out >= ANSWERS_OUT_MOST || vacancy == Some(0) || c.session.over {
+            if in_flight >= ANSWERS_IN_FLIGHT_MAX || vacancy == Some(0) || c.session.closing {
                 return;
             }
             if !client.filters.iter().any(|f| matches(f, &extras.response)) {
                 continue;
             }
-            let (outcome, wait) = match owed.told.ending {
+            let (outcome, wait) = match pending.told.ending {
                 Ending::Delivered => ("delivered", None),
                 Ending::GivenUp => ("given_up", None),
                 Ending::HandedBack(wait) => ("handed_back", Some(wait.ceil() as u64).filter(|w| *w > 0)),
             };
             let mut user =
-                vec![("id".into(), owed.told.identity.1.clone()), ("outcome".into(), outcome.into())];
+                vec![("id".into(), pending.told.identity.1.clone()), ("outcome".into(), outcome.into())];
             user.extend(wait.map(|w| ("retry-in-ms".into(), w.to_string())));
-            if let Some((name, at)) = &owed.moved {
+            if let Some((name, address)) = &pending.moved {
                 user.push(("moved-to".into(), name.clone()));
-                user.extend(at.map(|a| ("server-reference".into(), a.to_string())));
+                user.extend(address.map(|a| ("server-reference".into(), a.to_string())));
             }
             let topic = extras.response.clone();
             let answer = Extras { response: String::new(), user, ..extras };
             let Ok(id) = c.session.mqtt.acquire_packet_id() else { return };
-            match publish(id, &topic, &answer, outcome.as_bytes(), owed.again) {
+            match publish(id, &topic, &answer, outcome.as_bytes(), pending.again) {
                 Ok(p) => {
-                    owed.out = Some(id);
-                    out += 1;
+                    pending.packet = Some(id);
+                    in_flight += 1;
                     c.session.send(now, p);
                 }
                 Err(e) => {
                     log::debug!("an answer cannot be published: {e:?}");
-                    // Kept from being tried over and over.
-                    owed.told.reply.clear();
+                    // Prevents further attempts to send it.
+                    pending.told.reply.clear();
                 }
             }
         }
     }
 
-    /// When [`MqttClients::tick`] has something to do.
+    /// Time at which [`MqttClients::tick`] is due.
     pub fn next_due(&self) -> Option<Ms> {
-        let hello = |c: &Conn| c.client.is_none().then_some(c.since + FIRST_REQUEST_TIMEOUT);
-        let due = self.conns.iter().filter_map(|(_, c)| c.session.next_due().or_else(|| hello(c)));
-        due.chain((!self.more.is_empty()).then_some(0.0)).min_by(f64::total_cmp)
+        let connect_due = |c: &Conn| c.client.is_none().then_some(c.since + FIRST_REQUEST_TIMEOUT);
+        let due = self.conns.iter().filter_map(|(_, c)| c.session.next_due().or_else(|| connect_due(c)));
+        due.chain((!self.unfinished.is_empty()).then_some(0.0)).min_by(f64::total_cmp)
     }
 
-    /// Goes on with clients that had more to read; closes connections whose keep-alive is over or that never said who
-    /// they are; drops answers nobody came for. Returns calls whose final answer was acknowledged.
+    /// Continues with clients that had more data; closes connections whose keep-alive has expired or that
+    /// sent no CONNECT in time; drops answers past their time limit. Returns messages whose final answer was
+    /// acknowledged.
     pub fn tick(&mut self, now: Ms, core: &mut Core) -> Vec<CallNo> {
-        let more = std::mem::take(&mut self.more);
-        let heard = more.into_iter().flat_map(|at| self.ready(now, at, core)).collect();
+        let more = std::mem::take(&mut self.unfinished);
+        let acknowledged = more.into_iter().flat_map(|index| self.ready(now, index, core)).collect();
         for client in self.clients.values_mut() {
-            client.owed.retain(|_, o| o.told.until > now || o.out.is_some());
+            client.answers.retain(|_, o| o.told.until > now || o.packet.is_some());
         }
         let due = |c: &Conn| {
-            let hello = c.client.is_none() && now - c.since >= FIRST_REQUEST_TIMEOUT;
-            hello || c.session.next_due().is_some_and(|t| t <= now)
+            let connect_due = c.client.is_none() && now - c.since >= FIRST_REQUEST_TIMEOUT;
+            connect_due || c.session.next_due().is_some_and(|t| t <= now)
         };
-        let all: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(at, _)| at).collect();
-        for at in all {
-            let c = &mut self.conns[at];
-            c.session.over |= c.client.is_none();
+        let all: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(index, _)| index).collect();
+        for index in all {
+            let c = &mut self.conns[index];
+            c.session.closing |= c.client.is_none();
             c.session.tick(now);
-            self.settle(now, at);
+            self.send_or_close(now, index);
         }
-        heard
+        acknowledged
     }
 
-    /// Takes no new connections; those that are there keep being answered.
+    /// Rejects new connections; existing ones are still served.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Says good-bye to all.
-    pub fn leave(&mut self, now: Ms) {
+    /// Sends DISCONNECT to all clients.
+    pub fn disconnect_all(&mut self, now: Ms) {
         for (_, c) in self.conns.iter_mut().filter(|(_, c)| c.client.is_some()) {
             let bye = Disconnect::builder().reason_code(DisconnectReasonCode::ServerShuttingDown).build();
             bye.into_iter().for_each(|p| c.session.send(now, p));
--- a/src/net/mqtt/broker.rs
+++ b/src/net/mqtt/broker.rs
@@ -1,8 +1,9 @@
-//! Workers that are reached through a broker: `mqtt://address:port/topic` in the registry's list.
+//! Endpoints that are reached through a broker: `mqtt://address:port/topic` in the endpoint list.
 //!
-//! A session carries one delegation at a time, as a connection to an HTTP worker does, so that giving one up is
-//! closing its session. Only the worker's own answer on the session's topic counts; the broker's PUBACK tells no more
-//! than that the broker has it. Once the PUBLISH is written, a lost session is a reset: it may have run.
+//! A session carries one attempt at a time, like an HTTP connection, so that abandoning an attempt means
+//! closing its session. Only the endpoint's answer on the session's topic counts; the broker's PUBACK says
+//! only that the broker has the message. If a session is lost after its PUBLISH was written, the attempt
+//! counts as reset: the message may have run.
 
 use super::super::reactor::Reactor;
 use super::{publish, Extras, Session};
@@ -22,10 +23,10 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What an address of a worker behind a broker begins with.
+/// Scheme of the address of an endpoint behind a broker.
 pub const SCHEME: &str = "mqtt://";
 
-/// Broker and topic of such an address.
+/// Splits such an address into broker and topic.
 pub fn split(address: &str) -> Option<(&str, &str)> {
     address.strip_prefix(SCHEME)?.split_once('/').filter(|(_, topic)| !topic.is_empty())
 }
@@ -33,8 +34,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Connecting,
-    /// CONNECT is out, then SUBSCRIBE.
-    Greeting,
+    /// CONNECT was sent, then SUBSCRIBE; their acknowledgements are outstanding.
+    Handshaking,
     Ready,
 }
 
@@ -44,8 +45,8 @@
     topic: String,
     extras: Extras,
     body: Vec<u8>,
-    unit: (DestId, RouteId),
-    /// Later than this it is not written.
+    target: (DestId, RouteId),
+    /// The PUBLISH is not written after this time.
     write_by: Ms,
     queued: bool,
     written: bool,
@@ -61,8 +62,9 @@
     idle_since: Ms,
 }
 
-/// An attempt whose session is closed. No endpoint behind a broker sees that, so that its end is told only after a while.
-struct Ending {
+/// An attempt whose session was closed. An endpoint behind a broker does not see that, so its end is
+/// confirmed only after a time limit.
+struct UnconfirmedEnd {
     task: Task,
     started: Ms,
     closing: Closing,
@@ -72,25 +74,26 @@
 pub struct Brokers {
     conns: Slab<Conn>,
     busy: HashMap<Task, usize>,
-    endings: Vec<Ending>,
-    most: usize,
+    unconfirmed_ends: Vec<UnconfirmedEnd>,
+    max: usize,
     connect_timeout: Ms,
     keep_idle: Ms,
-    /// Tells this process's sessions from those of others and of earlier ones.
+    /// Prefix of client ids that distinguishes the sessions of this process from those of other and earlier
+    /// processes.
     prefix: String,
     opened: u64,
 }
 
 impl Brokers {
-    /// No session yet, and so many at most.
-    pub fn new(settings: &Settings, most: usize, prefix: String) -> Brokers {
+    /// Creates the set without sessions; `max` bounds their number.
+    pub fn new(settings: &Settings, max: usize, prefix: String) -> Brokers {
         let connect_timeout = if settings.connect_timeout > 0.0 { settings.connect_timeout } else { 1_000.0 };
         let keep_idle = if settings.keep_idle > 0.0 { settings.keep_idle } else { f64::MAX };
         Brokers {
             conns: Slab::new(),
             busy: HashMap::new(),
-            endings: Vec::new(),
-            most,
+            unconfirmed_ends: Vec::new(),
+            max,
             connect_timeout,
             keep_idle,
             prefix,
@@ -98,18 +101,18 @@
         }
     }
 
-    /// Open sessions.
+    /// Number of open sessions.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Is no session open?
+    /// Whether no session is open.
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// Starts a delegation.
-    pub fn delegate(&mut self, now: Ms, d: &Delegation, reactor: &Rc<Reactor>, found: &mut Vec<Finding>) {
+    /// Starts an attempt.
+    pub fn delegate(&mut self, now: Ms, d: &Delegation, reactor: &Rc<Reactor>, findings: &mut Vec<Finding>) {
         let patience = d.patience.round().max(0.0) as u64;
         let mut user = vec![("id".into(), d.id.clone()), ("remaining-ms".into(), patience.to_string())];
         if !d.idempotency.is_empty() {
@@ -119,25 +122,34 @@
         let expiry_s = Some((d.patience / 1000.0).ceil().clamp(1.0, 1e9) as u32);
         let extras = Extras { response: String::new(), correlation, expiry_s, user };
         let task = Task::Delegation(d.no, d.attempt);
-        self.start(now, task, &d.address, (d.dest, d.route), extras, (&d.body, d.write_by), reactor, found);
+        self.start(
+            now,
+            task,
+            &d.address,
+            (d.dest, d.route),
+            extras,
+            (&d.body, d.write_by),
+            reactor,
+            findings,
+        );
     }
 
-    /// Starts a probe: a PUBLISH with the user property `probe`, which the worker answers like a call.
+    /// Starts a probe: a PUBLISH with the user property `probe`, which the endpoint answers like a message.
     pub fn probe(
         &mut self,
         now: Ms,
-        unit: (DestId, RouteId),
+        target: (DestId, RouteId),
         address: &str,
         reactor: &Rc<Reactor>,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
         let user = vec![("probe".into(), "1".into())];
         let expiry_s = Some((PROBE_TIMEOUT / 1000.0).ceil() as u32);
         let correlation = format!("probe.{now}").into_bytes();
         let extras = Extras { response: String::new(), correlation, expiry_s, user };
-        let task = Task::Probe(unit.1);
+        let task = Task::Probe(target.1);
         if !self.busy.contains_key(&task) {
-            self.start(now, task, address, unit, extras, (&[], f64::MAX), reactor, found);
+            self.start(now, task, address, target, extras, (&[], f64::MAX), reactor, findings);
         }
     }
 
@@ -147,22 +159,22 @@
         now: Ms,
         task: Task,
         address: &str,
-        unit: (DestId, RouteId),
+        target: (DestId, RouteId),
         extras: Extras,
         (body, write_by): (&[u8], Ms),
         reactor: &Rc<Reactor>,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
         let Some((broker, topic)) = split(address) else {
-            return found.push(ended(task, Outcome::NoConnection, 0.0));
+            return findings.push(ended(task, Outcome::NoConnection, 0.0));
         };
         let idle = |c: &Conn| c.job.is_none() && c.stage == Stage::Ready && c.broker == broker;
         let newest = self.conns.iter().filter(|(_, c)| idle(c));
-        let at = match newest.max_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since)).map(|c| c.0) {
-            Some(at) => at,
+        let index = match newest.max_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since)).map(|c| c.0) {
+            Some(index) => index,
             None => match self.open(now, broker, reactor) {
-                Ok(at) => at,
-                Err(outcome) => return found.push(ended(task, outcome, 0.0)),
+                Ok(index) => index,
+                Err(outcome) => return findings.push(ended(task, outcome, 0.0)),
             },
         };
         let job = Job {
@@ -171,29 +183,29 @@
             topic: topic.to_string(),
             extras,
             body: body.to_vec(),
-            unit,
+            target,
             write_by,
             queued: false,
             written: false,
         };
-        self.conns[at].job = Some(job);
-        self.busy.insert(task, at);
-        if self.conns[at].stage == Stage::Ready {
-            self.ready(now, at, found);
+        self.conns[index].job = Some(job);
+        self.busy.insert(task, index);
+        if self.conns[index].stage == Stage::Ready {
+            self.ready(now, index, findings);
         }
     }
 
     fn open(&mut self, now: Ms, broker: &str, reactor: &Rc<Reactor>) -> Result<usize, Outcome> {
-        if self.conns.len() >= self.most {
+        if self.conns.len() >= self.max {
             let oldest = self.conns.iter().filter(|(_, c)| c.job.is_none());
             let oldest = oldest.min_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since)).map(|c| c.0);
             self.close(oldest.ok_or(Outcome::NotSent)?);
         }
         let to = broker.parse().map_err(|_| Outcome::NoConnection)?;
         let entry = self.conns.vacant_entry();
-        let at = entry.key();
-        let stream =
-            Stream::connect(to, reactor, token(SourceKind::Broker, at)).map_err(|_| Outcome::NoConnection)?;
+        let index = entry.key();
+        let stream = Stream::connect(to, reactor, token(SourceKind::Broker, index))
+            .map_err(|_| Outcome::NoConnection)?;
         self.opened += 1;
         let mut session = Session::new(stream);
         session.mqtt.set_auto_pub_response(true);
@@ -206,141 +218,150 @@
             job: None,
             idle_since: now,
         });
-        Ok(at)
+        Ok(index)
     }
 
-    fn close(&mut self, at: usize) {
-        if let Some(job) = self.conns.try_remove(at).and_then(|c| c.job) {
+    fn close(&mut self, index: usize) {
+        if let Some(job) = self.conns.try_remove(index).and_then(|c| c.job) {
             self.busy.remove(&job.task);
         }
     }
 
-    /// Breaks a task off by closing its session.
-    pub fn abandon(&mut self, now: Ms, task: Task, outcome: Outcome, found: &mut Vec<Finding>) {
-        if let Some(at) = self.busy.get(&task).copied() {
-            self.break_off(now, at, outcome, EndedFirst::Dispatcher, found);
+    /// Abandons a task by closing its session.
+    pub fn abandon(&mut self, now: Ms, task: Task, outcome: Outcome, findings: &mut Vec<Finding>) {
+        if let Some(index) = self.busy.get(&task).copied() {
+            self.close_session(now, index, outcome, EndedFirst::Dispatcher, findings);
         }
     }
 
-    /// Closes a session. The end of what it has published is told after a while, and of what it has not at once.
-    fn break_off(
+    /// Closes a session. The end of a published attempt is confirmed after a time limit; the end of an
+    /// unpublished one is reported at once.
+    fn close_session(
         &mut self,
         now: Ms,
-        at: usize,
+        index: usize,
         outcome: Outcome,
         first: EndedFirst,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) {
-        let job = self.conns.get(at).and_then(|c| c.job.as_ref());
+        let job = self.conns.get(index).and_then(|c| c.job.as_ref());
         let Some(job) = job.filter(|j| j.written && matches!(j.task, Task::Delegation(..))) else {
             let written = job.is_some_and(|j| j.written);
-            return self.end(now, at, if written { outcome } else { Outcome::NoConnection }, found);
+            return self.end(now, index, if written { outcome } else { Outcome::NoConnection }, findings);
         };
         let (task, started) = (job.task, job.started);
         let closing = Closing::new(now, End::of(outcome), first);
         if closing.endpoint_closed {
-            found.push(Finding::Ended { task, took: now - started, end: closing.pending(now) });
+            findings.push(Finding::Ended { task, took: now - started, end: closing.pending(now) });
         }
-        self.close(at);
-        self.endings.push(Ending { task, started, closing });
+        self.close(index);
+        self.unconfirmed_ends.push(UnconfirmedEnd { task, started, closing });
     }
 
-    /// Ends delegations that are not written yet and share a wait.
-    pub fn hold(&mut self, now: Ms, dest: DestId, route: Option<RouteId>, found: &mut Vec<Finding>) {
-        let held = |c: &Conn| {
-            let fits = |j: &Job| !j.written && j.unit.0 == dest && route.is_none_or(|r| r == j.unit.1);
+    /// Cancels attempts that are not written yet and are subject to a retry-after wait.
+    pub fn cancel_unwritten(
+        &mut self,
+        now: Ms,
+        dest: DestId,
+        route: Option<RouteId>,
+        findings: &mut Vec<Finding>,
+    ) {
+        let cancelled = |c: &Conn| {
+            let fits = |j: &Job| !j.written && j.target.0 == dest && route.is_none_or(|r| r == j.target.1);
             c.job.as_ref().is_some_and(fits)
         };
-        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| held(c)).map(|(at, _)| at).collect();
-        due.into_iter().for_each(|at| self.end(now, at, Outcome::NotSent, found));
+        let due: Vec<usize> =
+            self.conns.iter().filter(|(_, c)| cancelled(c)).map(|(index, _)| index).collect();
+        due.into_iter().for_each(|index| self.end(now, index, Outcome::NotSent, findings));
     }
 
-    /// Closes idle sessions with a worker's broker.
+    /// Closes idle sessions with the broker of an endpoint.
     pub fn close_idle(&mut self, address: &str) {
         let Some((broker, _)) = split(address) else { return };
         self.conns.retain(|_, c| c.job.is_some() || c.broker != broker);
     }
 
-    fn end(&mut self, now: Ms, at: usize, outcome: Outcome, found: &mut Vec<Finding>) {
-        if let Some(j) = self.conns.get(at).and_then(|c| c.job.as_ref()) {
-            found.push(ended(j.task, outcome, now - j.started));
+    fn end(&mut self, now: Ms, index: usize, outcome: Outcome, findings: &mut Vec<Finding>) {
+        if let Some(j) = self.conns.get(index).and_then(|c| c.job.as_ref()) {
+            findings.push(ended(j.task, outcome, now - j.started));
         }
-        self.close(at);
+        self.close(index);
     }
 
-    /// Something happened on a connection.
-    pub fn ready(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    /// Handles an event on a connection.
+    pub fn ready(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if c.stage == Stage::Connecting {
             match c.session.stream.is_up() {
                 Ok(true) => {
-                    c.stage = Stage::Greeting;
-                    let hello =
+                    c.stage = Stage::Handshaking;
+                    let connect =
                         Connect::builder().client_id(&c.name).map(|b| b.clean_start(true).keep_alive(0));
-                    match hello.and_then(|b| b.build()) {
+                    match connect.and_then(|b| b.build()) {
                         Ok(p) => c.session.send(now, p),
-                        Err(_) => c.session.over = true,
+                        Err(_) => c.session.closing = true,
                     }
                 }
                 Ok(false) => return,
-                Err(_) => return self.end(now, at, Outcome::NoConnection, found),
+                Err(_) => return self.end(now, index, Outcome::NoConnection, findings),
             }
         }
-        self.push(now, at, found);
+        self.push(now, index, findings);
         loop {
-            let Some(c) = self.conns.get_mut(at) else { return };
+            let Some(c) = self.conns.get_mut(index) else { return };
             let (packets, more) = c.session.read(now);
             for packet in packets {
-                self.packet(now, at, packet, found);
+                self.packet(now, index, packet, findings);
             }
             if !more {
                 break;
             }
         }
-        self.push(now, at, found);
-        if self.conns.get(at).is_some_and(|c| c.session.over) {
-            self.break_off(now, at, Outcome::Reset, EndedFirst::Endpoint, found);
+        self.push(now, index, findings);
+        if self.conns.get(index).is_some_and(|c| c.session.closing) {
+            self.close_session(now, index, Outcome::Reset, EndedFirst::Endpoint, findings);
         }
     }
 
-    /// Queues the delegation once the session is ready, and writes.
-    fn push(&mut self, now: Ms, at: usize, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    /// Queues the PUBLISH once the session is ready, and writes.
+    fn push(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         let unwritten = c.job.as_ref().filter(|j| !j.written);
         if let Some(Err(reason)) = unwritten.map(|j| guard::may_write(now, j.write_by)) {
-            return self.refuse(now, at, reason, found);
+            return self.refuse(now, index, reason, findings);
         }
         if let Some(job) = c.job.as_mut().filter(|j| c.stage == Stage::Ready && !j.queued) {
             job.queued = true;
-            job.extras.response = answers(&c.name);
+            job.extras.response = answer_topic(&c.name);
             let id = c.session.mqtt.acquire_packet_id();
             match id.and_then(|id| publish(id, &job.topic, &job.extras, &job.body, false)) {
                 Ok(p) => c.session.send(now, p),
-                Err(_) => c.session.over = true,
+                Err(_) => c.session.closing = true,
             }
         }
         match c.session.stream.flush() {
             Ok(all) => {
-                if let Some(job) = c.job.as_mut().filter(|j| all && j.queued && !j.written && !c.session.over)
+                if let Some(job) =
+                    c.job.as_mut().filter(|j| all && j.queued && !j.written && !c.session.closing)
                 {
                     job.written = true;
-                    found.push(Finding::Written(job.task));
+                    findings.push(Finding::Written(job.task));
                 }
             }
-            Err(_) => c.session.over = true,
+            Err(_) => c.session.closing = true,
         }
     }
 
-    fn packet(&mut self, now: Ms, at: usize, packet: Packet, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn packet(&mut self, now: Ms, index: usize, packet: Packet, findings: &mut Vec<Finding>) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         match packet {
             Packet::V5_0Connack(p) if p.reason_code() == ConnectReasonCode::Success => {
-                let entry = SubEntry::new(answers(&c.name), SubOpts::new().set_qos(Qos::AtLeastOnce));
+                let entry = SubEntry::new(answer_topic(&c.name), SubOpts::new().set_qos(Qos::AtLeastOnce));
                 let id = c.session.mqtt.acquire_packet_id();
                 let ask = entry.and_then(|e| id.map(|id| (e, id)));
                 match ask.and_then(|(e, id)| Subscribe::builder().packet_id(id).entries(vec![e]).build()) {
                     Ok(p) => c.session.send(now, p),
-                    Err(_) => c.session.over = true,
+                    Err(_) => c.session.closing = true,
                 }
             }
             Packet::V5_0Suback(p) => {
@@ -349,17 +370,18 @@
                 };
                 match p.reason_codes().iter().all(granted) {
                     true => c.stage = Stage::Ready,
-                    false => c.session.over = true,
+                    false => c.session.closing = true,
                 }
             }
             Packet::V5_0Puback(p) => {
-                // The broker has it, or says that nobody will: only the latter tells something.
+                // Success only means that the broker has the message; an error means that no endpoint gets
+                // it.
                 let outcome = match p.reason_code() {
                     None | Some(PubackReasonCode::Success) => return,
                     Some(PubackReasonCode::QuotaExceeded) => Outcome::Refused,
                     Some(_) => Outcome::NoConnection,
                 };
-                self.finish(now, at, |task, took| ended(task, outcome, took), found);
+                self.finish(now, index, |task, took| ended(task, outcome, took), findings);
             }
             Packet::V5_0Publish(p) => {
                 let extras = Extras::of(&p);
@@ -374,29 +396,35 @@
                     over_slots: extras.get("over-slots") == "1",
                     ..Head::default()
                 };
-                self.finish(now, at, |task, took| answered(task, &h, took), found);
+                self.finish(now, index, |task, took| answered(task, &h, took), findings);
             }
-            Packet::V5_0Disconnect(_) | Packet::V5_0Connack(_) => c.session.over = true,
+            Packet::V5_0Disconnect(_) | Packet::V5_0Connack(_) => c.session.closing = true,
             _ => {}
         }
     }
 
-    /// The job is done and the session free for another.
-    fn finish(&mut self, now: Ms, at: usize, made: impl Fn(Task, Ms) -> Finding, found: &mut Vec<Finding>) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    /// Reports the end of the job; the session is free for another one.
+    fn finish(
+        &mut self,
+        now: Ms,
+        index: usize,
+        made: impl Fn(Task, Ms) -> Finding,
+        findings: &mut Vec<Finding>,
+    ) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         if let Some(job) = c.job.take() {
             self.busy.remove(&job.task);
-            found.push(made(job.task, now - job.started));
+            findings.push(made(job.task, now - job.started));
         }
         c.idle_since = now;
     }
 
-    /// Ends a task that the rules do not let be written any more.
-    fn refuse(&mut self, now: Ms, at: usize, reason: Reason, found: &mut Vec<Finding>) {
-        if let Some(job) = self.conns.get(at).and_then(|c| c.job.as_ref()) {
-            found.push(refused(job.task, reason, now - job.started));
+    /// Ends a task whose PUBLISH the guard no longer allows to be written.
+    fn refuse(&mut self, now: Ms, index: usize, reason: Reason, findings: &mut Vec<Finding>) {
+        if let Some(job) = self.conns.get(index).and_then(|c| c.job.as_ref()) {
+            findings.push(refused(job.task, reason, now - job.started));
         }
-        self.close(at);
+        self.close(index);
     }
 
     fn due(&self, c: &Conn) -> Option<Ms> {
@@ -409,42 +437,43 @@
         }
     }
 
-    /// When [`Brokers::tick`] has something to do.
+    /// Time at which [`Brokers::tick`] is due.
     pub fn next_due(&self) -> Option<Ms> {
-        let endings = self.endings.iter().map(|e| e.closing.until);
-        self.conns.iter().filter_map(|(_, c)| self.due(c)).chain(endings).min_by(f64::total_cmp)
+        let unconfirmed_ends = self.unconfirmed_ends.iter().map(|e| e.closing.until);
+        self.conns.iter().filter_map(|(_, c)| self.due(c)).chain(unconfirmed_ends).min_by(f64::total_cmp)
     }
 
-    /// Tells the ends that endpoints count as over by now.
-    fn tell_endings(&mut self, now: Ms, found: &mut Vec<Finding>) {
-        self.endings.retain(|e| {
-            let is_over = e.closing.until <= now;
-            if is_over {
+    /// Reports the ends of attempts that endpoints count as ended by now.
+    fn report_unconfirmed_ends(&mut self, now: Ms, findings: &mut Vec<Finding>) {
+        self.unconfirmed_ends.retain(|e| {
+            let is_due = e.closing.until <= now;
+            if is_due {
                 let (task, took) = (e.task, now - e.started);
-                found.push(Finding::Ended { task, took, end: e.closing.confirmed() });
+                findings.push(Finding::Ended { task, took, end: e.closing.confirmed() });
             }
-            !is_over
+            !is_due
         });
     }
 
-    /// Gives up sessions that do not come up and probes without an answer; closes what was idle too long.
-    pub fn tick(&mut self, now: Ms, found: &mut Vec<Finding>) {
-        self.tell_endings(now, found);
+    /// Ends sessions that were not established in time and probes without an answer; closes sessions that
+    /// were idle too long.
+    pub fn tick(&mut self, now: Ms, findings: &mut Vec<Finding>) {
+        self.report_unconfirmed_ends(now, findings);
         let due = |c: &Conn| self.due(c).is_some_and(|t| t <= now);
-        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(at, _)| at).collect();
-        for at in due {
-            let unwritten = self.conns[at].job.as_ref().filter(|j| !j.written);
+        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(index, _)| index).collect();
+        for index in due {
+            let unwritten = self.conns[index].job.as_ref().filter(|j| !j.written);
             if unwritten.is_some_and(|j| j.write_by <= now) {
-                self.refuse(now, at, Reason::WindowOver, found);
+                self.refuse(now, index, Reason::WindowOver, findings);
                 continue;
             }
-            let up = self.conns[at].stage == Stage::Ready;
-            self.end(now, at, if up { Outcome::Late } else { Outcome::NoConnection }, found);
+            let up = self.conns[index].stage == Stage::Ready;
+            self.end(now, index, if up { Outcome::Late } else { Outcome::NoConnection }, findings);
         }
     }
 }
 
-/// Where workers answer a session.
-fn answers(name: &str) -> String {
+/// Topic on which endpoints answer a session.
+fn answer_topic(name: &str) -> String {
     format!("lilacbank/answers/{name}")
 }
--- a/src/net/mqtt/mod.rs
+++ b/src/net/mqtt/mod.rs
@@ -1,5 +1,6 @@
-//! The MQTT 5 front: [`acceptor`] serves clients, [`broker`] reaches workers. The packets are the library's; here is
-//! what both sides share: a session on a connection, and the properties of a PUBLISH.
+//! MQTT 5: [`acceptor`] is the front end for clients, [`broker`] reaches endpoints. A library provides the
+//! packets; this module holds what both sides share: a session on a connection, and the properties of a
+//! PUBLISH.
 
 pub mod acceptor;
 pub mod broker;
@@ -16,89 +17,92 @@
 use mqtt_protocol_core::mqtt::result_code::MqttError;
 use mqtt_protocol_core::mqtt::{role, Connection, Version};
 
-/// Bytes of a packet at most: a body and its properties.
+/// Maximum size of a packet in bytes: a body and its properties.
 const PACKET_MOST: u32 = 80 * 1024;
+/// Maximum number of bytes read in one go.
 const READ_BUF_MAX: usize = 96 * 1024;
-/// Bytes that may wait for a client that reads slowly.
+/// Maximum number of unsent bytes for a peer that reads slowly; beyond it the session is closed.
 const WRITE_BUF_MAX: usize = 256 * 1024;
 
-/// A connection that speaks MQTT in one of its roles.
+/// An MQTT session on a connection, as a server or a client.
 struct Session<R: role::RoleType> {
     stream: Stream,
     mqtt: Connection<R>,
-    alarms: Vec<(TimerKind, Ms)>,
-    /// It carries nothing any more once its outbox is written.
-    over: bool,
+    /// Timers of the library and when they fire.
+    timers: Vec<(TimerKind, Ms)>,
+    /// The session is closed once the write buffer is written.
+    closing: bool,
 }
 
 impl<R: role::RoleType> Session<R> {
     fn new(stream: Stream) -> Session<R> {
         let options = ConnectionOptions::new().maximum_packet_size_recv(PACKET_MOST);
         let mqtt = Connection::with_options(Version::V5_0, options);
-        Session { stream, mqtt, alarms: Vec::new(), over: false }
+        Session { stream, mqtt, timers: Vec::new(), closing: false }
     }
 
-    /// Sends a packet, or fails the session where the library refuses it.
+    /// Sends a packet; the session fails if the library refuses it.
     fn send<P: Sendable<R, u16>>(&mut self, now: Ms, packet: P) {
         let events = self.mqtt.checked_send(packet);
-        self.obey(now, events);
+        self.handle_events(now, events);
     }
 
-    fn obey(&mut self, now: Ms, events: Vec<Event>) -> Vec<Packet> {
+    /// Executes the events of the library; returns the packets received.
+    fn handle_events(&mut self, now: Ms, events: Vec<Event>) -> Vec<Packet> {
         let mut packets = Vec::new();
         for event in events {
             match event {
                 Event::RequestSendPacket { packet, .. } => self.stream.queue(&packet.to_continuous_buffer()),
                 Event::NotifyPacketReceived(packet) => packets.push(packet),
                 Event::RequestTimerReset { kind, duration_ms } => {
-                    self.alarms.retain(|a| a.0 != kind);
-                    self.alarms.push((kind, now + duration_ms as Ms));
+                    self.timers.retain(|a| a.0 != kind);
+                    self.timers.push((kind, now + duration_ms as Ms));
                 }
                 Event::RequestTimerCancel(kind) => {
-                    self.alarms.retain(|a| a.0 != kind);
+                    self.timers.retain(|a| a.0 != kind);
                 }
                 Event::NotifyError(e) => {
-                    log::debug!("an MQTT session failed: {e:?}");
-                    self.over = true;
+                    log::debug!("MQTT protocol error: {e:?}");
+                    self.closing = true;
                 }
-                Event::RequestClose => self.over = true,
+                Event::RequestClose => self.closing = true,
                 Event::NotifyPacketIdReleased(_) => {}
             }
         }
-        self.over |= self.stream.unwritten() > WRITE_BUF_MAX;
+        self.closing |= self.stream.unwritten() > WRITE_BUF_MAX;
         packets
     }
 
-    /// Reads what has come, up to so much that others have their turn too; the session is over if the connection is.
-    /// The second value: there may be more.
+    /// Reads received packets, up to a bound so that other connections get their turn; the session ends with
+    /// its connection. The second value tells whether there may be more.
     fn read(&mut self, now: Ms) -> (Vec<Packet>, bool) {
         let mut packets = Vec::new();
         let fill = self.stream.fill(READ_BUF_MAX);
         let bytes = std::mem::take(&mut self.stream.read_buf);
         let mut cursor = Cursor::new(&bytes[..]);
-        while (cursor.position() as usize) < bytes.len() && !self.over {
+        while (cursor.position() as usize) < bytes.len() && !self.closing {
             let events = self.mqtt.recv(&mut cursor);
-            packets.extend(self.obey(now, events));
+            packets.extend(self.handle_events(now, events));
         }
-        self.over |= fill == Fill::Ended;
-        (packets, fill == Fill::Full && !self.over)
+        self.closing |= fill == Fill::Ended;
+        (packets, fill == Fill::Full && !self.closing)
     }
 
     fn next_due(&self) -> Option<Ms> {
-        self.alarms.iter().map(|a| a.1).min_by(f64::total_cmp)
+        self.timers.iter().map(|a| a.1).min_by(f64::total_cmp)
     }
 
     fn tick(&mut self, now: Ms) {
-        let due: Vec<TimerKind> = self.alarms.iter().filter(|a| a.1 <= now).map(|a| a.0).collect();
+        let due: Vec<TimerKind> = self.timers.iter().filter(|a| a.1 <= now).map(|a| a.0).collect();
         for kind in due {
-            self.alarms.retain(|a| a.0 != kind);
+            self.timers.retain(|a| a.0 != kind);
             let events = self.mqtt.notify_timer_fired(kind);
-            self.obey(now, events);
+            self.handle_events(now, events);
         }
     }
 }
 
-/// What a PUBLISH carries beside its topic and payload.
+/// The properties of a PUBLISH.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Extras {
     response: String,
@@ -127,7 +131,7 @@
     }
 }
 
-/// A PUBLISH that asks for an acknowledgement.
+/// Builds a PUBLISH with QoS 1, which requires an acknowledgement.
 fn publish(id: u16, topic: &str, extras: &Extras, body: &[u8], dup: bool) -> Result<Publish, MqttError> {
     let mut props = Vec::new();
     if !extras.response.is_empty() {
@@ -146,7 +150,7 @@
     builder.packet_id(id).props(props).payload(body).build()
 }
 
-/// Does a topic filter match a topic?
+/// Whether a topic filter matches a topic.
 fn matches(filter: &str, topic: &str) -> bool {
     let mut topic = topic.split('/');
     for part in filter.split('/') {
@@ -165,7 +169,7 @@
     use super::matches;
 
     #[test]
-    fn filters_match_as_the_specification_says() {
+    fn topic_filters_match_as_specified() {
         for (filter, topic, fits) in [
             ("a/b", "a/b", true),
             ("a/+", "a/b", true),
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -83,23 +83,23 @@
     }
 
     /// Handles an event on an outbound connection.
-    pub fn outbound_ready(&mut self, now: Ms, at: usize, core: &mut Core) {
-        if let Change::Up(name) = self.outbound.ready(now, at) {
+    pub fn outbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
+        if let Change::Up(name) = self.outbound.ready(now, index) {
             core.peer_up(name);
         }
     }
 
     /// Handles an event on an inbound connection.
-    pub fn inbound_ready(&mut self, now: Ms, at: usize, core: &mut Core) {
+    pub fn inbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
         loop {
-            let Some(i) = self.inbound.get_mut(at) else { return };
+            let Some(i) = self.inbound.get_mut(index) else { return };
             let mut usable = i.stream.flush().is_ok();
             let fill = i.stream.fill(READ_MAX);
             i.frames.push(&i.stream.read_buf);
             i.stream.read_buf.clear();
             loop {
                 match i.frames.take() {
-                    Ok(Some(e)) => core.hear(now, at, e),
+                    Ok(Some(e)) => core.hear(now, index, e),
                     Ok(None) => break,
                     Err(e) => {
                         log::warn!(cause:% = e; "a peer connection is closed because of an invalid frame: {e}");
@@ -109,7 +109,7 @@
                 }
             }
             if !usable || fill == Fill::Ended {
-                drop(self.inbound.try_remove(at));
+                drop(self.inbound.try_remove(index));
                 return;
             }
             if fill == Fill::Blocked {
--- a/src/net/registry.rs
+++ b/src/net/registry.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 
 /// Milliseconds of silence after which the watch is opened again. The registry sends a line every two
-/// seconds, and a change counts as known to this process 6 s after the silence began; the value allows for
-/// two missing lines and the time of a new request.
+/// seconds, and a change that was missed counts as known to this process 6 s after the silence began; the
+/// value allows for two missing lines and leaves time for a new request.
 const SILENCE_TIMEOUT: Ms = 4_400.0;
 /// Maximum size of a line, and of an object, in bytes.
 const LINE_MAX: usize = 4 << 20;
@@ -234,9 +234,9 @@
             return Ok(());
         }
         loop {
-            let n = self.chunk.min(read_buf.len());
-            self.line.extend(read_buf.drain(..n));
-            self.chunk -= n;
+            let taken = self.chunk.min(read_buf.len());
+            self.line.extend(read_buf.drain(..taken));
+            self.chunk -= taken;
             if self.chunk > 0 || read_buf.is_empty() {
                 return Ok(());
             }
@@ -273,7 +273,7 @@
 
     fn read_lines(&mut self, now: Ms, names: &Names, lists: &mut Vec<WorkerList>) -> Result<(), String> {
         let received = std::mem::take(&mut self.line);
-        let end = received.iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
+        let end = received.iter().rposition(|b| *b == b'\n').map_or(0, |i| i + 1);
         self.line = received[end..].to_vec();
         for line in received[..end].split_inclusive(|b| *b == b'\n') {
             if !self.object.add(line) {
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -136,8 +136,8 @@
 
 /// Parses a line that starts with the mark and ends with CR LF; returns its number and the position after the
 /// line.
-fn number(bytes: &[u8], at: usize, mark: u8) -> Result<Option<(usize, usize)>, &'static str> {
-    let rest = &bytes[at.min(bytes.len())..];
+fn number(bytes: &[u8], pos: usize, mark: u8) -> Result<Option<(usize, usize)>, &'static str> {
+    let rest = &bytes[pos.min(bytes.len())..];
     if rest.first().is_some_and(|b| *b != mark) {
         return Err("Protocol error: an array of bulk strings was expected");
     }
@@ -146,20 +146,20 @@
     };
     let digits = std::str::from_utf8(&rest[1..end]).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     match digits.and_then(|d| d.parse().ok()) {
-        Some(n) => Ok(Some((n, at + end + 2))),
+        Some(n) => Ok(Some((n, pos + end + 2))),
         None => Err("Protocol error: invalid length"),
     }
 }
 
 fn parse(bytes: &[u8]) -> Parse {
     let inner = || -> Result<Option<Command>, &'static str> {
-        let Some((count, mut at)) = number(bytes, 0, b'*')? else { return Ok(None) };
+        let Some((count, mut pos)) = number(bytes, 0, b'*')? else { return Ok(None) };
         if count == 0 || count > PARTS_MAX {
             return Err("Protocol error: wrong number of parts");
         }
         let mut parts = Vec::with_capacity(count);
         for _ in 0..count {
-            let Some((len, start)) = number(bytes, at, b'$')? else { return Ok(None) };
+            let Some((len, start)) = number(bytes, pos, b'$')? else { return Ok(None) };
             if len > PART_MAX {
                 return Err("Protocol error: a part is too large");
             }
@@ -169,9 +169,9 @@
                 Some(_) => return Err("Protocol error: a part is longer than announced"),
                 None => return Ok(None),
             }
-            at = start + len + 2;
+            pos = start + len + 2;
         }
-        Ok(Some((parts, at)))
+        Ok(Some((parts, pos)))
     };
     match inner() {
         Ok(Some((parts, used))) => Parse::Whole(parts, used),
@@ -228,8 +228,8 @@
     /// full retries its connect only after a second, without notice.
     pub fn make_room(&mut self, now: Ms, core: &mut Core) -> bool {
         while self.conns.len() > self.max {
-            let Some(at) = self.pick_to_close(now, core) else { return false };
-            if !self.close(now, at, Close::NoRoom, core) {
+            let Some(index) = self.pick_to_close(now, core) else { return false };
+            if !self.close(now, index, Close::NoRoom, core) {
                 return false;
             }
         }
@@ -246,34 +246,34 @@
         };
         let old_unserved = |c: &Conn| unserved(c) && now - c.since >= UNSERVED_MIN_AGE;
         let long_idle = |c: &Conn| c.served && c.is_idle() && now - c.used >= IDLE_MIN_AGE;
-        while let Some(at) =
+        while let Some(index) =
             pick(self, &old_unserved, &|c| c.since).or_else(|| pick(self, &long_idle, &|c| c.used))
         {
-            if self.recheck(now, at, core, &|c| old_unserved(c) || long_idle(c)) {
-                return Some(at);
+            if self.recheck(now, index, core, &|c| old_unserved(c) || long_idle(c)) {
+                return Some(index);
             }
         }
         let mut unserved_conns: Vec<(Ms, usize)> =
-            self.conns.iter().filter(|(_, c)| unserved(c)).map(|(at, c)| (c.since, at)).collect();
+            self.conns.iter().filter(|(_, c)| unserved(c)).map(|(index, c)| (c.since, index)).collect();
         // A few new connections among many clients belong to clients whose first command is on its way; only
         // a large number of them is a flood. A served client that loses an idle connection opens a new one
         // for its next request.
         let idle = |c: &Conn| c.served && c.is_idle();
         while unserved_conns.len() * 2 < self.max {
-            let Some(at) = pick(self, &idle, &|c| c.used) else { break };
-            if self.recheck(now, at, core, &idle) {
-                return Some(at);
+            let Some(index) = pick(self, &idle, &|c| c.used) else { break };
+            if self.recheck(now, index, core, &idle) {
+                return Some(index);
             }
         }
         unserved_conns.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, at) in unserved_conns {
-            if self.recheck(now, at, core, &unserved) {
-                return Some(at);
+        for (_, index) in unserved_conns {
+            if self.recheck(now, index, core, &unserved) {
+                return Some(index);
             }
         }
-        while let Some(at) = pick(self, &Conn::is_idle, &|c| c.used) {
-            if self.recheck(now, at, core, &Conn::is_idle) {
-                return Some(at);
+        while let Some(index) = pick(self, &Conn::is_idle, &|c| c.used) {
+            if self.recheck(now, index, core, &Conn::is_idle) {
+                return Some(index);
             }
         }
         None
@@ -281,9 +281,9 @@
 
     /// Reads a connection that is about to be closed; returns whether it was closed by that or still fits the
     /// condition for closing. Prevents closing a connection whose request has just arrived.
-    fn recheck(&mut self, now: Ms, at: usize, core: &mut Core, fits: &dyn Fn(&Conn) -> bool) -> bool {
-        self.ready(now, at, core);
-        self.conns.get(at).is_none_or(fits)
+    fn recheck(&mut self, now: Ms, index: usize, core: &mut Core, fits: &dyn Fn(&Conn) -> bool) -> bool {
+        self.ready(now, index, core);
+        self.conns.get(index).is_none_or(fits)
     }
 
     /// Registers the connection of a new client.
@@ -309,16 +309,16 @@
     }
 
     /// Closes a connection if the guard allows it for this cause; true once it is gone.
-    fn close(&mut self, now: Ms, at: usize, why: Close, core: &mut Core) -> bool {
-        let Some(c) = self.conns.get(at) else { return true };
+    fn close(&mut self, now: Ms, index: usize, why: Close, core: &mut Core) -> bool {
+        let Some(c) = self.conns.get(index) else { return true };
         if let Err(reason) = core.guard.note(guard::may_close(&c.guard_state(now), why)) {
-            log::warn!(conn = at, cause = why.name(); "a client's connection is not closed: {}", reason.name());
+            log::warn!(conn = index, cause = why.name(); "a client's connection is not closed: {}", reason.name());
             return false;
         }
         core.guard.closed(why);
-        log::debug!(conn = at, cause = why.name(), served = c.served, unread = c.stream.read_buf.len();
+        log::debug!(conn = index, cause = why.name(), served = c.served, unread = c.stream.read_buf.len();
             "a client's connection is closed");
-        if let Some(ticket) = self.conns.remove(at).awaiting {
+        if let Some(ticket) = self.conns.remove(index).awaiting {
             self.awaiting.remove(&ticket);
         }
         true
@@ -327,9 +327,9 @@
     /// Counts connections that still wait for an answer when the process ends; there are none unless this
     /// program has a bug.
     pub fn count_unanswered(&self, core: &mut Core) {
-        for (at, _) in self.conns.iter().filter(|(_, c)| c.awaiting.is_some()) {
+        for (index, _) in self.conns.iter().filter(|(_, c)| c.awaiting.is_some()) {
             core.guard.violated(guard::Reason::AnswerOwed);
-            log::error!(conn = at; "the process ends while a client still waits for an answer");
+            log::error!(conn = index; "the process ends while a client still waits for an answer");
         }
     }
 
@@ -346,16 +346,17 @@
     /// Continues with clients that had more commands than one turn takes, and closes connections that have
     /// timed out.
     pub fn tick(&mut self, now: Ms, core: &mut Core) {
-        for at in std::mem::take(&mut self.unfinished) {
-            self.ready(now, at, core);
+        for index in std::mem::take(&mut self.unfinished) {
+            self.ready(now, index, core);
         }
-        let due: Vec<usize> = self.conns.iter().filter(|(_, c)| c.due() <= now).map(|(at, _)| at).collect();
-        for at in due {
-            let Some(c) = self.conns.get_mut(at) else { continue };
+        let due: Vec<usize> =
+            self.conns.iter().filter(|(_, c)| c.due() <= now).map(|(index, _)| index).collect();
+        for index in due {
+            let Some(c) = self.conns.get_mut(index) else { continue };
             let Some(since) = c.lingering_since else {
                 // A request may have arrived just now.
-                if self.recheck(now, at, core, &|c| c.due() <= now) {
-                    self.close(now, at, Close::TimedOut, core);
+                if self.recheck(now, index, core, &|c| c.due() <= now) {
+                    self.close(now, index, Close::TimedOut, core);
                 }
                 continue;
             };
@@ -363,17 +364,17 @@
             let over = now - since >= LINGER_TIMEOUT || c.stream.fill(PART_MAX) == Fill::Ended;
             c.stream.read_buf.clear();
             if over {
-                self.close(now, at, Close::Answered, core);
+                self.close(now, index, Close::Answered, core);
             }
         }
     }
 
     /// Handles an event on a connection.
-    pub fn ready(&mut self, now: Ms, at: usize, core: &mut Core) {
+    pub fn ready(&mut self, now: Ms, index: usize, core: &mut Core) {
         for _ in 0..COMMANDS_PER_TURN {
-            let Some(c) = self.conns.get_mut(at).filter(|c| c.lingering_since.is_none()) else { return };
+            let Some(c) = self.conns.get_mut(index).filter(|c| c.lingering_since.is_none()) else { return };
             if c.stream.flush().is_err() {
-                self.close(now, at, Close::ByClient, core);
+                self.close(now, index, Close::ByClient, core);
                 return;
             }
             if self.stopped {
@@ -387,7 +388,7 @@
             if c.closing {
                 c.stream.finish();
                 if !c.malformed_input {
-                    self.close(now, at, Close::Answered, core);
+                    self.close(now, index, Close::Answered, core);
                     return;
                 }
                 (c.lingering_since, c.used) = (Some(now), now);
@@ -402,7 +403,7 @@
                 Parse::Whole(parts, used) => {
                     c.stream.read_buf.drain(..used);
                     (c.used, c.stalled_since) = (now, None);
-                    self.command(now, at, parts, core);
+                    self.command(now, index, parts, core);
                 }
                 Parse::Bad(why) => {
                     core.counters.malformed += 1;
@@ -411,7 +412,7 @@
                     (c.closing, c.malformed_input) = (true, true);
                 }
                 Parse::More if fill == Fill::Ended => {
-                    self.close(now, at, Close::ByClient, core);
+                    self.close(now, index, Close::ByClient, core);
                     return;
                 }
                 Parse::More => {
@@ -421,11 +422,11 @@
                 }
             }
         }
-        self.unfinished.push(at);
+        self.unfinished.push(index);
     }
 
-    fn command(&mut self, now: Ms, at: usize, parts: Vec<Vec<u8>>, core: &mut Core) {
-        let Some(c) = self.conns.get_mut(at) else { return };
+    fn command(&mut self, now: Ms, index: usize, parts: Vec<Vec<u8>>, core: &mut Core) {
+        let Some(c) = self.conns.get_mut(index) else { return };
         match parts[0].to_ascii_uppercase().as_slice() {
             // Load balancers send PING to find out whether to route clients here.
             b"PING" if self.draining => {
@@ -452,7 +453,7 @@
                     let ticket = self.next_ticket * 2;
                     self.next_ticket += 1;
                     c.awaiting = Some(ticket);
-                    self.awaiting.insert(ticket, at);
+                    self.awaiting.insert(ticket, index);
                     core.submit(now, ticket, s);
                 }
                 Err(why) => {
@@ -473,15 +474,15 @@
 
     /// Sends a verdict to the client that waits for it.
     pub fn answer(&mut self, now: Ms, ticket: Ticket, verdict: &Verdict, core: &mut Core) {
-        let Some(at) = self.awaiting.remove(&ticket) else { return };
-        let Some(c) = self.conns.get_mut(at) else { return };
+        let Some(index) = self.awaiting.remove(&ticket) else { return };
+        let Some(c) = self.conns.get_mut(index) else { return };
         let text = match verdict {
             Verdict::Taken => "+OK\r\n".to_string(),
             Verdict::Busy(ms) if *ms >= 1.0 => format!("-BUSY {}\r\n", ms.ceil() as u64),
             Verdict::Busy(_) => "-BUSY\r\n".to_string(),
             Verdict::Failed(why) => format!("-ERR {why}\r\n"),
-            Verdict::Elsewhere { wait, name, resp: Some(at), .. } => {
-                format!("-BUSY {} MOVED {name} {at}\r\n", wait.ceil() as u64)
+            Verdict::Elsewhere { wait, name, resp: Some(address), .. } => {
+                format!("-BUSY {} MOVED {name} {address}\r\n", wait.ceil() as u64)
             }
             Verdict::Elsewhere { wait, name, .. } => format!("-BUSY {} MOVED {name}\r\n", wait.ceil() as u64),
         };
@@ -490,15 +491,15 @@
         c.served |= !matches!(verdict, Verdict::Failed(_));
         // While draining, a connection is closed once its answer is written.
         c.closing |= self.draining && c.stream.read_buf.is_empty();
-        self.ready(now, at, core);
+        self.ready(now, index, core);
     }
 
     /// Stops reading because the process is ending. Input that was not read is reset with the connection, so
     /// that its client submits it elsewhere; commands that were read ahead are refused.
     pub fn stop(&mut self, now: Ms, core: &mut Core) {
         self.stopped = true;
-        let all: Vec<usize> = self.conns.iter().map(|(at, _)| at).collect();
-        all.into_iter().for_each(|at| self.ready(now, at, core));
+        let all: Vec<usize> = self.conns.iter().map(|(index, _)| index).collect();
+        all.into_iter().for_each(|index| self.ready(now, index, core));
     }
 
     /// Accepts clients again after a drain.
@@ -515,11 +516,11 @@
     /// have their answer.
     pub fn drain(&mut self, now: Ms, core: &mut Core) {
         self.draining = true;
-        let all: Vec<usize> = self.conns.iter().map(|(at, _)| at).collect();
-        for at in all {
-            self.ready(now, at, core);
-            if self.conns.get(at).is_some_and(Conn::is_idle) {
-                self.close(now, at, Close::Draining, core);
+        let all: Vec<usize> = self.conns.iter().map(|(index, _)| index).collect();
+        for index in all {
+            self.ready(now, index, core);
+            if self.conns.get(index).is_some_and(Conn::is_idle) {
+                self.close(now, index, Close::Draining, core);
             }
         }
     }
