--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -353,7 +353,7 @@
             };
         }
         if c.task.is_none() && c.head.is_none() {
-            // Idle: any event makes the connection useless.
+            // Idle: unsolicited data or the end of the connection makes it useless.
             if fill != Fill::Blocked || !c.stream.read_buf.is_empty() {
                 self.close(index);
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -243,6 +243,7 @@
         self.shutdown_since.map(|t| if now < t + LINGER { t + LINGER } else { t + LEAVE_AFTER })
     }
 
+    /// When the loop has to wake up without an event.
     fn next_due(&self, now: Ms) -> Ms {
         let connections = [self.workers.next_due(), self.brokers.next_due()];
         let connections =
--- a/src/net/mqtt/acceptor.rs
+++ b/src/net/mqtt/acceptor.rs
@@ -37,7 +37,7 @@
     session: Session<Server>,
     client: Option<String>,
     connected_at: Ms,
-    /// Distinguishes the connection from an earlier one in the same slot, also of the same client.
+    /// Distinguishes the connection from an earlier one with the same index, also of the same client.
     serial: u64,
 }
 
@@ -358,8 +358,8 @@
                 Some(Ending::GivenUp)
             }
         };
-        // Prevents an acknowledgement on a later connection in the same slot, on which the PUBLISH was never
-        // sent.
+        // Prevents an acknowledgement on a later connection with the same index, on which the PUBLISH was
+        // never sent.
         if self.conns.get(a.conn).is_some_and(|c| c.serial == a.serial) {
             self.acknowledge(now, a.conn, a.packet, PubackReasonCode::Success);
         }
@@ -426,7 +426,7 @@
                 }
                 Err(e) => {
                     log::debug!("an answer cannot be published: {e:?}");
-                    // Prevents further attempts to send it.
+                    // Clearing the reply prevents further attempts: an answer without one is skipped.
                     pending.told.reply.clear();
                 }
             }
--- a/src/net/mqtt/mod.rs
+++ b/src/net/mqtt/mod.rs
@@ -21,7 +21,7 @@
 const PACKET_MOST: u32 = 80 * 1024;
 /// Maximum number of bytes read in one go.
 const READ_BUF_MAX: usize = 96 * 1024;
-/// Maximum number of unsent bytes for a peer that reads slowly; beyond it the session is closed.
+/// Maximum number of unsent bytes for a remote side that reads slowly; beyond it the session is closed.
 const WRITE_BUF_MAX: usize = 256 * 1024;
 
 /// An MQTT session on a connection, as a server or a client.
--- a/src/net/notice.rs
+++ b/src/net/notice.rs
@@ -40,7 +40,7 @@
     retry_delay: Ms,
     /// How long, in milliseconds, the request in flight may go unanswered.
     timeout: Ms,
-    /// Send one notice per request, after a request that the platform did not accept.
+    /// Whether each request carries only one notice, set after a request that the platform did not accept.
     one_by_one: bool,
 }
 
