--- a/src/dispatch/admit.rs
+++ b/src/dispatch/admit.rs
@@ -1,33 +1,35 @@
-//! Admit: a call is written down and numbered before anything is done for it; after a restart it is read back.
+//! Admission: a message is numbered and written to the journal before anything is done for it, and is read
+//! back after a restart.
 
-use super::beside::Keyed;
-use super::seats_read::SeatsRead;
-use super::{Call, Core, Frozen, Known, Once, Ticket, Verdict};
+use super::beside::KeyedAdmission;
+use super::seats_read::OwnershipRecords;
+use super::{AtMostOnce, Core, HeldMessage, KnownIdentity, Ticket, Verdict, Withheld};
 use crate::api::*;
 use crate::config::place;
 use crate::journal::{CallNo, Ending, Identity, Record, Sent, Taken};
 use std::collections::BTreeMap;
 
-/// What a call needs in the journal beside its first record.
-pub(super) const MARGIN: u64 = 192;
-/// Advice to a client when there is no room and nothing better is known.
-pub(super) const NO_ROOM_ADVICE: Ms = 500.0;
-/// How long an identity is remembered after its call's time is up.
-const MEMORY: Ms = 15_000.0;
-/// After a compaction that failed, or gained nothing, the next one is tried so much later.
-const COMPACT_AGAIN: Ms = 200.0;
-/// Share of what the module may hold that is filled with calls of an earlier process; the rest wait in the backlog.
+/// Bytes that a message takes in the journal beyond its first record.
+pub(super) const MESSAGE_OVERHEAD_BYTES: u64 = 192;
+/// The retry-after when there is no room and nothing better is known.
+pub(super) const NO_ROOM_RETRY_AFTER: Ms = 500.0;
+/// How long an identity is remembered after its message's deadline.
+const IDENTITY_MEMORY_AFTER_DEADLINE: Ms = 15_000.0;
+/// The delay after a compaction that failed or gained nothing.
+const COMPACT_RETRY_DELAY: Ms = 200.0;
+/// Share of the decision module's capacity that restored messages may fill; the rest wait in the backlog.
 const BACKLOG_SHARE: f64 = 0.85;
-/// What a remembered identity needs beside its own text.
-const KNOWN_MARGIN: u64 = 64;
+/// Bytes that a remembered identity takes in the journal beyond its own text.
+const IDENTITY_OVERHEAD: u64 = 64;
 
 /// Bytes that an identity takes in a compacted journal.
-fn known_size(identity: &Identity) -> u64 {
-    (identity.0.len() + identity.1.len()) as u64 + KNOWN_MARGIN
+fn identity_size(identity: &Identity) -> u64 {
+    (identity.0.len() + identity.1.len()) as u64 + IDENTITY_OVERHEAD
 }
 
 impl Core {
-    /// Writes the call down and gives it to its cell's module; where there is no room for it, the wait to tell.
+    /// Writes the message to the journal and gives it to its cell's decision module. If there is no room for
+    /// it, returns the retry-after.
     pub(super) fn admit(
         &mut self,
         now: Ms,
@@ -36,92 +38,92 @@
         again: bool,
         ticket: Ticket,
     ) -> Result<(), Ms> {
-        // A file that has just grown has room again by this.
+        // A journal that has grown full may have room again after this.
         self.compact_if_full();
         let record = Record::Taken(taken);
-        let size = record.size() + MARGIN;
-        let Record::Taken(t) = &record else { return Err(NO_ROOM_ADVICE) };
-        let name = self.once.name(&t.class, &t.idempotency, &t.identity.1);
+        let size = record.size() + MESSAGE_OVERHEAD_BYTES;
+        let Record::Taken(t) = &record else { return Err(NO_ROOM_RETRY_AFTER) };
+        let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
         let needed = self.live_bytes
             + size
-            + self.once.bytes()
-            + self.seats.bytes()
-            + name.as_ref().map_or(0, |n| Once::size(n));
-        if self.calls.len() >= self.settings.max_held && self.cells.undivided()
+            + self.at_most_once.bytes()
+            + self.ownership.bytes()
+            + name.as_ref().map_or(0, |n| AtMostOnce::entry_size(n));
+        if self.messages.len() >= self.settings.max_held && self.cells.is_single()
             || !self.journal.has_room(needed)
         {
-            return Err(NO_ROOM_ADVICE);
+            return Err(NO_ROOM_RETRY_AFTER);
         }
         let ordered = t.key.is_some() && self.settings.classes.get(class).is_some_and(|c| c.in_order);
-        let keyed = if ordered { self.beside.keyed(now) } else { Keyed::Take };
-        if let Keyed::HandBack(wait) = keyed {
+        let admission = if ordered { self.sibling.admission(now) } else { KeyedAdmission::Accept };
+        if let KeyedAdmission::Return(wait) = admission {
             return Err(wait);
         }
-        if let Some(wait) = self.cells.lane_wait(now, t) {
-            self.counters.door += 1;
+        if let Some(wait) = self.cells.queue_wait(now, t) {
+            self.counters.queue_too_slow += 1;
             return Err(wait);
         }
-        let cell = self.cells.of(&t.tenant);
-        self.make_place(now, cell, size)?;
+        let cell = self.cells.cell_of(&t.tenant);
+        self.reserve_place(now, cell, size)?;
         if let Err(e) = self.journal.append(&record) {
-            if let Some(count) = self.unwritten.raise(now) {
+            if let Some(count) = self.append_errors.raise(now) {
                 log::error!(cause:% = e, count = count; "the journal takes nothing more: {e}");
             }
-            self.leave_place(cell, size);
-            return Err(NO_ROOM_ADVICE);
+            self.cancel_place(cell, size);
+            return Err(NO_ROOM_RETRY_AFTER);
         }
-        let Record::Taken(taken) = record else { return Err(NO_ROOM_ADVICE) };
+        let Record::Taken(taken) = record else { return Err(NO_ROOM_RETRY_AFTER) };
         let no = taken.no;
-        self.next_no = no + 1;
+        self.next_message_no = no + 1;
         self.live_bytes += size;
-        name.into_iter().for_each(|n| self.once.held(n, no));
+        name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
         self.ceilings.queue(taken.dest);
         self.counters.taken += 1;
-        let free = self.copy_taken(now, &taken);
-        // One of its key may run still where its tenant came from.
-        let frozen = match keyed {
-            Keyed::Hold => Some(Frozen::Beside),
-            _ if self.is_parked(taken.key) => Some(Frozen::Parked),
-            // One of its key may wait there.
-            _ if ordered && !self.backlog.is_empty() => Some(Frozen::Queued),
-            _ if self.is_unconfirmed(&taken.class, taken.dest) => Some(Frozen::Unconfirmed),
-            _ => (!free).then_some(Frozen::Still),
+        let free = self.replicate_accepted(now, &taken);
+        // A message of the same key may still run where the tenant came from.
+        let withheld = match admission {
+            KeyedAdmission::Withhold => Some(Withheld::SiblingProcess),
+            _ if self.is_parked(taken.key) => Some(Withheld::KeyParked),
+            // An earlier message of the same key may wait in the backlog.
+            _ if ordered && !self.backlog.is_empty() => Some(Withheld::Backlogged),
+            _ if self.must_wait_for_endpoint(&taken.class, taken.dest) => Some(Withheld::EndpointUnconfirmed),
+            _ => (!free).then_some(Withheld::Suspended),
         };
-        self.cells.enter_lane(now, &taken);
-        if frozen.is_none() {
-            let arrived = Event::Arrived(self.message(class, &taken, again));
+        self.cells.enter_queue(now, &taken);
+        if withheld.is_none() {
+            let arrived = Event::Arrived(self.module_message(class, &taken, again));
             self.cells.post(cell, arrived);
         }
-        let until = taken.valid_until + MEMORY;
-        let tenant = self.movable(&taken.tenant);
-        let known = Known { no, verdict: Verdict::Taken, ending: None, until, tenant };
-        self.remember(taken.identity.clone(), known);
-        let call = Call {
+        let until = taken.valid_until + IDENTITY_MEMORY_AFTER_DEADLINE;
+        let tenant = self.tenant_if_movable(&taken.tenant);
+        let known = KnownIdentity { no, verdict: Verdict::Taken, ending: None, until, tenant };
+        self.remember_identity(taken.identity.clone(), known);
+        let message = HeldMessage {
             taken,
             attempts: 0,
-            last: None,
+            last_outcome: None,
             ran: None,
             out: None,
             ending: None,
             cell,
             size,
-            frozen,
-            unheard: None,
+            withheld,
+            unreported_end: None,
         };
-        if call.frozen == Some(Frozen::Queued) {
-            self.backlog.push(no, call.taken.valid_until);
+        if message.withheld == Some(Withheld::Backlogged) {
+            self.backlog.push(no, message.taken.valid_until);
         }
-        log::debug!(id = call.taken.identity.1.as_str(), class = call.taken.class.as_str(), member = call.taken.dest,
-            left_ms = call.taken.valid_until - now; "a call is taken on");
-        self.order.enter(&call.taken);
-        self.calls.insert(no, call);
-        if !self.copy_asks(now, no, ticket) {
-            self.asking.push((no, ticket));
+        log::debug!(id = message.taken.identity.1.as_str(), class = message.taken.class.as_str(), member = message.taken.dest,
+            left_ms = message.taken.valid_until - now; "a call is taken on");
+        self.key_order.insert(&message.taken);
+        self.messages.insert(no, message);
+        if !self.wait_for_copy_ack(now, no, ticket) {
+            self.awaiting_verdict.push((no, ticket));
         }
         Ok(())
     }
 
-    fn message(&self, class: usize, t: &Taken, again: bool) -> Message {
+    fn module_message(&self, class: usize, t: &Taken, again: bool) -> Message {
         Message {
             id: t.no,
             class,
@@ -134,185 +136,194 @@
         }
     }
 
-    /// Remembers an identity until its time; it outlives its call, so that a repeat makes no second one.
-    pub(super) fn remember(&mut self, identity: Identity, known: Known) {
-        self.fading.insert((known.until as u64, identity.clone()));
-        let size = known_size(&identity);
-        if self.known.insert(identity, known).is_none() {
-            self.known_bytes += size;
+    /// Remembers an identity until its time has passed. It outlives its message, so that a repeated
+    /// submission creates no second message.
+    pub(super) fn remember_identity(&mut self, identity: Identity, known: KnownIdentity) {
+        self.identity_expiry.insert((known.until as u64, identity.clone()));
+        let size = identity_size(&identity);
+        if self.identities.insert(identity, known).is_none() {
+            self.identity_bytes += size;
         }
     }
 
-    /// Forgets who handed in a message that is somebody else's now.
+    /// Forgets the identity of a message that another dispatcher owns now.
     pub(super) fn forget_identity(&mut self, identity: &Identity) {
-        if let Some(k) = self.known.remove(identity) {
-            self.known_bytes -= known_size(identity);
-            self.fading.remove(&(k.until as u64, identity.clone()));
+        if let Some(k) = self.identities.remove(identity) {
+            self.identity_bytes -= identity_size(identity);
+            self.identity_expiry.remove(&(k.until as u64, identity.clone()));
         }
     }
 
-    /// Forgets identities whose time is up. Guards also against a journal that holds little else: then the oldest
-    /// go early.
-    pub(super) fn fade(&mut self, now: Ms) {
-        while let Some((until, identity)) = self.fading.first().cloned() {
-            let held = self.known.get(&identity).is_some_and(|k| self.calls.contains_key(&k.no));
-            let crowded = !self.journal.has_memory(self.known_bytes);
-            if (until as Ms) > now && !crowded {
+    /// Forgets identities whose time has passed. If identities take up too much of the journal, the oldest
+    /// are forgotten early.
+    pub(super) fn expire_identities(&mut self, now: Ms) {
+        while let Some((until, identity)) = self.identity_expiry.first().cloned() {
+            let held = self.identities.get(&identity).is_some_and(|k| self.messages.contains_key(&k.no));
+            let over_share = !self.journal.has_memory(self.identity_bytes);
+            if (until as Ms) > now && !over_share {
                 return;
             }
-            self.fading.pop_first();
+            self.identity_expiry.pop_first();
             if held {
-                // Its final answer is not confirmed: it is asked about again later.
-                self.fading.insert(((now + MEMORY) as u64, identity));
+                // The final answer is not confirmed yet: checked again later.
+                self.identity_expiry.insert(((now + IDENTITY_MEMORY_AFTER_DEADLINE) as u64, identity));
                 return;
             }
-            if self.known.remove(&identity).is_some() {
-                self.known_bytes -= known_size(&identity);
+            if self.identities.remove(&identity).is_some() {
+                self.identity_bytes -= identity_size(&identity);
             }
         }
     }
 
-    /// Takes up what an earlier process left. A delegation without an outcome may have run; the module learns so.
+    /// Restores what an earlier process left. An attempt without a recorded outcome may have run; the
+    /// decision module is told so.
     pub fn restore(&mut self, now: Ms, records: Vec<Record>) {
         self.now = now;
         if !records.is_empty() {
             self.cells.post_all(&Event::Restarted);
         }
-        let (mut spent, mut seats) = (Vec::new(), SeatsRead::default());
-        let mut left: BTreeMap<CallNo, (Call, bool)> = BTreeMap::new();
+        let (mut spent, mut ownership) = (Vec::new(), OwnershipRecords::default());
+        let mut restored: BTreeMap<CallNo, (HeldMessage, bool)> = BTreeMap::new();
         for record in records {
             match record {
                 Record::Taken(mut taken) => {
-                    self.next_no = self.next_no.max(taken.no + 1);
+                    self.next_message_no = self.next_message_no.max(taken.no + 1);
                     let class =
                         place(&self.names.classes, &taken.class).and_then(|c| self.settings.classes.get(c));
                     let most = class.map_or(f64::MAX, |c| now + c.deadline);
                     taken.valid_until = taken.valid_until.min(most);
-                    let size = Record::Taken(taken.clone()).size() + MARGIN;
-                    let cell = self.cells.of(&taken.tenant);
-                    let (last, ran, out, ending, frozen) = (None, None, None, None, None);
-                    let call = Call {
+                    let size = Record::Taken(taken.clone()).size() + MESSAGE_OVERHEAD_BYTES;
+                    let cell = self.cells.cell_of(&taken.tenant);
+                    let (last_outcome, ran, out, ending, withheld) = (None, None, None, None, None);
+                    let message = HeldMessage {
                         taken,
                         attempts: 0,
-                        last,
+                        last_outcome,
                         ran,
                         out,
                         ending,
                         cell,
                         size,
-                        frozen,
-                        unheard: None,
+                        withheld,
+                        unreported_end: None,
                     };
-                    left.insert(call.taken.no, (call, false));
+                    restored.insert(message.taken.no, (message, false));
                 }
                 Record::State { no, attempts, ran, out } => {
-                    if let Some((c, cut)) = left.get_mut(&no) {
-                        *cut = out.is_some();
-                        (c.attempts, c.ran) = (attempts, ran.or(out).map(|s| past(now, s)));
+                    if let Some((c, interrupted)) = restored.get_mut(&no) {
+                        *interrupted = out.is_some();
+                        (c.attempts, c.ran) = (attempts, ran.or(out).map(|s| clamp_to_past(now, s)));
                     }
                 }
                 Record::Ended { no, ending } => {
-                    if let Some((c, cut)) = left.get_mut(&no) {
-                        (c.ending, *cut) = (Some(ending), false);
+                    if let Some((c, interrupted)) = restored.get_mut(&no) {
+                        (c.ending, *interrupted) = (Some(ending), false);
                     }
                 }
                 Record::Over { no, until } => {
-                    if let Some((c, _)) = left.remove(&no) {
+                    if let Some((c, _)) = restored.remove(&no) {
                         let ending = c.ending.unwrap_or(Ending::Delivered);
-                        let tenant = self.movable(&c.taken.tenant);
-                        self.recall(now, c.taken.identity, no, Some(ending), until, tenant);
+                        let tenant = self.tenant_if_movable(&c.taken.tenant);
+                        self.restore_identity(now, c.taken.identity, no, Some(ending), until, tenant);
                     }
                 }
                 Record::Known { identity, ending, until, tenant } => {
-                    self.recall(now, identity, 0, Some(ending), until, tenant)
+                    self.restore_identity(now, identity, 0, Some(ending), until, tenant)
                 }
                 Record::Spent(s) => spent.push(s),
                 Record::Once { name, ending, until, tenant } if until > now => {
-                    self.once.remember(name, ending, until, tenant)
+                    self.at_most_once.remember(name, ending, until, tenant)
                 }
-                // A restart ends all waits, and the clocks have been read with the file.
+                // A restart ends all retry-afters, and the clocks were read when the file was opened.
                 Record::Once { .. } | Record::Wait { .. } | Record::Clock(_) | Record::Adopted(_) => {}
                 Record::Seat(bytes) => {
-                    if let Some((tenant, from)) = seats.take(&bytes) {
-                        left.retain(|no, (c, _)| *no < from || c.taken.tenant != tenant);
+                    if let Some((tenant, from)) = ownership.add(&bytes) {
+                        restored.retain(|no, (c, _)| *no < from || c.taken.tenant != tenant);
                     }
                 }
             }
         }
-        for (tenant, from) in seats.cut_short() {
-            left.retain(|no, (c, _)| *no < from || c.taken.tenant != *tenant);
+        for (tenant, from) in ownership.unfinished_adoptions() {
+            restored.retain(|no, (c, _)| *no < from || c.taken.tenant != *tenant);
         }
         self.ceilings.restore(now, spent);
-        self.seats.park_again(now, &seats);
+        self.ownership.restore_parked_keys(now, &ownership);
         let mut given_up = Vec::new();
-        for (no, (mut call, cut_off)) in left {
-            if place(&self.names.classes, &call.taken.class).is_none() && call.ending.is_none() {
-                let (id, class) = (call.taken.identity.1.as_str(), call.taken.class.as_str());
-                log::error!(id = id, class = class, outcome = "given_up"; "the class '{class}' of a call in the journal is gone");
-                call.ending = Some(Ending::GivenUp);
+        for (no, (mut message, interrupted)) in restored {
+            if place(&self.names.classes, &message.taken.class).is_none() && message.ending.is_none() {
+                let (id, class) = (message.taken.identity.1.as_str(), message.taken.class.as_str());
+                log::error!(id = id, class = class, outcome = "given_up";
+                    "the class '{class}' of a message in the journal is no longer configured; the message is given up");
+                message.ending = Some(Ending::GivenUp);
                 given_up.push(no);
             }
-            call.frozen = match call.ending {
-                None if seats.is_offered(&call.taken.tenant, no) => Some(Frozen::Moving),
-                // What was out when the process ended is not what others of its key wait for.
-                None if self.is_parked(call.taken.key) && !cut_off => Some(Frozen::Parked),
-                // What may have run is not sent again: its end waits for nobody.
-                None if call.ran.is_none() && self.is_unconfirmed(&call.taken.class, call.taken.dest) => {
-                    Some(Frozen::Unconfirmed)
+            message.withheld = match message.ending {
+                None if ownership.is_offered(&message.taken.tenant, no) => Some(Withheld::TenantMoving),
+                // A message with an attempt outstanding when the process ended does not wait for others of
+                // its key.
+                None if self.is_parked(message.taken.key) && !interrupted => Some(Withheld::KeyParked),
+                // A message that may have run is not sent again, so its end does not wait for an endpoint.
+                None if message.ran.is_none()
+                    && self.must_wait_for_endpoint(&message.taken.class, message.taken.dest) =>
+                {
+                    Some(Withheld::EndpointUnconfirmed)
                 }
                 _ => None,
             };
-            if cut_off {
-                self.inherit_attempt(now, no, call.taken.key);
+            if interrupted {
+                self.inherit_attempt(now, no, message.taken.key);
             }
-            self.hold_again(now, call);
-            self.tell(no);
+            self.hold_restored(now, message);
+            self.order_final_answer(no);
         }
-        self.open_seats(now, seats);
-        // Only now: a journal that is written anew holds what is known here, and before this that was not all.
+        self.restore_ownership(now, ownership);
+        // Not earlier: a compaction writes what is known here, and until now that was incomplete.
         for no in given_up {
-            self.note(&Record::Ended { no, ending: Ending::GivenUp });
+            self.append_or_defer(&Record::Ended { no, ending: Ending::GivenUp });
         }
     }
 
-    /// Calls that are taken from now on are numbered from `first` on: see [`crate::recovery::first_number`].
+    /// Numbers messages that are accepted from now on from `first` upwards: see
+    /// [`crate::recovery::first_number`].
     pub fn number_from(&mut self, first: CallNo) {
-        self.next_no = self.next_no.max(first);
-        self.first_no = self.next_no;
+        self.next_message_no = self.next_message_no.max(first);
+        self.first_message_no = self.next_message_no;
     }
 
-    /// A call of an earlier process, or of another dispatcher, is held here; the module has it if nothing keeps it from it.
-    pub(super) fn hold_again(&mut self, now: Ms, call: Call) {
-        let (no, t) = (call.taken.no, &call.taken);
-        if call.ending.is_none() {
-            self.cells.resumed(now, &call);
+    /// Holds a message of an earlier process or of another dispatcher, and gives it to the decision module
+    /// unless there is a reason to withhold it.
+    pub(super) fn hold_restored(&mut self, now: Ms, message: HeldMessage) {
+        let (no, t) = (message.taken.no, &message.taken);
+        if message.ending.is_none() {
+            self.cells.add_restored(now, &message);
             self.ceilings.queue(t.dest);
         }
-        let name = self.once.name(&t.class, &t.idempotency, &t.identity.1);
-        name.into_iter().for_each(|n| self.once.held(n, no));
-        let (until, tenant) = (t.valid_until.max(now) + MEMORY, self.movable(&t.tenant));
-        self.recall(now, t.identity.clone(), no, call.ending, until, tenant);
-        self.live_bytes += call.size;
+        let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
+        name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
+        let (until, tenant) =
+            (t.valid_until.max(now) + IDENTITY_MEMORY_AFTER_DEADLINE, self.tenant_if_movable(&t.tenant));
+        self.restore_identity(now, t.identity.clone(), no, message.ending, until, tenant);
+        self.live_bytes += message.size;
         self.counters.resumed += 1;
-        let mut call = call;
-        self.copy_restored(no, &call);
-        // Moves know nothing of calls that wait here; divided cells have room of their own.
-        let queues = self.cells.undivided() && !self.may_move();
-        if queues && call.frozen.is_none() && call.ending.is_none() && self.backlog_room() == 0 {
-            self.backlog.push(no, call.taken.valid_until);
-            call.frozen = Some(Frozen::Queued);
+        let mut message = message;
+        self.register_restored(no, &message);
+        // Moves do not account for messages in the backlog, and several cells have capacity of their own.
+        let queues = self.cells.is_single() && !self.tenants_can_move();
+        if queues && message.withheld.is_none() && message.ending.is_none() && self.backlog_room() == 0 {
+            self.backlog.push(no, message.taken.valid_until);
+            message.withheld = Some(Withheld::Backlogged);
         }
-        let waits = call.frozen.is_some();
-        if call.ending != Some(Ending::Delivered) {
-            self.order.enter(&call.taken);
+        let waits = message.withheld.is_some();
+        if message.ending != Some(Ending::Delivered) {
+            self.key_order.insert(&message.taken);
         }
-        self.calls.insert(no, call);
+        self.messages.insert(no, message);
         if !waits {
             self.resume(no);
         }
     }
 
-    /// Calls of an earlier process go to the module as it has room for them.
+    /// Gives restored messages to the decision module as it has capacity for them.
     pub(super) fn backlog_turn(&mut self, now: Ms) {
         if self.backlog.is_empty() {
             return;
@@ -321,27 +332,27 @@
         self.backlog.take(now, room).into_iter().for_each(|no| self.resume(no));
     }
 
-    /// Calls of an earlier process that the module has room for, without having to hand any back.
+    /// How many more restored messages the decision module can take without having to return any.
     fn backlog_room(&self) -> usize {
         let most = (BACKLOG_SHARE * self.settings.max_held as f64) as usize;
-        most.saturating_sub(self.calls.len() - self.backlog.len())
+        most.saturating_sub(self.messages.len() - self.backlog.len())
     }
 
-    /// Gives a call to the module that it does not have, or not any more.
+    /// Gives a message to the decision module that does not hold it, or no longer does.
     pub(super) fn resume(&mut self, no: CallNo) {
         self.backlog.remove(no);
-        let still = self.copy_stands_still(no);
-        let Some(c) = self.calls.get_mut(&no) else { return };
-        if still && c.ending.is_none() {
-            c.frozen = Some(Frozen::Still);
+        let suspended = self.is_suspended(no);
+        let Some(c) = self.messages.get_mut(&no) else { return };
+        if suspended && c.ending.is_none() {
+            c.withheld = Some(Withheld::Suspended);
             return;
         }
-        c.frozen = None;
-        let c = &self.calls[&no];
+        c.withheld = None;
+        let c = &self.messages[&no];
         let zone = |name: &str| place(&self.names.zones, name).unwrap_or(self.names.zones.len());
         let class = place(&self.names.classes, &c.taken.class).unwrap_or(0);
         let resumed = Event::Resumed(Resumed {
-            message: self.message(class, &c.taken, true),
+            message: self.module_message(class, &c.taken, true),
             attempts: c.attempts,
             ran: c.ran.as_ref().map(|s| (s.at, zone(&s.zone))),
             ended: c.ending.is_some(),
@@ -349,7 +360,7 @@
         self.cells.post(c.cell, resumed);
     }
 
-    pub(super) fn recall(
+    pub(super) fn restore_identity(
         &mut self,
         now: Ms,
         identity: Identity,
@@ -359,40 +370,41 @@
         tenant: String,
     ) {
         if until > now {
-            // Whether a client of the platform was refused with that or told later is not written down. Guards against a
-            // repeat of what was refused being answered as taken: nobody would ever be told of its end.
+            // The journal does not say whether a client of the platform got this ending as the rejection of
+            // its submission or as a later final answer. A repeat of a rejected submission must not be
+            // answered as accepted: its end would never be reported.
             let verdict = match ending {
                 Some(Ending::HandedBack(wait)) if identity.0.is_empty() => Verdict::Busy(wait),
                 Some(Ending::GivenUp) if identity.0.is_empty() => Verdict::Failed("given up".into()),
                 _ => Verdict::Taken,
             };
-            self.remember(identity, Known { no, verdict, ending, until, tenant });
+            self.remember_identity(identity, KnownIdentity { no, verdict, ending, until, tenant });
         }
     }
 
-    /// A client that comes back for a call that is held wants its answer where it asks now.
-    pub(super) fn move_reply(&mut self, no: CallNo, reply: Vec<u8>) {
-        if let Some(c) = self.calls.get_mut(&no).filter(|c| !c.taken.identity.0.is_empty()) {
+    /// Sends the final answer of a held message to the place from which its client has submitted it again.
+    pub(super) fn update_reply(&mut self, no: CallNo, reply: Vec<u8>) {
+        if let Some(c) = self.messages.get_mut(&no).filter(|c| !c.taken.identity.0.is_empty()) {
             c.taken.reply = reply;
         }
     }
 
-    /// Writes the journal anew with what still matters, once it has grown.
+    /// Compacts the journal once it has grown.
     pub(super) fn compact_if_full(&mut self) {
         if self.journal.is_full() && self.now >= self.compact_at {
             self.compact();
         }
     }
 
-    /// Writes the journal anew with what still matters; false if the folder does not take it.
+    /// Rewrites the journal with the records that still matter; false if writing to the state folder fails.
     pub(super) fn compact(&mut self) -> bool {
         let mut records = Vec::new();
-        for (no, c) in &self.calls {
+        for (no, c) in &self.messages {
             records.push(Record::Taken(c.taken.clone()));
-            records.extend(self.marked_state(*no, c));
+            records.extend(self.compacted_attempt_record(*no, c));
             records.extend(c.ending.map(|ending| Record::Ended { no: *no, ending }));
         }
-        for (identity, k) in self.known.iter().filter(|(_, k)| !self.calls.contains_key(&k.no)) {
+        for (identity, k) in self.identities.iter().filter(|(_, k)| !self.messages.contains_key(&k.no)) {
             let known = |ending| Record::Known {
                 identity: identity.clone(),
                 ending,
@@ -408,17 +420,17 @@
             until,
             tenant: tenant.clone(),
         };
-        records.extend(self.once.ends().map(once));
-        records.extend(self.seat_records());
+        records.extend(self.at_most_once.endings().map(once));
+        records.extend(self.ownership_records());
         records.extend(self.waits.records(self.now));
-        records.extend(self.adopted.map(Record::Adopted));
+        records.extend(self.adopted_file.map(Record::Adopted));
         let done = self.journal.compact(records.into_iter());
         if done.is_err() || self.journal.is_full() {
-            // Each try writes all that is held.
-            self.compact_at = self.now + COMPACT_AGAIN;
+            // Each try writes everything that is held.
+            self.compact_at = self.now + COMPACT_RETRY_DELAY;
         }
         if let Err(e) = &done {
-            if let Some(count) = self.uncompacted.raise(self.now) {
+            if let Some(count) = self.compaction_errors.raise(self.now) {
                 log::error!(cause:% = e, count = count; "the journal cannot be compacted: {e}");
             }
         }
@@ -426,8 +438,9 @@
     }
 }
 
-/// An attempt of the future was sent before the clock was set back: nobody can tell how long ago, so long ago.
-fn past(now: Ms, sent: Sent) -> Sent {
+/// An attempt dated in the future was sent before the clock was set back. How long ago is not known, so it
+/// counts as sent long ago.
+fn clamp_to_past(now: Ms, sent: Sent) -> Sent {
     let at = if sent.at > now { 0.0 } else { sent.at };
     Sent { at, ..sent }
 }
--- a/src/dispatch/backlog.rs
+++ b/src/dispatch/backlog.rs
@@ -1,58 +1,63 @@
-//! Backlog: calls that a start took up beyond what the module holds at most. They wait for their turn here, so that a
-//! journal with very many calls does not cost more in each turn than one with a few, and the first of them go at once.
+//! Backlog: restored messages beyond what the decision module may hold. They wait here, so that a journal
+//! with very many messages costs no more in each turn than one with few, and the first of them go at once.
 
 use crate::api::Ms;
 use crate::journal::CallNo;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Calls whose time is up that go to the module in one turn at most.
-const LATE_MOST: usize = 256;
+/// The most messages past their deadline that go to the decision module in one turn.
+const MAX_EXPIRED_PER_TURN: usize = 256;
 
-/// The calls that wait, in the order of their numbers.
+/// The waiting messages, in the order of their numbers.
 #[derive(Debug, Clone, Default)]
 pub struct Backlog {
     waiting: BTreeMap<CallNo, u64>,
-    /// By when their time is up.
+    /// The messages by their deadlines.
     due: BTreeSet<(u64, CallNo)>,
 }
 
 impl Backlog {
-    /// One more waits.
+    /// Adds a message.
     pub fn push(&mut self, no: CallNo, valid_until: Ms) {
         let until = valid_until.max(0.0) as u64;
         self.waiting.insert(no, until);
         self.due.insert((until, no));
     }
 
-    /// It waits no more.
+    /// Removes a message.
     pub fn remove(&mut self, no: CallNo) {
         if let Some(until) = self.waiting.remove(&no) {
             self.due.remove(&(until, no));
         }
     }
 
-    /// How many wait.
+    /// The number of waiting messages.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Nobody waits.
+    /// Whether no message waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Those that go to the module now: the first ones while there is room, and those whose time is up: their final answer
-    /// waits for nobody's turn.
+    /// Removes and returns the messages that go to the decision module now: the first ones, as many as there
+    /// is room for, and those past their deadline, whose final answer needs no room.
     pub fn take(&mut self, now: Ms, room: usize) -> Vec<CallNo> {
-        let late = self.due.iter().take_while(|(until, _)| *until as Ms <= now).take(LATE_MOST).map(|d| d.1);
+        let late = self
+            .due
+            .iter()
+            .take_while(|(until, _)| *until as Ms <= now)
+            .take(MAX_EXPIRED_PER_TURN)
+            .map(|d| d.1);
         let mut taken: BTreeSet<CallNo> = late.collect();
         taken.extend(self.waiting.keys().take(room));
         taken.iter().for_each(|no| self.remove(*no));
         taken.into_iter().collect()
     }
 
-    /// When the next one's time is up.
+    /// The next deadline.
     pub fn next_due(&self) -> Option<Ms> {
         self.due.first().map(|d| d.0 as Ms)
     }
@@ -62,9 +67,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a call that waits beyond its time, and against an order of numbers that is lost.
+    /// Guards against messages that wait beyond their deadline, and against losing the order of     /// numbers.
     #[test]
-    fn the_first_go_while_there_is_room_and_the_late_at_once() {
+    fn first_messages_go_while_there_is_room_and_expired_ones_at_once() {
         let mut b = Backlog::default();
         [(3, 900.0), (1, 5_000.0), (2, 50.0), (4, 10.0)]
             .into_iter()
--- a/src/dispatch/beside.rs
+++ b/src/dispatch/beside.rs
@@ -1,61 +1,62 @@
-//! Beside: what a process does with messages of ordered keys while another process serves on the same folder, during an
-//! upgrade. No I/O: the wires tell it what they see of the folder, with the time.
+//! What a process does with messages of ordered keys while a sibling process serves on the same state folder,
+//! during an upgrade. No I/O: the network side reports what it sees of the folder, with the time.
 //!
-//! Two processes of one dispatcher must keep the order of a key between them, and they know nothing of each other's
-//! messages. The one that came second holds every message of an ordered key that it takes, until the first has ended and
-//! its calls are taken over: those were taken earlier and go first. The first one, once it has seen the second, hands
-//! such messages back, so that none of them is taken after one that the second holds. The second hands them back too
-//! until the first has surely seen it.
+//! The two processes must keep the order of a key between them, and know nothing of each other's messages.
+//! The process that started second withholds every message of an ordered key that it accepts until the first
+//! has ended and its messages are taken over: those were accepted earlier and go first. The first process,
+//! once it has seen the second, returns such messages, so that none of them is accepted after one that the
+//! second withholds. The second process returns them too until the first must have seen it.
 
 use crate::api::Ms;
 
-/// How long after its start a process that found another one beside it hands ordered messages back: the other one looks
-/// at the folder every 100 ms, and so much later it has surely seen this one.
-pub const UNSEEN: Ms = 300.0;
-/// The wait told to a client whose ordered message is handed back: the other process is gone by then, or has the message.
-pub const BACK_AFTER: Ms = 500.0;
+/// How long after its start a process that found a sibling returns ordered messages. The sibling looks at the
+/// folder every 100 ms, so after this time it must have seen this process.
+pub const DETECTION_DELAY: Ms = 300.0;
+/// The retry-after of a client whose ordered message is returned: by then the sibling process has ended, or
+/// holds the message.
+pub const RETURN_RETRY_AFTER: Ms = 500.0;
 
-/// Which of the two this process is.
+/// Which of the two processes this one is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Role {
-    /// Alone on the folder.
+    /// No other process serves on the folder.
     Alone,
-    /// It found the other one at its start, at this time.
+    /// It found the other process when it started, at this time.
     Second(Ms),
-    /// It saw the other one come.
+    /// It was serving when the other process appeared.
     First,
 }
 
-/// What becomes of a message of an ordered key that comes now.
+/// What happens to a message of an ordered key that is submitted now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Keyed {
-    /// Taken and handed to the module as usual.
-    Take,
-    /// Taken and held back until the other process has ended.
-    Hold,
-    /// Handed back, with this wait.
-    HandBack(Ms),
+pub enum KeyedAdmission {
+    /// Accepted and given to the decision module as usual.
+    Accept,
+    /// Accepted and withheld until the sibling process has ended.
+    Withhold,
+    /// Returned, with this retry-after.
+    Return(Ms),
 }
 
-/// What is known of another process on the folder.
+/// What is known of a sibling process on the state folder.
 #[derive(Debug, Clone, Copy)]
-pub struct Beside {
+pub struct SiblingProcess {
     role: Role,
-    /// Has it been looked at once?
-    looked: bool,
+    /// Whether the folder has been looked at once.
+    observed: bool,
 }
 
-impl Default for Beside {
-    fn default() -> Beside {
-        Beside { role: Role::Alone, looked: false }
+impl Default for SiblingProcess {
+    fn default() -> SiblingProcess {
+        SiblingProcess { role: Role::Alone, observed: false }
     }
 }
 
-impl Beside {
-    /// What a look at the folder found: does another process live on it? True once it has ended, and what this one held
-    /// back may go.
-    pub fn seen(&mut self, now: Ms, lives: bool) -> bool {
-        let first_look = !std::mem::replace(&mut self.looked, true);
+impl SiblingProcess {
+    /// Records whether another process lives on the folder. True once it has ended and the withheld messages
+    /// may go.
+    pub fn observe_folder(&mut self, now: Ms, lives: bool) -> bool {
+        let first_look = !std::mem::replace(&mut self.observed, true);
         let was = self.role;
         self.role = match (lives, was) {
             (false, _) => Role::Alone,
@@ -66,17 +67,17 @@
         matches!(was, Role::Second(_) | Role::First) && self.role == Role::Alone
     }
 
-    /// Does another process serve beside this one?
-    pub fn lives(&self) -> bool {
+    /// Whether a sibling process serves.
+    pub fn is_present(&self) -> bool {
         self.role != Role::Alone
     }
 
-    /// What becomes of a message of an ordered key that comes now.
-    pub fn keyed(&self, now: Ms) -> Keyed {
+    /// What happens to a message of an ordered key that is submitted now.
+    pub fn admission(&self, now: Ms) -> KeyedAdmission {
         match self.role {
-            Role::Alone => Keyed::Take,
-            Role::Second(since) if now - since >= UNSEEN => Keyed::Hold,
-            Role::Second(_) | Role::First => Keyed::HandBack(BACK_AFTER),
+            Role::Alone => KeyedAdmission::Accept,
+            Role::Second(since) if now - since >= DETECTION_DELAY => KeyedAdmission::Withhold,
+            Role::Second(_) | Role::First => KeyedAdmission::Return(RETURN_RETRY_AFTER),
         }
     }
 }
@@ -86,35 +87,37 @@
     use super::*;
 
     #[test]
-    fn alone_all_is_taken_and_nothing_is_freed() {
-        let mut b = Beside::default();
-        assert!(!b.seen(0.0, false));
-        assert_eq!(b.keyed(5.0), Keyed::Take);
-        assert!(!b.seen(100.0, false));
+    fn a_lone_process_accepts_everything_and_releases_nothing() {
+        let mut b = SiblingProcess::default();
+        assert!(!b.observe_folder(0.0, false));
+        assert_eq!(b.admission(5.0), KeyedAdmission::Accept);
+        assert!(!b.observe_folder(100.0, false));
     }
 
-    /// Guards against a key of the second overtaking one that the first took in the instant before it saw the second.
+    /// Guards against a message of the second process overtaking one of its key that the first accepted just
+    /// before it saw the second.
     #[test]
-    fn the_second_hands_back_until_it_is_surely_seen_then_holds_until_the_first_has_ended() {
-        let mut b = Beside::default();
-        assert!(!b.seen(1_000.0, true));
-        assert_eq!(b.keyed(1_000.0 + UNSEEN - 1.0), Keyed::HandBack(BACK_AFTER));
-        assert!(!b.seen(1_100.0, true));
-        assert_eq!(b.keyed(1_000.0 + UNSEEN), Keyed::Hold);
-        assert!(b.seen(4_000.0, false), "what was held goes now");
-        assert_eq!(b.keyed(4_001.0), Keyed::Take);
+    fn the_second_process_returns_until_it_must_be_seen_then_withholds_until_the_first_has_ended() {
+        let mut b = SiblingProcess::default();
+        assert!(!b.observe_folder(1_000.0, true));
+        assert_eq!(b.admission(1_000.0 + DETECTION_DELAY - 1.0), KeyedAdmission::Return(RETURN_RETRY_AFTER));
+        assert!(!b.observe_folder(1_100.0, true));
+        assert_eq!(b.admission(1_000.0 + DETECTION_DELAY), KeyedAdmission::Withhold);
+        assert!(b.observe_folder(4_000.0, false), "withheld messages go now");
+        assert_eq!(b.admission(4_001.0), KeyedAdmission::Accept);
     }
 
-    /// Guards against the first taking a key after the second took one of it: the second's would go first.
+    /// Guards against the first process accepting a message after the second accepted one of the same key:
+    /// the second's would go first.
     #[test]
-    fn the_first_hands_back_from_the_moment_it_sees_the_second() {
-        let mut b = Beside::default();
-        b.seen(0.0, false);
-        assert_eq!(b.keyed(50.0), Keyed::Take);
-        b.seen(100.0, true);
-        assert!(b.lives());
-        assert_eq!(b.keyed(60_000.0), Keyed::HandBack(BACK_AFTER));
-        assert!(b.seen(60_100.0, false));
-        assert_eq!(b.keyed(60_101.0), Keyed::Take);
+    fn the_first_process_returns_from_the_moment_it_sees_the_second() {
+        let mut b = SiblingProcess::default();
+        b.observe_folder(0.0, false);
+        assert_eq!(b.admission(50.0), KeyedAdmission::Accept);
+        b.observe_folder(100.0, true);
+        assert!(b.is_present());
+        assert_eq!(b.admission(60_000.0), KeyedAdmission::Return(RETURN_RETRY_AFTER));
+        assert!(b.observe_folder(60_100.0, false));
+        assert_eq!(b.admission(60_101.0), KeyedAdmission::Accept);
     }
 }
--- a/src/dispatch/book.rs
+++ b/src/dispatch/book.rs
@@ -1,15 +1,16 @@
-//! Book: a call ends once; its client is told until it has heard, and only then is the call over.
+//! Booking: a message ends once. Its final answer is sent until the client confirms it; only then is the
+//! message closed.
 
-use super::figures::Tally;
-use super::{Call, Core, Counters, Order, Told, Verdict, ANSWER_KEPT};
+use super::figures::ClientOutcome;
+use super::{Core, Counters, HeldMessage, Order, Told, Verdict, ANSWER_KEPT};
 use crate::api::*;
 use crate::journal::{CallNo, Ending, Record};
 
-/// How long an identity is remembered after its call is over.
-const MEMORY: Ms = 20_000.0;
+/// How long an identity is remembered after its message is closed.
+const IDENTITY_MEMORY_AFTER_END: Ms = 20_000.0;
 
 impl Counters {
-    pub(super) fn note(&mut self, outcome: Outcome) {
+    pub(super) fn count_outcome(&mut self, outcome: Outcome) {
         let count = match outcome {
             Outcome::Delivered => return,
             Outcome::Error => &mut self.errors,
@@ -24,8 +25,8 @@
     }
 }
 
-/// How an end is told in the log: outcome, and the wait in milliseconds.
-fn told(ending: Ending) -> (&'static str, f64) {
+/// How an ending is logged: the outcome, and the retry-after in milliseconds.
+fn outcome_fields(ending: Ending) -> (&'static str, f64) {
     match ending {
         Ending::Delivered => ("delivered", 0.0),
         Ending::GivenUp => ("given_up", 0.0),
@@ -34,7 +35,7 @@
 }
 
 impl Core {
-    pub(super) fn hand_back(&mut self, now: Ms, no: CallNo, retry_in: Ms) {
+    pub(super) fn return_message(&mut self, now: Ms, no: CallNo, retry_in: Ms) {
         self.finish(now, no, Ending::HandedBack(retry_in));
     }
 
@@ -42,33 +43,34 @@
         self.finish(now, no, Ending::GivenUp);
     }
 
-    /// Ends a call: its client, if it still waits for the verdict, hears that; else it is told the end.
+    /// Ends a message. A client that still waits for its verdict gets the ending as the verdict; any other
+    /// gets a final answer.
     pub(super) fn finish(&mut self, now: Ms, no: CallNo, ending: Ending) {
-        let Some(c) = self.calls.get_mut(&no).filter(|c| c.ending.is_none()) else { return };
+        let Some(c) = self.messages.get_mut(&no).filter(|c| c.ending.is_none()) else { return };
         c.ending = Some(ending);
         let tally = match ending {
-            Ending::Delivered => Tally::Completed,
-            Ending::GivenUp => Tally::Failed,
-            Ending::HandedBack(_) => Tally::Rejected,
+            Ending::Delivered => ClientOutcome::Completed,
+            Ending::GivenUp => ClientOutcome::Failed,
+            Ending::HandedBack(_) => ClientOutcome::Rejected,
         };
         self.figures.count(&c.taken.class, tally);
         let (identity, dest) = (c.taken.identity.clone(), c.taken.dest);
-        let (outcome, wait) = told(ending);
+        let (outcome, wait) = outcome_fields(ending);
         log::debug!(id = identity.1.as_str(), class = c.taken.class.as_str(), member = dest, outcome = outcome, wait_ms = wait,
             attempts = c.attempts, left_ms = c.taken.valid_until - now; "a call ended");
         self.ceilings.unqueue(dest);
-        self.cells.over(now, c, ending == Ending::Delivered);
+        self.cells.remove_ended(now, c, ending == Ending::Delivered);
         let platform = identity.0.is_empty();
-        let doubtful = c.unheard.is_some();
-        if ending == Ending::Delivered && !doubtful {
-            // The next of its key may go, though its client has not confirmed that it heard.
-            self.order.leave(no, c.taken.key);
+        let may_be_late = c.unreported_end.is_some();
+        if ending == Ending::Delivered && !may_be_late {
+            // The next message of its key may go, although the client has not confirmed the answer.
+            self.key_order.remove(no, c.taken.key);
         }
-        self.note(&Record::Ended { no, ending });
-        self.copy_answered(no);
-        self.copy_ended(now, no, &identity, ending);
-        let asking = self.asking.iter().any(|a| a.0 == no);
-        if let Some(k) = self.known.get_mut(&identity) {
+        self.append_or_defer(&Record::Ended { no, ending });
+        self.end_copy_wait(no);
+        self.replicate_ending(now, no, &identity, ending);
+        let asking = self.awaiting_verdict.iter().any(|a| a.0 == no);
+        if let Some(k) = self.identities.get_mut(&identity) {
             k.ending = Some(ending);
             k.verdict = match ending {
                 Ending::HandedBack(wait) if asking => Verdict::Busy(wait),
@@ -82,112 +84,117 @@
             Ending::GivenUp => self.counters.given_up += 1,
             Ending::HandedBack(_) => self.counters.handed_back += 1,
         }
-        // The platform's client of a delivered call hears of it by itself.
-        if asking || (platform && ending == Ending::Delivered && !doubtful) {
-            if let Some(k) = self.known.get(&identity).filter(|_| asking) {
-                self.answers.insert(no, k.verdict.clone());
+        // The platform learns by itself that a message was delivered.
+        if asking || (platform && ending == Ending::Delivered && !may_be_late) {
+            if let Some(k) = self.identities.get(&identity).filter(|_| asking) {
+                self.verdicts.insert(no, k.verdict.clone());
             }
-            // Guards against a crowd that is refused, each time under a new id, and leaves no room for what was taken.
+            // Guards against many rejected messages, each under a new id, filling the journal so that
+            // accepted ones find no room.
             let refused = platform && asking && matches!(ending, Ending::HandedBack(_));
-            self.close_call(now, no, if refused { 0.0 } else { MEMORY });
+            self.close_with_memory(now, no, if refused { 0.0 } else { IDENTITY_MEMORY_AFTER_END });
         } else {
-            self.tell(no);
+            self.order_final_answer(no);
         }
     }
 
-    /// Orders the final answer of a call to be told, if it has ended.
-    pub(super) fn tell(&mut self, no: CallNo) {
-        let Some(c) = self.calls.get(&no) else { return };
+    /// Orders the final answer of a message to be sent, if it has ended.
+    pub(super) fn order_final_answer(&mut self, no: CallNo) {
+        let Some(c) = self.messages.get(&no) else { return };
         let Some(ending) = c.ending else { return };
         let (identity, reply) = (c.taken.identity.clone(), c.taken.reply.clone());
         let until = c.taken.valid_until + ANSWER_KEPT;
         self.orders.push(Order::Tell(Told { no, identity, ending, reply, until }));
     }
 
-    /// Guards against answers piling up for sessions that never come back; the platform is told until it hears.
-    pub(super) fn lapse(&mut self, now: Ms) {
-        let lapsed = |c: &Call| {
+    /// Guards against final answers piling up for sessions that never come back. The platform's are sent
+    /// until it confirms them.
+    pub(super) fn drop_unclaimed_answers(&mut self, now: Ms) {
+        let lapsed = |c: &HeldMessage| {
             let session = !c.taken.identity.0.is_empty();
             session && c.ending.is_some() && c.taken.valid_until + ANSWER_KEPT <= now
         };
-        let due: Vec<CallNo> = self.calls.iter().filter(|(_, c)| lapsed(c)).map(|(no, _)| *no).collect();
-        due.into_iter().for_each(|no| self.close_over(now, no));
+        let due: Vec<CallNo> = self.messages.iter().filter(|(_, c)| lapsed(c)).map(|(no, _)| *no).collect();
+        due.into_iter().for_each(|no| self.close_message(now, no));
     }
 
-    /// The client has the final answer.
+    /// The client has confirmed the final answer.
     pub fn confirmed(&mut self, now: Ms, no: CallNo) {
-        if self.calls.get(&no).is_some_and(|c| c.ending.is_some()) {
+        if self.messages.get(&no).is_some_and(|c| c.ending.is_some()) {
             self.counters.confirmed += 1;
-            self.close_over(now, no);
+            self.close_message(now, no);
         }
     }
 
-    /// A call is held no more.
-    pub(super) fn take_out(&mut self, now: Ms, no: CallNo) -> Option<Call> {
-        let c = self.calls.remove(&no)?;
-        // Guards against the next of its key beside an attempt of it whose endpoint does not know of the end yet.
-        if !self.unconfirmed.is_over(no) {
-            self.order.leave(no, c.taken.key);
+    /// Removes a message from those that are held.
+    pub(super) fn remove_message(&mut self, now: Ms, no: CallNo) -> Option<HeldMessage> {
+        let c = self.messages.remove(&no)?;
+        // Guards against sending the next message of its key while an endpoint may not yet know that an
+        // attempt of this message has ended.
+        if !self.unconfirmed.end_message(no) {
+            self.key_order.remove(no, c.taken.key);
         }
         self.backlog.remove(no);
         self.live_bytes -= c.size;
         if c.ending.is_none() {
             self.ceilings.unqueue(c.taken.dest);
-            self.cells.over(now, &c, false);
+            self.cells.remove_ended(now, &c, false);
         }
         Some(c)
     }
 
-    /// Nothing more is owed for the call; a later one of its key may go.
-    pub(super) fn close_over(&mut self, now: Ms, no: CallNo) {
-        self.close_call(now, no, MEMORY);
+    /// Closes a message: its client is owed nothing more, and a later message of its key may go.
+    pub(super) fn close_message(&mut self, now: Ms, no: CallNo) {
+        self.close_with_memory(now, no, IDENTITY_MEMORY_AFTER_END);
     }
 
-    fn close_call(&mut self, now: Ms, no: CallNo, memory: Ms) {
-        let Some(c) = self.take_out(now, no) else { return };
-        self.copy_answered(no);
-        self.copy_ended(now, no, &c.taken.identity, c.ending.unwrap_or(Ending::GivenUp));
-        let name = self.once.name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
+    fn close_with_memory(&mut self, now: Ms, no: CallNo, memory: Ms) {
+        let Some(c) = self.remove_message(now, no) else { return };
+        self.end_copy_wait(no);
+        self.replicate_ending(now, no, &c.taken.identity, c.ending.unwrap_or(Ending::GivenUp));
+        let name = self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
         if let Some(name) = name {
-            // Without an end of its own it may have run.
+            // Without a recorded ending it may have run.
             let ending = c.ending.unwrap_or(Ending::GivenUp);
-            let tenant = self.movable(&c.taken.tenant);
-            let until = self.once.ended(now, &c.taken.class, &name, ending, tenant.clone());
+            let tenant = self.tenant_if_movable(&c.taken.tenant);
+            let until = self.at_most_once.end(now, &c.taken.class, &name, ending, tenant.clone());
             if let Some(until) = until {
-                self.note(&Record::Once { name, ending, until, tenant });
+                self.append_or_defer(&Record::Once { name, ending, until, tenant });
             }
         }
-        c.unheard.into_iter().for_each(|ended| self.ended_in(c.cell, ended));
+        c.unreported_end.into_iter().for_each(|ended| self.post_end(c.cell, ended));
         self.cells.post(c.cell, Event::Heard(no));
         let until = now + memory;
         if memory <= 0.0 {
             self.forget_identity(&c.taken.identity);
-        } else if let Some(k) = self.known.get_mut(&c.taken.identity) {
+        } else if let Some(k) = self.identities.get_mut(&c.taken.identity) {
             let (old, ending) = (k.until as u64, k.ending.or(Some(Ending::GivenUp)));
             (k.until, k.ending) = (until, ending);
-            self.fading.remove(&(old, c.taken.identity.clone()));
-            self.fading.insert((until as u64, c.taken.identity));
+            self.identity_expiry.remove(&(old, c.taken.identity.clone()));
+            self.identity_expiry.insert((until as u64, c.taken.identity));
         }
-        self.note(&Record::Over { no, until });
+        self.append_or_defer(&Record::Over { no, until });
     }
 
-    /// Clients that asked in this turn hear what became of their calls.
-    pub(super) fn give_verdicts(&mut self) {
-        for (no, ticket) in std::mem::take(&mut self.asking) {
-            let verdict = self.answers.get(&no).cloned().unwrap_or(Verdict::Taken);
+    /// Answers the clients that wait for a verdict of this turn.
+    pub(super) fn answer_waiting_clients(&mut self) {
+        for (no, ticket) in std::mem::take(&mut self.awaiting_verdict) {
+            let verdict = self.verdicts.get(&no).cloned().unwrap_or(Verdict::Taken);
             self.counters.busy += u64::from(matches!(verdict, Verdict::Busy(_)));
             self.orders.push(Order::Answer { ticket, verdict });
         }
-        self.answers.clear();
+        self.verdicts.clear();
     }
 
-    /// Writes a record that a restart could do without, at a price.
-    pub(super) fn note(&mut self, record: &Record) {
+    /// Writes a record without which a restart would still be correct, but slower. If the write fails, the
+    /// record is deferred.
+    pub(super) fn append_or_defer(&mut self, record: &Record) {
         self.compact_if_full();
         if let Err(e) = self.journal.append(record) {
             self.journal.defer_bounded(record);
-            if let Some(count) = self.unwritten.raise(self.now) {
-                log::error!(cause:% = e, count = count; "the journal does not take a record yet: {e}");
+            if let Some(count) = self.append_errors.raise(self.now) {
+                log::error!(cause:% = e, count = count;
+                    "a journal record cannot be written yet and is deferred: {e}");
             }
         }
     }
--- a/src/dispatch/control.rs
+++ b/src/dispatch/control.rs
@@ -1,33 +1,34 @@
-//! What the operators' door asks of the core: figures, and endpoints taken out by hand.
+//! Commands of the control interface: metrics, operator blocks, and draining.
 
 use super::door::{self, Command};
-use super::figures::Now;
+use super::figures::Snapshot;
 use super::{Core, Order};
 use crate::api::*;
 use std::collections::BTreeSet;
 
-/// What the wires do besides writing the answer.
+/// What the network side does besides writing the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Send clients away.
+    /// Stop taking clients.
     DrainOn,
-    /// End the drain.
+    /// Take clients again.
     DrainOff,
-    /// The endpoints out by hand have changed: they are to be kept for the next process.
+    /// The set of blocked endpoints has changed and has to be stored for the next process.
     Bans,
 }
 
-/// The answer to a caller, and what else is to be done.
+/// The answer to a command, and what else is to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The lines to write, each with its end.
+    /// The lines to write, each with its line end.
     pub text: String,
-    /// What else.
+    /// What else is to be done.
     pub effect: Option<Effect>,
 }
 
 impl Core {
-    /// Answers a command of the door. `serving`: this process takes clients, is not told to leave and does not drain.
+    /// Answers a command of the control interface. `serving` tells that this process takes clients: it has
+    /// not been told to end and does not drain.
     pub fn control(&mut self, now: Ms, command: &Command, serving: bool) -> Answer {
         let plain = |text: String| Answer { text, effect: None };
         match command {
@@ -36,93 +37,100 @@
             Command::Vars => plain(format!("{}\nEOF\n", self.vars())),
             Command::DrainOn => Answer { text: door::yes("draining"), effect: Some(Effect::DrainOn) },
             Command::DrainOff => Answer { text: door::yes("taking clients"), effect: Some(Effect::DrainOff) },
-            Command::SetDown(id) if !self.worker_of.contains_key(id) && !self.down.contains(id) => {
+            Command::SetDown(id)
+                if !self.endpoint_by_id.contains_key(id) && !self.blocked_endpoints.contains(id) =>
+            {
                 plain(door::no(&format!("'{id}' was never listed")))
             }
             Command::SetDown(id) => {
-                self.set_down(now, id);
-                self.copy_ban(now, id, true);
+                self.block_endpoint(now, id);
+                self.replicate_block(now, id, true);
                 Answer { text: door::yes(&format!("{id} is out")), effect: Some(Effect::Bans) }
             }
-            Command::SetUp(id) if !self.worker_of.contains_key(id) && !self.down.contains(id) => {
+            Command::SetUp(id)
+                if !self.endpoint_by_id.contains_key(id) && !self.blocked_endpoints.contains(id) =>
+            {
                 plain(door::no(&format!("'{id}' was never listed")))
             }
             Command::SetUp(id) => {
-                self.set_up(now, id);
-                self.copy_ban(now, id, false);
+                self.unblock_endpoint(now, id);
+                self.replicate_block(now, id, false);
                 Answer { text: door::yes(&format!("{id} is in use")), effect: Some(Effect::Bans) }
             }
         }
     }
 
-    /// The figures as one line of JSON.
+    /// The metrics as one line of JSON.
     pub fn vars(&self) -> String {
-        let pending = self.calls.values().filter(|c| c.ending.is_none()).count();
-        let listed =
-            self.workers.iter().filter(|(_, w)| w.gone.is_none() && w.worker.listing != Listing::Gone);
+        let pending = self.messages.values().filter(|c| c.ending.is_none()).count();
+        let listed = self
+            .endpoints
+            .iter()
+            .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.listing != Listing::Gone);
         let (mut members, mut unavailable) = (0, 0);
         for (route, w) in listed {
             members += 1;
-            let out = self.down.contains(&w.worker.uid) || w.worker.listing != Listing::Ready;
+            let out =
+                self.blocked_endpoints.contains(&w.endpoint.uid) || w.endpoint.listing != Listing::Ready;
             unavailable += usize::from(out || self.avoided.contains(route));
         }
         self.figures.json(
             &self.names.classes,
-            Now {
+            Snapshot {
                 pending,
                 members,
                 unavailable,
                 unproven: self.counters.unproven,
                 guard: self.guard.json(),
-                replication: self.copying_figures(),
+                replication: self.replication_metrics(),
             },
         )
     }
 
-    /// Endpoints out by hand, by id.
+    /// Ids of the endpoints that operators have blocked.
     pub fn bans(&self) -> &BTreeSet<String> {
-        &self.down
+        &self.blocked_endpoints
     }
 
-    /// Takes over the endpoints out by hand that another process of this dispatcher kept.
+    /// Replaces the operator blocks by those that another process of this dispatcher has stored.
     pub fn take_bans(&mut self, now: Ms, ids: &BTreeSet<String>) {
-        let gone: Vec<String> = self.down.difference(ids).cloned().collect();
-        gone.iter().for_each(|id| self.set_up(now, id));
-        ids.iter().for_each(|id| self.set_down(now, id));
+        let gone: Vec<String> = self.blocked_endpoints.difference(ids).cloned().collect();
+        gone.iter().for_each(|id| self.unblock_endpoint(now, id));
+        ids.iter().for_each(|id| self.block_endpoint(now, id));
     }
 
-    pub(super) fn set_down(&mut self, now: Ms, id: &str) {
-        if self.down.insert(id.to_string()) {
-            log::warn!(member = id; "{id} is taken out by hand");
-            self.retell(now, id);
+    pub(super) fn block_endpoint(&mut self, now: Ms, id: &str) {
+        if self.blocked_endpoints.insert(id.to_string()) {
+            log::warn!(member = id; "{id} is blocked by an operator");
+            self.update_listing(now, id);
         }
     }
 
-    pub(super) fn set_up(&mut self, now: Ms, id: &str) {
-        if self.down.remove(id) {
-            log::warn!(member = id; "{id} is used again");
-            self.retell(now, id);
+    pub(super) fn unblock_endpoint(&mut self, now: Ms, id: &str) {
+        if self.blocked_endpoints.remove(id) {
+            log::warn!(member = id; "{id} is no longer blocked by an operator");
+            self.update_listing(now, id);
         }
     }
 
-    /// Tells the module the endpoint's listing anew, as the door has it.
-    fn retell(&mut self, _now: Ms, id: &str) {
-        let Some(route) = self.worker_of.get(id).copied() else { return };
-        let Some(w) = self.workers.get(&route).filter(|w| w.gone.is_none()) else { return };
-        let row = self.row_of(route, &w.worker);
+    /// Reports an endpoint's listing to the decision modules again, after a change to its operator block.
+    fn update_listing(&mut self, _now: Ms, id: &str) {
+        let Some(route) = self.endpoint_by_id.get(id).copied() else { return };
+        let Some(w) = self.endpoints.get(&route).filter(|w| w.gone_since.is_none()) else { return };
+        let row = self.listing_row(route, &w.endpoint);
         if row.listing != Listing::Ready {
-            let address = w.worker.address.clone();
-            let dest = w.worker.dest;
+            let address = w.endpoint.address.clone();
+            let dest = w.endpoint.dest;
             self.orders.push(Order::CloseIdle { route, address });
             self.orders.push(Order::Hold { dest, route: Some(route) });
         }
         self.cells.post_all(&Event::List { rows: vec![row], whole: false, cached: false });
     }
 
-    /// What the module is told of a worker: one out by hand drains, whatever the list says.
-    pub(super) fn row_of(&self, route: RouteId, w: &crate::config::Worker) -> Row {
+    /// An endpoint as it is reported to the decision modules: a blocked one drains, whatever the list says.
+    pub(super) fn listing_row(&self, route: RouteId, w: &crate::config::Worker) -> Row {
         let listing = match w.listing {
-            Listing::Ready if self.down.contains(&w.uid) => Listing::Draining,
+            Listing::Ready if self.blocked_endpoints.contains(&w.uid) => Listing::Draining,
             listing => listing,
         };
         Row { route, zone: w.zone, kind: w.kind, dest: w.dest, listing, weight: w.weight }
--- a/src/dispatch/counters.rs
+++ b/src/dispatch/counters.rs
@@ -1,55 +1,57 @@
-//! Counters of what was taken in, sent and answered.
+//! Counters of messages accepted, attempts sent and messages answered.
 
 use std::fmt;
 
 /// What a dispatcher has done since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Calls handed in and taken on.
+    /// Messages accepted.
     pub taken: u64,
-    /// Calls found in the journal at the start.
+    /// Messages restored from the journal at the start.
     pub resumed: u64,
-    /// Calls that were known already.
+    /// Submissions of messages that were known already.
     pub repeated: u64,
-    /// Calls turned away with an invitation to come again.
+    /// Submissions rejected with a retry-after.
     pub busy: u64,
-    /// Calls that could not be read, or failed at once.
+    /// Submissions that could not be read, or failed at once.
     pub malformed: u64,
-    /// Delegations started.
+    /// Attempts started.
     pub sent: u64,
     /// Probes started.
     pub probes: u64,
-    /// Calls delivered.
+    /// Messages delivered.
     pub delivered: u64,
-    /// Calls given up.
+    /// Messages given up.
     pub given_up: u64,
-    /// Calls handed back after they were taken on.
+    /// Messages returned after they were accepted.
     pub handed_back: u64,
-    /// Delegations answered with an error.
+    /// Attempts answered with an error.
     pub errors: u64,
-    /// Delegations turned away.
+    /// Attempts refused by the endpoint.
     pub refused: u64,
-    /// Delegations not answered in time.
+    /// Attempts not answered in time.
     pub late: u64,
-    /// Delegations that got no connection.
+    /// Attempts that got no connection.
     pub unconnected: u64,
-    /// Delegations whose connection broke.
+    /// Attempts whose connection broke.
     pub resets: u64,
-    /// Delegations called off.
+    /// Attempts cancelled.
     pub cancelled: u64,
-    /// Delegations not sent.
+    /// Attempts not sent.
     pub unsent: u64,
-    /// Delegations and probes that a ceiling kept back.
-    pub over: u64,
-    /// Calls handed back so that another cell got its part.
+    /// Attempts and probes held back by a promised limit.
+    pub over_limit: u64,
+    /// Messages returned so that another cell got its share.
     pub evicted: u64,
-    /// Calls turned away because those like them are served too slowly for them to be in time.
-    pub door: u64,
-    /// Final answers that clients have confirmed.
+    /// Submissions rejected because messages of the same queue are delivered too slowly for them to be in
+    /// time.
+    pub queue_too_slow: u64,
+    /// Final answers confirmed by clients.
     pub confirmed: u64,
-    /// Delegations that a member's climb after the start kept back.
+    /// Attempts held back by a member's ramp after the start.
     pub ramped: u64,
-    /// Unsafe messages handed in again that were answered without a call: the folder could not prove them unsent.
+    /// Repeated submissions of at-most-once messages answered without an attempt, because the state folder
+    /// could not prove that they were never sent.
     pub unproven: u64,
 }
 
@@ -72,7 +74,7 @@
             self.resets,
             self.cancelled,
             self.unsent,
-            self.over,
+            self.over_limit,
             self.ramped,
             self.probes
         )?;
@@ -80,7 +82,7 @@
             f,
             "answered: {} delivered, {} given up, {} handed back ({} for another cell), {} confirmed, {} too late at the door, \
              {} unproven",
-            self.delivered, self.given_up, self.handed_back, self.evicted, self.confirmed, self.door, self.unproven
+            self.delivered, self.given_up, self.handed_back, self.evicted, self.confirmed, self.queue_too_slow, self.unproven
         )
     }
 }
--- a/src/dispatch/door.rs
+++ b/src/dispatch/door.rs
@@ -1,49 +1,49 @@
-//! The operators' door: what a line on the control address asks, and what is answered. No I/O: the wires hand over the
-//! bytes of a line and write back the answer that the core gives.
+//! The operators' control interface: parses a command line and formats its answer. No I/O: the network side
+//! hands over the bytes of a line and writes the answer that the core gives.
 //!
-//! Each connection carries one line; its answer is one line that starts with `200` (yes) or `400` (no, with the reason).
-//! `vars` answers with the figures as one line of JSON, then a line `EOF` (the operators' bench reads it so; a `200` line
-//! before it went unread).
+//! Each connection carries one line. The answer is one line that starts with `200` (done) or `400` (refused,
+//! with the reason). `vars` is answered with the metrics as one line of JSON and a line `EOF`: the operators'
+//! bench reads it so, and did not read a `200` line before it.
 
-/// Bytes of a line at most, its end included. Guards against a caller that sends without end.
+/// The longest line in bytes, its end included. Guards against a client that sends without end.
 pub const LINE_MOST: usize = 512;
-/// Bytes of an endpoint's id at most.
+/// The longest endpoint id, in bytes.
 pub const ID_MOST: usize = 256;
 
-/// What a caller asks.
+/// A command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Does this process take clients?
+    /// Asks whether this process takes clients.
     Check,
-    /// The figures.
+    /// Asks for the metrics.
     Vars,
-    /// Take the endpoint of this id out, until `set-up`.
+    /// Blocks the endpoint of this id until `set-up`.
     SetDown(String),
-    /// Use the endpoint of this id again.
+    /// Removes the block of the endpoint of this id.
     SetUp(String),
-    /// Send clients away.
+    /// Stops taking clients.
     DrainOn,
-    /// End the drain.
+    /// Takes clients again.
     DrainOff,
 }
 
-/// What the bytes read so far come to.
+/// The result of parsing the bytes read so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Line {
-    /// No end of the line yet, and room for more.
+    /// The line has not ended, and may be longer.
     More,
     /// A command.
     Asked(Command),
-    /// Nonsense: the reason, for the `400` answer.
+    /// An invalid line: the reason, for the `400` answer.
     Bad(String),
 }
 
-/// Reads a line: the bytes up to its end (LF, with or without CR before it).
+/// Parses a line: the bytes up to its end (LF, with or without CR before it).
 ///
 /// # Errors
 ///
-/// None as such: what is wrong comes back as [`Line::Bad`] with its reason: a line over [`LINE_MOST`] bytes, one that
-/// is not UTF-8, an unknown command, a missing or extra argument.
+/// None as such: an invalid line is returned as [`Line::Bad`] with its reason: a line of more than
+/// [`LINE_MOST`] bytes, one that is not UTF-8, an unknown command, a missing or extra argument.
 pub fn read(bytes: &[u8]) -> Line {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return if bytes.len() >= LINE_MOST {
@@ -61,7 +61,7 @@
     parse(text)
 }
 
-/// The end of a connection before its line was whole.
+/// Parses what was read of a line when the connection ended before the line did.
 pub fn cut_short(bytes: &[u8]) -> Line {
     match read(bytes) {
         Line::More if bytes.is_empty() => bad("nothing was asked".into()),
@@ -106,12 +106,12 @@
     }
 }
 
-/// The answer to a command, as one line, or for `vars` the lines, each with its end.
+/// A positive answer, with its line end.
 pub fn yes(text: &str) -> String {
     format!("200 {text}\n")
 }
 
-/// A no with its reason.
+/// A negative answer with its reason.
 pub fn no(why: &str) -> String {
     format!("400 {why}\n")
 }
@@ -121,7 +121,7 @@
     use super::*;
 
     #[test]
-    fn each_command_is_read_with_its_arguments() {
+    fn each_command_is_parsed_with_its_arguments() {
         assert_eq!(read(b"check\n"), Line::Asked(Command::Check));
         assert_eq!(read(b"vars\r\n"), Line::Asked(Command::Vars));
         assert_eq!(read(b"set-down w-7\n"), Line::Asked(Command::SetDown("w-7".into())));
@@ -131,15 +131,15 @@
     }
 
     #[test]
-    fn half_a_line_waits_for_more_and_a_cut_one_is_read_as_it_is() {
+    fn a_partial_line_waits_for_more_and_a_cut_off_line_is_parsed() {
         assert_eq!(read(b"chec"), Line::More);
         assert_eq!(cut_short(b"check"), Line::Asked(Command::Check));
         assert!(matches!(cut_short(b""), Line::Bad(_)));
     }
 
-    /// Guards against nonsense that would be taken for a command, or buffered without end.
+    /// Guards against invalid input being taken for a command, or buffered without limit.
     #[test]
-    fn nonsense_gets_a_reason() {
+    fn an_invalid_line_gets_a_reason() {
         let bad = |bytes: &[u8]| match read(bytes) {
             Line::Bad(why) => why,
             other => panic!("{other:?}"),
--- a/src/dispatch/figures.rs
+++ b/src/dispatch/figures.rs
@@ -1,91 +1,91 @@
-//! Figures for the operators' `vars`: counted where each event happens, from 0 at the start of the process.
+//! Metrics for the operators' `vars`: counted where each event happens, from 0 at the start of the process.
 
 use std::collections::BTreeMap;
 
-/// How a message ended, as its client heard it.
+/// How a message ended, as its client learned it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tally {
+pub enum ClientOutcome {
     /// Delivered.
     Completed,
-    /// Refused at the door or handed back.
+    /// Rejected, or returned after it was accepted.
     Rejected,
-    /// Failed: given up, or not taken and not wanted again.
+    /// Failed: given up, or rejected for good.
     Failed,
 }
 
-/// Counts by class, and of delegations written whole.
+/// Counts by class, and of attempts written whole.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Figures {
-    /// Completed, rejected and failed, by the name of the class.
+    /// The numbers of completed, rejected and failed messages, by the name of the class.
     classes: BTreeMap<String, [u64; 3]>,
-    /// Messages that were not taken on, by the reason.
+    /// The number of rejected messages, by reason.
     not_taken: BTreeMap<&'static str, u64>,
-    /// Messages written whole to endpoints, each attempt once.
+    /// Attempts written whole to endpoints, each counted once.
     pub upstream: u64,
     /// How far the process has come since its start.
     pub start: Start,
 }
 
-/// What a look at the core adds to the counts.
+/// Metrics that are computed from the core when they are read.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Now {
-    /// Messages taken and not yet ended.
+pub struct Snapshot {
+    /// Messages accepted and not yet ended.
     pub pending: usize,
-    /// Endpoints in the list.
+    /// Endpoints on the list.
     pub members: usize,
-    /// Endpoints of the list that are avoided now, by hand or by choice.
+    /// Endpoints on the list that are avoided now, by an operator block or by the decision module.
     pub unavailable: usize,
-    /// Unsafe messages handed in again that were answered without a call.
+    /// Repeated submissions of at-most-once messages that were answered without an attempt.
     pub unproven: u64,
-    /// What the rules on sending and closing did not allow: see [`crate::guard::Counts`].
+    /// Refusals and violations of the rules on sending and closing: see [`crate::guard::Counts`].
     pub guard: serde_json::Value,
-    /// What is known of the other dispatchers; null where nothing is copied.
+    /// What is known of the other dispatchers; null where replication is disabled.
     pub replication: serde_json::Value,
 }
 
-/// How far a process has come since its start, and from what it began.
+/// How far a process has come since its start, and what it started from.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Start {
     /// `read`, `recovering` or `serving`.
     pub stage: &'static str,
-    /// What its folder was: see [`crate::recovery::Life::name`].
+    /// The state of its folder at the start: see [`crate::recovery::Life::name`].
     pub folder: &'static str,
-    /// Which life of the folder it is, from 1.
+    /// The incarnation of the state folder, from 1.
     pub life: u64,
-    /// How old the kept list was, in milliseconds; none: there was none, or nobody can tell.
+    /// The age of the cached endpoint list in milliseconds; `None` if there was none, or its age is unknown.
     pub kept_age_ms: Option<u64>,
-    /// Lists that were refused for an older revision than the kept one's.
+    /// Endpoint lists that were refused because their revision was older than that of the cached list.
     pub older_lists: u64,
 }
 
 impl Figures {
-    /// One more message of a known class ended so.
-    pub fn count(&mut self, class: &str, tally: Tally) {
-        // Only classes of the settings come here: the map stays as small as they are.
+    /// Counts a message of a configured class that ended.
+    pub fn count(&mut self, class: &str, tally: ClientOutcome) {
+        // Only configured classes are counted, which bounds the size of the map.
         let counts = self.classes.entry(class.to_string()).or_default();
         counts[tally as usize] += 1;
     }
 
-    /// One more message was not taken on, for this reason.
+    /// Counts a rejected message by its reason.
     pub fn not_taken(&mut self, why: &'static str) {
         *self.not_taken.entry(why).or_default() += 1;
     }
 
-    /// So many of a class ended so.
-    pub fn of(&self, class: &str, tally: Tally) -> u64 {
+    /// The number of messages of a class that ended in this way.
+    pub fn of(&self, class: &str, tally: ClientOutcome) -> u64 {
         self.classes.get(class).map_or(0, |c| c[tally as usize])
     }
 
-    /// The figures as one line of JSON; every class of the settings is there, also with nothing counted.
-    pub fn json(&self, classes: &[String], now: Now) -> String {
-        let by = |tally: Tally| {
+    /// The metrics as one line of JSON. Every configured class appears, also if nothing was counted for it.
+    pub fn json(&self, classes: &[String], now: Snapshot) -> String {
+        let by = |tally: ClientOutcome| {
             let all = classes.iter().map(|c| (c.clone(), serde_json::Value::from(self.of(c, tally))));
             serde_json::Value::Object(all.collect())
         };
         serde_json::json!({
-            "completed": by(Tally::Completed),
-            "rejected": by(Tally::Rejected),
-            "failed": by(Tally::Failed),
+            "completed": by(ClientOutcome::Completed),
+            "rejected": by(ClientOutcome::Rejected),
+            "failed": by(ClientOutcome::Failed),
             "not_taken": self.not_taken,
             "upstream_requests": self.upstream,
             "pending": now.pending,
@@ -109,15 +109,15 @@
     use super::*;
 
     #[test]
-    fn every_class_is_shown_and_each_count_is_its_own() {
+    fn every_class_is_listed_with_its_own_counts() {
         let mut f = Figures::default();
-        f.count("a", Tally::Completed);
-        f.count("a", Tally::Completed);
-        f.count("b", Tally::Failed);
+        f.count("a", ClientOutcome::Completed);
+        f.count("a", ClientOutcome::Completed);
+        f.count("b", ClientOutcome::Failed);
         f.upstream = 3;
         let text = f.json(
             &["a".into(), "b".into()],
-            Now { pending: 4, members: 5, unavailable: 1, unproven: 2, ..Now::default() },
+            Snapshot { pending: 4, members: 5, unavailable: 1, unproven: 2, ..Snapshot::default() },
         );
         let v: serde_json::Value = serde_json::from_str(&text).unwrap();
         assert_eq!(v["completed"]["a"], 2);
--- a/src/dispatch/hints.rs
+++ b/src/dispatch/hints.rs
@@ -1,10 +1,12 @@
-//! Hints: what outlived the last process says where to begin, and how carefully; never what is so now.
+//! Recovery after a start: what outlived the last process decides where to begin and how carefully, but is
+//! never taken for the current state.
 //!
-//! Calls to each member climb from the rate of the last life. An unsafe message waits for a member that the registry
-//! named, or that answered, since the start. With a folder that cannot vouch for an earlier life, an unsafe message that
-//! is handed in again gets its final answer without a call. All of it is the operators' choice.
+//! The rate of calls to each member ramps up from the rate of the last incarnation. A message that may run at
+//! most once waits until the registry has listed an endpoint of its destination, or one has answered, since
+//! the start. With a state folder that cannot vouch for an earlier incarnation, a repeated submission of such
+//! a message gets its final answer without an attempt. All of it is optional.
 
-use super::{Core, Frozen};
+use super::{Core, Withheld};
 use crate::api::*;
 use crate::config::WorkerList;
 use crate::journal::CallNo;
@@ -14,291 +16,321 @@
 use lilacbank_limits::ramp::{Former, Health, Memory, Ramp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// While unsafe messages wait for a member, one of its endpoints is checked this often.
-const CHECK_EVERY: Ms = 500.0;
-/// A call kept back because its endpoint is not confirmed is decided on again after so long.
-const UNCONFIRMED_REST: Ms = 100.0;
-/// An unsafe message that waits is handed back so long before its time is up: its client hears it in time.
-const BACK_BEFORE: Ms = 200.0;
+/// While at-most-once messages wait for a member, one of its endpoints is probed this often.
+const PROBE_INTERVAL: Ms = 500.0;
+/// The delay before an attempt is decided on again that was held back because its endpoint is not confirmed.
+const UNCONFIRMED_RETRY_DELAY: Ms = 100.0;
+/// An at-most-once message that waits in vain is returned this long before its deadline, so that its client
+/// learns of it in time.
+const RETURN_MARGIN: Ms = 200.0;
 
-/// What a start knows of the life before.
+/// What a start knows of earlier incarnations.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Past {
-    /// What the operators want of it.
+    /// The configured recovery behaviour.
     pub recovery: Recovery,
-    /// What the last life remembered of each member.
+    /// What the last incarnation remembered of each member.
     pub former: BTreeMap<String, Former>,
-    /// The folder cannot vouch for an earlier life.
+    /// The state folder cannot vouch for an earlier incarnation.
     pub unproven: bool,
-    /// It died again and again: it begins with half of what it would.
+    /// The process has crashed repeatedly: it begins at half the rate.
     pub crashing: bool,
 }
 
-/// The stage's own state; nothing of it is used where the operators did not enable it.
+/// The state of recovery; unused where recovery is disabled.
 #[derive(Debug)]
-pub(super) struct Hints {
+pub(super) struct RecoveryState {
     spec: Recovery,
     ramp: Option<Ramp>,
     memory: Memory,
-    confirmed: BTreeSet<RouteId>,
-    /// Until then an unsafe message handed in again may be one of a lost life.
+    confirmed_endpoints: BTreeSet<RouteId>,
+    /// Until then a repeated submission of an at-most-once message may have been sent by a lost incarnation.
     unproven_until: Ms,
     next_check: Ms,
-    /// Messages may wait for a member; looked at anew with each check.
-    waits: bool,
+    /// Messages may wait for a member; updated with each check.
+    has_waiting: bool,
     random: Random,
 }
 
-impl Hints {
-    pub(super) fn new(now: Ms, past: Past, settings: &Settings) -> Hints {
+impl RecoveryState {
+    pub(super) fn new(now: Ms, past: Past, settings: &Settings) -> RecoveryState {
         let Past { recovery: spec, mut former, unproven, crashing } = past;
-        let on = spec.enabled;
+        let enabled = spec.enabled;
         if crashing {
             former.values_mut().for_each(|f| f.health.rate /= 2.0);
         }
         let first = if crashing { spec.first_rate / 2.0 } else { spec.first_rate };
-        let ramp = (on && spec.ramp).then(|| Ramp::begin(now, first, former));
-        // What an earlier life took is over by then.
+        let ramp = (enabled && spec.ramp).then(|| Ramp::begin(now, first, former));
+        // By then every message that an earlier incarnation accepted has reached its deadline.
         let longest = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).map(|c| c.deadline);
-        let unproven = on && spec.refuse_again && unproven;
-        Hints {
+        let unproven = enabled && spec.refuse_again && unproven;
+        RecoveryState {
             ramp,
             memory: Memory::default(),
-            confirmed: BTreeSet::new(),
+            confirmed_endpoints: BTreeSet::new(),
             unproven_until: if unproven { now + longest.fold(0.0, f64::max) } else { f64::MIN },
             next_check: now,
-            waits: false,
+            has_waiting: false,
             random: Random::new(settings.seed ^ 0x48_1415),
             spec,
         }
     }
 
-    fn holds_unsafe(&self) -> bool {
+    fn withholds_at_most_once(&self) -> bool {
         self.spec.enabled && self.spec.hold_unsafe
     }
 
-    /// Is any member's climb still on?
-    pub(super) fn climbs(&self) -> bool {
+    /// Whether the rate of any member is still ramping up.
+    pub(super) fn is_ramping(&self) -> bool {
         self.ramp.is_some()
     }
 }
 
 impl Core {
-    /// What shares a limit with the route: its own id, or its destination's.
-    fn member_of(&self, route: RouteId) -> Option<String> {
-        let w = self.worker(route)?;
+    /// Identifies what shares a limit with the endpoint: its own id, or that of its destination.
+    fn limit_group(&self, route: RouteId) -> Option<String> {
+        let w = self.endpoint(route)?;
         Some(if self.settings.kind(w.kind).apart { w.uid.clone() } else { format!("dest {}", w.dest) })
     }
 
-    /// Takes what a start knows of the life before; before any list.
+    /// Sets what the start knows of earlier incarnations; called before any endpoint list arrives.
     pub fn begin_from(&mut self, now: Ms, past: Past) {
-        self.hints = Hints::new(now, past, &self.settings);
+        self.recovery = RecoveryState::new(now, past, &self.settings);
     }
 
-    /// News of the list: climbs begin; what the registry told, not the last life, is confirmed.
-    pub(super) fn hints_listed(&mut self, now: Ms, told: &[RouteId], cached: bool) {
-        if !self.hints.spec.enabled {
+    /// The endpoint list has changed: ramps begin, and endpoints are confirmed if they come from the registry
+    /// and not from the cached list.
+    pub(super) fn recovery_list_changed(&mut self, now: Ms, listed: &[RouteId], cached: bool) {
+        if !self.recovery.spec.enabled {
             return;
         }
-        for route in told {
-            let Some(member) = self.member_of(*route) else { continue };
-            let draw = self.hints.random.next();
-            if let Some(ramp) = &mut self.hints.ramp {
+        for route in listed {
+            let Some(member) = self.limit_group(*route) else { continue };
+            let draw = self.recovery.random.next();
+            if let Some(ramp) = &mut self.recovery.ramp {
                 ramp.listed(now, &member, draw);
             }
-            self.touch(*route);
-            if !cached && self.worker(*route).is_some_and(|w| w.listing == Listing::Ready) {
-                self.confirm(*route);
+            self.mark_capacity_changed(*route);
+            if !cached && self.endpoint(*route).is_some_and(|w| w.listing == Listing::Ready) {
+                self.confirm_endpoint(*route);
             }
         }
-        let members: BTreeSet<String> = self.workers.keys().filter_map(|r| self.member_of(*r)).collect();
-        self.hints.memory.keep(|m| members.contains(m));
-        let workers = &self.workers;
-        self.hints.confirmed.retain(|r| workers.contains_key(r));
+        let members: BTreeSet<String> = self.endpoints.keys().filter_map(|r| self.limit_group(*r)).collect();
+        self.recovery.memory.keep(|m| members.contains(m));
+        let endpoints = &self.endpoints;
+        self.recovery.confirmed_endpoints.retain(|r| endpoints.contains_key(r));
     }
 
-    /// The registry says that nothing has changed since the list that is held.
+    /// The registry reports that the endpoint list has not changed.
     pub fn list_is_current(&mut self) {
-        if self.hints.holds_unsafe() && self.hints.confirmed.len() < self.workers.len() {
-            let ready =
-                self.workers.iter().filter(|(_, w)| w.gone.is_none() && w.worker.listing == Listing::Ready);
+        if self.recovery.withholds_at_most_once()
+            && self.recovery.confirmed_endpoints.len() < self.endpoints.len()
+        {
+            let ready = self
+                .endpoints
+                .iter()
+                .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.listing == Listing::Ready);
             let ready: Vec<RouteId> = ready.map(|(r, _)| *r).collect();
-            ready.into_iter().for_each(|r| self.confirm(r));
+            ready.into_iter().for_each(|r| self.confirm_endpoint(r));
         }
     }
 
-    /// The member is there: unsafe messages that waited for it go to the module.
-    fn confirm(&mut self, route: RouteId) {
-        if !self.hints.holds_unsafe() || !self.hints.confirmed.insert(route) {
+    /// Confirms an endpoint: at-most-once messages that waited for its destination go to the decision module.
+    fn confirm_endpoint(&mut self, route: RouteId) {
+        if !self.recovery.withholds_at_most_once() || !self.recovery.confirmed_endpoints.insert(route) {
             return;
         }
-        let Some(dest) = self.worker(route).map(|w| w.dest) else { return };
-        let waits = |c: &super::Call| c.frozen == Some(Frozen::Unconfirmed) && c.taken.dest == dest;
-        let waiting: Vec<CallNo> = self.calls.iter().filter(|(_, c)| waits(c)).map(|(no, _)| *no).collect();
+        let Some(dest) = self.endpoint(route).map(|w| w.dest) else { return };
+        let waits = |c: &super::HeldMessage| {
+            c.withheld == Some(Withheld::EndpointUnconfirmed) && c.taken.dest == dest
+        };
+        let waiting: Vec<CallNo> =
+            self.messages.iter().filter(|(_, c)| waits(c)).map(|(no, _)| *no).collect();
         waiting.into_iter().for_each(|no| self.resume(no));
     }
 
-    /// Does an unsafe message of this class have to wait for its destination? If so it is looked after from now on.
-    pub(super) fn is_unconfirmed(&mut self, class: &str, dest: DestId) -> bool {
-        let waits = self.hints.holds_unsafe()
-            && self.is_unsafe_class(class)
-            && !self.routes_of.get(&dest).into_iter().flatten().any(|r| self.hints.confirmed.contains(r));
-        self.hints.waits |= waits;
+    /// Whether a message of this class has to wait for its destination to be confirmed. If so, waiting
+    /// messages are checked from now on.
+    pub(super) fn must_wait_for_endpoint(&mut self, class: &str, dest: DestId) -> bool {
+        let waits = self.recovery.withholds_at_most_once()
+            && self.is_at_most_once_class(class)
+            && !self
+                .endpoints_of
+                .get(&dest)
+                .into_iter()
+                .flatten()
+                .any(|r| self.recovery.confirmed_endpoints.contains(r));
+        self.recovery.has_waiting |= waits;
         waits
     }
 
-    pub(super) fn is_unsafe_class(&self, class: &str) -> bool {
+    pub(super) fn is_at_most_once_class(&self, class: &str) -> bool {
         let class = crate::config::place(&self.names.classes, class);
         class.and_then(|c| self.settings.classes.get(c)).is_some_and(|c| c.effect == Effect::Unsafe)
     }
 
-    /// May this message, handed in again, have been sent by a life that the folder does not know of?
+    /// Whether this repeated submission may have been sent by an incarnation that the state folder knows
+    /// nothing of.
     pub(super) fn is_unproven(&self, now: Ms, class: &str, again: bool) -> bool {
-        again && now < self.hints.unproven_until && self.is_unsafe_class(class)
+        again && now < self.recovery.unproven_until && self.is_at_most_once_class(class)
     }
 
-    /// Whether a call may go to the route now; else the wait until it is decided on again.
-    pub(super) fn hinted(&mut self, now: Ms, no: CallNo, route: RouteId) -> Result<(), Ms> {
-        if !self.hints.spec.enabled {
+    /// Whether an attempt may go to the endpoint now; else the delay before it is decided on again.
+    pub(super) fn recovery_allows(&mut self, now: Ms, no: CallNo, route: RouteId) -> Result<(), Ms> {
+        if !self.recovery.spec.enabled {
             return Ok(());
         }
-        let class = self.calls.get(&no).map(|c| c.taken.class.clone()).unwrap_or_default();
-        if self.hints.holds_unsafe() && !self.hints.confirmed.contains(&route) && self.is_unsafe_class(&class)
+        let class = self.messages.get(&no).map(|c| c.taken.class.clone()).unwrap_or_default();
+        if self.recovery.withholds_at_most_once()
+            && !self.recovery.confirmed_endpoints.contains(&route)
+            && self.is_at_most_once_class(&class)
         {
-            return Err(UNCONFIRMED_REST);
+            return Err(UNCONFIRMED_RETRY_DELAY);
         }
-        let Some(member) = self.member_of(route) else { return Ok(()) };
-        let Some(ramp) = &mut self.hints.ramp else { return Ok(()) };
+        let Some(member) = self.limit_group(route) else { return Ok(()) };
+        let Some(ramp) = &mut self.recovery.ramp else { return Ok(()) };
         if let Some((0, again)) = ramp.room(now, &member) {
             self.counters.ramped += 1;
             return Err((again - now).max(1.0));
         }
         ramp.sent(&member);
-        self.touch(route);
+        self.mark_capacity_changed(route);
         Ok(())
     }
 
-    /// Calls that the climb leaves room for, and when there is more.
-    pub(super) fn climb_room(&mut self, now: Ms, route: RouteId) -> (u32, Ms) {
-        let Some(member) = self.member_of(route) else { return (u32::MAX, now) };
-        let room = self.hints.ramp.as_mut().and_then(|r| r.room(now, &member));
+    /// How many calls the ramp allows, and when it allows more.
+    pub(super) fn ramp_room(&mut self, now: Ms, route: RouteId) -> (u32, Ms) {
+        let Some(member) = self.limit_group(route) else { return (u32::MAX, now) };
+        let room = self.recovery.ramp.as_mut().and_then(|r| r.room(now, &member));
         room.unwrap_or((u32::MAX, now))
     }
 
-    /// The room of a route's destination has changed.
-    fn touch(&mut self, route: RouteId) {
-        if let Some(dest) = self.worker(route).map(|w| w.dest).filter(|_| self.hints.climbs()) {
+    /// Marks the capacity of an endpoint's destination as changed.
+    fn mark_capacity_changed(&mut self, route: RouteId) {
+        if let Some(dest) = self.endpoint(route).map(|w| w.dest).filter(|_| self.recovery.is_ramping()) {
             self.ceilings.remind(self.now, dest);
         }
     }
 
-    /// A call or probe ended: what it says of the member.
-    pub(super) fn hints_heard(&mut self, now: Ms, route: RouteId, outcome: Outcome, probe: bool) {
-        if !self.hints.spec.enabled {
+    /// Learns about the member from the end of an attempt or a probe.
+    pub(super) fn record_endpoint_response(
+        &mut self,
+        now: Ms,
+        route: RouteId,
+        outcome: Outcome,
+        probe: bool,
+    ) {
+        if !self.recovery.spec.enabled {
             return;
         }
-        let Some(member) = self.member_of(route) else { return };
+        let Some(member) = self.limit_group(route) else { return };
         let (answered, full) = match outcome {
             Outcome::Delivered | Outcome::Error => (true, false),
             Outcome::Refused => (true, true),
             Outcome::Late | Outcome::NoConnection | Outcome::Reset => (false, false),
             Outcome::Cancelled | Outcome::NotSent => {
-                // It says nothing of the member; a trial is free for the next call.
-                self.hints.ramp.iter_mut().for_each(|r| r.unheard(&member));
+                // This says nothing about the member; the next attempt may serve as the trial.
+                self.recovery.ramp.iter_mut().for_each(|r| r.unheard(&member));
                 return;
             }
         };
         if answered {
-            self.confirm(route);
+            self.confirm_endpoint(route);
             if !full && !probe {
-                self.hints.memory.answered(now, &member);
+                self.recovery.memory.answered(now, &member);
             }
         } else {
-            self.hints.memory.silent(now, &member);
+            self.recovery.memory.silent(now, &member);
         }
-        if let Some(ramp) = &mut self.hints.ramp {
+        if let Some(ramp) = &mut self.recovery.ramp {
             match answered {
                 true => ramp.heard(now, &member, full),
                 false => ramp.silent(&member),
             }
             if ramp.is_over(now) {
-                // Its last word: no bound any more.
-                self.hints.ramp = None;
-                self.room_told.keys().map(|k| k.0).collect::<BTreeSet<_>>().into_iter().for_each(|r| {
-                    if let Some(dest) = self.worker(r).map(|w| w.dest) {
-                        self.ceilings.remind(now, dest);
-                    }
-                });
+                // The ramp is over: capacity is reported once more, without its bound.
+                self.recovery.ramp = None;
+                self.reported_capacity.keys().map(|k| k.0).collect::<BTreeSet<_>>().into_iter().for_each(
+                    |r| {
+                        if let Some(dest) = self.endpoint(r).map(|w| w.dest) {
+                            self.ceilings.remind(now, dest);
+                        }
+                    },
+                );
             }
         }
-        self.touch(route);
+        self.mark_capacity_changed(route);
     }
 
-    /// What was learnt of the members, with the time of the newest evidence.
-    pub(super) fn hints_learnt(&self, now: Ms) -> Vec<(String, Health, Ms)> {
-        if !self.hints.spec.enabled {
+    /// What was learned about the members, with the time of the newest evidence.
+    pub(super) fn learned_health(&self, now: Ms) -> Vec<(String, Health, Ms)> {
+        if !self.recovery.spec.enabled {
             return Vec::new();
         }
-        self.hints.memory.learnt(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
+        self.recovery.memory.learnt(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
     }
 
-    /// Another dispatcher has fresher evidence of a member.
-    pub(super) fn hints_told(&mut self, now: Ms, member: &str, told: Former) {
-        if let Some(ramp) = &mut self.hints.ramp {
-            ramp.told(now, member, told);
+    /// Another dispatcher has newer evidence about a member.
+    pub(super) fn apply_peer_health(&mut self, now: Ms, member: &str, former: Former) {
+        if let Some(ramp) = &mut self.recovery.ramp {
+            ramp.told(now, member, former);
         }
-        let of = |r: &RouteId| self.member_of(*r).as_deref() == Some(member);
-        let routes: Vec<RouteId> = self.workers.keys().copied().filter(of).collect();
-        routes.into_iter().for_each(|r| self.touch(r));
+        let of = |r: &RouteId| self.limit_group(*r).as_deref() == Some(member);
+        let routes: Vec<RouteId> = self.endpoints.keys().copied().filter(of).collect();
+        routes.into_iter().for_each(|r| self.mark_capacity_changed(r));
     }
 
-    /// Unsafe messages that wait: one endpoint of theirs is checked now and then, and what waits in vain is handed back.
-    pub(super) fn hints_turn(&mut self, now: Ms) {
-        if !self.hints.waits || now < self.hints.next_check {
+    /// Checks waiting at-most-once messages: probes one endpoint of each of their destinations, and returns
+    /// messages that have waited in vain.
+    pub(super) fn recovery_turn(&mut self, now: Ms) {
+        if !self.recovery.has_waiting || now < self.recovery.next_check {
             return;
         }
         let mut dests = BTreeSet::new();
         let mut late = Vec::new();
-        for (no, c) in
-            self.calls.iter().filter(|(_, c)| c.frozen == Some(Frozen::Unconfirmed) && c.ending.is_none())
+        for (no, c) in self
+            .messages
+            .iter()
+            .filter(|(_, c)| c.withheld == Some(Withheld::EndpointUnconfirmed) && c.ending.is_none())
         {
             dests.insert(c.taken.dest);
-            if now + BACK_BEFORE + CHECK_EVERY >= c.taken.valid_until {
+            if now + RETURN_MARGIN + PROBE_INTERVAL >= c.taken.valid_until {
                 late.push(*no);
             }
         }
-        (self.hints.waits, self.hints.next_check) = (!dests.is_empty(), now + CHECK_EVERY);
-        let wait = NO_MEMBER_ADVICE.min(self.settings.max_advice);
-        // Nothing of them went out since the start, or before: their clients may hand them in again.
-        late.into_iter().for_each(|no| self.hand_back(now, no, wait));
+        (self.recovery.has_waiting, self.recovery.next_check) = (!dests.is_empty(), now + PROBE_INTERVAL);
+        let wait = NO_ENDPOINT_RETRY_AFTER.min(self.settings.max_advice);
+        // Nothing of them was sent since the start or before, so their clients may submit them again.
+        late.into_iter().for_each(|no| self.return_message(now, no, wait));
         if !self.settings.can_probe {
             return;
         }
         for dest in dests {
-            let routes = self.routes_of.get(&dest).cloned().unwrap_or_default();
-            let ready = |r: &&RouteId| self.worker(**r).is_some_and(|w| w.listing == Listing::Ready);
+            let routes = self.endpoints_of.get(&dest).cloned().unwrap_or_default();
+            let ready = |r: &&RouteId| self.endpoint(**r).is_some_and(|w| w.listing == Listing::Ready);
             let ready: Vec<RouteId> = routes.iter().filter(ready).copied().collect();
-            let pick = (self.hints.random.next() * ready.len() as f64) as usize;
+            let pick = (self.recovery.random.next() * ready.len() as f64) as usize;
             ready.get(pick).copied().into_iter().for_each(|r| self.probe(now, r));
         }
     }
 
-    /// When unsafe messages that wait are looked at again.
-    pub(super) fn hints_due(&self) -> Option<Ms> {
-        self.hints.waits.then_some(self.hints.next_check)
+    /// When waiting at-most-once messages are checked again.
+    pub(super) fn recovery_due(&self) -> Option<Ms> {
+        self.recovery.has_waiting.then_some(self.recovery.next_check)
     }
 
-    /// What is to be kept for the next life; none where the operators keep nothing.
+    /// What is stored for the next incarnation; `None` where recovery is disabled.
     pub fn kept(&self, now: Ms, installation: u32, rev: u64) -> Option<Kept> {
-        if !self.hints.spec.enabled {
+        if !self.recovery.spec.enabled {
             return None;
         }
-        let workers = self.workers.values().filter(|w| w.gone.is_none()).map(|w| w.worker.clone()).collect();
+        let workers =
+            self.endpoints.values().filter(|w| w.gone_since.is_none()).map(|w| w.endpoint.clone()).collect();
         let list = WorkerList { rev, whole: true, workers };
-        let health = self.hints.memory.all(now).map(|(m, h)| (m.to_string(), h));
+        let health = self.recovery.memory.all(now).map(|(m, h)| (m.to_string(), h));
         Some(Kept::new(installation, (now, self.journal.clocks()), &list, &self.names, health))
     }
 }
 
-/// Advice to the client of an unsafe message for which no member was confirmed in time.
-const NO_MEMBER_ADVICE: Ms = 500.0;
+/// The retry-after of the client of an at-most-once message whose destination was not confirmed in time.
+const NO_ENDPOINT_RETRY_AFTER: Ms = 500.0;
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,9 +1,10 @@
-//! The core of the dispatcher. It knows calls, delegations and workers, and no wire.
+//! The core of the dispatcher. It knows messages, attempts and endpoints, and does no network I/O.
 //!
-//! A call passes a chain of stages, one unit each: [`take_in`] checks what a front handed over, [`admit`] writes it
-//! down and numbers it, [`route`] lets the decision module choose, [`pace`] keeps what was promised, [`send`] starts a delegation, [`relay`] takes its
-//! outcome back and [`book`] ends the call. Fronts and worker connections put events in by methods and carry out the
-//! [`Order`]s that come back from [`Core::turn`].
+//! A message passes a chain of stages, one module each: [`take_in`] checks what a front end submits,
+//! [`admit`] numbers it and writes it to the journal, [`route`] runs the decision module, [`pace`] keeps the
+//! promised limits, [`send`] starts an attempt, [`relay`] takes its outcome back and [`book`] ends the
+//! message. Front ends and endpoint connections report events by calling methods of [`Core`] and carry out
+//! the [`Order`]s that [`Core::turn`] returns.
 
 mod admit;
 mod backlog;
@@ -40,38 +41,38 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use admit::NO_ROOM_ADVICE;
+use admit::NO_ROOM_RETRY_AFTER;
 pub use cells::CellSpec;
 use cells::Cells;
 pub use counters::Counters;
 pub use handover::Left;
-use hints::Hints;
 pub use hints::Past;
-use once::Once;
-use seats::Seats;
+use hints::RecoveryState;
+use once::AtMostOnce;
+use seats::Ownership;
 pub use seats::{MeshSpec, PeerSpec};
 pub use take_in::Submission;
 
-/// How long after its time is up a session's client may still come for a final answer.
+/// How long after a message's deadline its session may still fetch the final answer.
 const ANSWER_KEPT: Ms = 60_000.0;
 
-/// By which a front finds again who asked.
+/// Identifies the waiting client to its front end.
 pub type Ticket = u64;
 
-/// What a front tells a client at once.
+/// What a front end answers a client at once.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Taken on: its end is owed.
+    /// Accepted: the client is owed a final answer.
     Taken,
-    /// Not taken; the client may come again after so many milliseconds (0 tells nothing).
+    /// Rejected; the client may submit it again after this many milliseconds (0: no advice).
     Busy(Ms),
-    /// Not taken and not wanted again.
+    /// Rejected for good: the client must not submit it again.
     Failed(String),
-    /// Not taken: the tenant is served by another dispatcher.
+    /// Rejected: another dispatcher serves the tenant.
     Elsewhere {
-        /// After so many milliseconds it is worth asking there.
+        /// How many milliseconds the client waits before it asks the other dispatcher.
         wait: Ms,
-        /// Its name.
+        /// The other dispatcher's name.
         name: String,
         /// Where its RESP2 clients connect.
         resp: Option<SocketAddr>,
@@ -80,56 +81,58 @@
     },
 }
 
-/// A delegation to carry out: one attempt to hand a call to a worker.
+/// One attempt to deliver a message to an endpoint, to be carried out by a connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Delegation {
-    /// The call.
+    /// The message.
     pub no: CallNo,
-    /// Which of its delegations, from 0.
+    /// The number of the attempt within the message, from 0.
     pub attempt: u32,
-    /// The worker.
+    /// The endpoint.
     pub route: RouteId,
-    /// Where the worker is reached.
+    /// The endpoint's address.
     pub address: String,
-    /// What shares waits with this worker.
+    /// The destination; its endpoints share limits and waits.
     pub dest: DestId,
-    /// The id that the client gave.
+    /// The message id that the client chose.
     pub id: String,
-    /// Its idempotency key; may be empty.
+    /// The idempotency key; may be empty.
     pub idempotency: String,
-    /// The body.
+    /// The message body.
     pub body: Vec<u8>,
     /// How long the dispatcher waits for the answer.
     pub patience: Ms,
-    /// Later than this no byte of it may be written, however late its connection comes up: nobody drops a repeat any more.
+    /// No byte may be written after this time, however late the connection comes up: from then on the
+    /// endpoint no longer drops repeats.
     pub write_by: Ms,
 }
 
-/// How a delegation or a probe ended.
+/// How an attempt or a probe ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct End {
-    /// How.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The wait that was told; 0 if none.
+    /// The retry-after that the endpoint asked for; 0 if none.
     pub wait: Ms,
-    /// What was told of the limit.
+    /// What the endpoint reported of its limit.
     pub report: Report,
-    /// The call is over, as the platform says.
+    /// The platform has ended the message.
     pub over: bool,
-    /// Some of an answer had come.
+    /// A part of an answer was received.
     pub heard: bool,
-    /// The rule by which the wire did not write it.
+    /// The rule that kept the connection from writing the attempt.
     pub refused: Option<guard::Reason>,
-    /// How it is known that its endpoint counts it as over.
+    /// How it is known that the endpoint counts the attempt as over.
     pub confirmed: Option<guard::Confirmation>,
-    /// That is not known yet: a second end of the same delegation tells of it within this time.
+    /// The endpoint may not count the attempt as over yet: a second end of the same attempt reports that it
+    /// does, within this time.
     pub pending: Option<Ms>,
-    /// When it ended here, where it was then waited for its endpoint to know.
+    /// When the attempt ended here, if the report then waited until the endpoint knew.
     pub at: Option<Ms>,
 }
 
 impl End {
-    /// An end of which nothing more is known.
+    /// An end with nothing but its outcome.
     pub fn of(outcome: Outcome) -> End {
         let (wait, report, refused) = (0.0, Report::default(), None);
         let (over, heard, confirmed, pending, at) = (false, false, None, None, None);
@@ -137,200 +140,205 @@
     }
 }
 
-/// The final answer of a call that was taken on, to be told until it is confirmed.
+/// The final answer of an accepted message, to be sent until the client confirms it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Told {
-    /// The call; confirm with this number.
+    /// The message's number, by which the answer is confirmed.
     pub no: CallNo,
-    /// Who handed it in, and under which id.
+    /// The client, and the id that it gave the message.
     pub identity: Identity,
-    /// How it ended.
+    /// How the message ended.
     pub ending: Ending,
-    /// What its front had left with it.
+    /// The front end's reply address, stored with the message.
     pub reply: Vec<u8>,
-    /// From then on nobody waits for it any more.
+    /// After this time no client waits for the answer.
     pub until: Ms,
 }
 
-/// Something that the core wants done on a wire.
+/// An action that the core wants the network side to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
-    /// Tell a client that waits.
+    /// Answer a waiting client.
     Answer {
-        /// Who.
+        /// The client.
         ticket: Ticket,
-        /// What.
+        /// The answer.
         verdict: Verdict,
     },
-    /// Start a delegation; its end is told by [`Core::outcome`].
+    /// Start an attempt; its end is reported to [`Core::outcome`].
     Delegate(Delegation),
-    /// Break a delegation off. Its end is told by [`Core::outcome`], once its endpoint knows of it.
+    /// Cancel an attempt. Its end is reported to [`Core::outcome`] once the endpoint knows of it.
     Abandon {
-        /// The call.
+        /// The message.
         no: CallNo,
-        /// Which delegation.
+        /// The number of the attempt.
         attempt: u32,
-        /// How it ends if it was written and no answer comes after all.
+        /// The outcome if the attempt was written and no answer comes after all.
         outcome: Outcome,
     },
-    /// What shares this wait is told to wait: delegations that were not written yet must not go out.
+    /// Attempts that have not been written yet must not go out: whatever shares this wait was asked to wait,
+    /// or the endpoint takes nothing new.
     Hold {
         /// The destination.
         dest: DestId,
-        /// The worker, where its waits are its own.
+        /// The endpoint, where its waits are its own.
         route: Option<RouteId>,
     },
-    /// Check a worker; its end is told by [`Core::probed`].
+    /// Probe an endpoint; the result is reported to [`Core::probed`].
     Probe {
-        /// The worker.
+        /// The endpoint.
         route: RouteId,
         /// Its destination.
         dest: DestId,
-        /// Where it is reached.
+        /// Its address.
         address: String,
     },
-    /// Close idle connections to a worker.
+    /// Close idle connections to an endpoint.
     CloseIdle {
-        /// The worker.
+        /// The endpoint.
         route: RouteId,
-        /// Where it is reached.
+        /// Its address.
         address: String,
     },
-    /// Tell the final answer, until [`Core::confirmed`].
+    /// Send a final answer until [`Core::confirmed`] is called for it.
     Tell(Told),
-    /// Ask the registry anew.
+    /// Query the registry again.
     Watch,
-    /// Tell another dispatcher; it may be lost.
+    /// Send a peer message about tenant ownership; it may be lost.
     Say {
-        /// Which.
+        /// The receiving dispatcher.
         to: String,
-        /// What.
+        /// The peer message.
         envelope: Box<Envelope>,
     },
-    /// Tell another dispatcher of the copies; it may be lost.
+    /// Send a peer message about replication; it may be lost.
     Mate {
-        /// Which.
+        /// The receiving dispatcher.
         to: String,
-        /// What.
+        /// The peer message.
         envelope: Box<MateEnvelope>,
     },
-    /// The endpoints out by hand have changed: they are to be kept for the next process.
+    /// The set of blocked endpoints has changed and has to be stored for the next process.
     KeepBans,
-    /// Answer a tool on its own connection.
+    /// Answer an operator's tool on its own connection.
     Reply {
-        /// Which.
+        /// The connection.
         conn: usize,
-        /// What.
+        /// The answer.
         envelope: Box<Envelope>,
     },
 }
 
-/// A delegation that is out.
+/// An attempt that has started and not ended.
 #[derive(Debug, Clone)]
-struct Out {
+struct OutstandingAttempt {
     attempt: u32,
     route: RouteId,
-    sent: Ms,
-    until: Ms,
-    /// Its mark is in the journal.
-    marked: bool,
-    /// Its last byte has been written: from then on it may run.
+    sent_at: Ms,
+    timeout_at: Ms,
+    /// The attempt's record is in the journal.
+    recorded: bool,
+    /// The last byte has been written: from then on the attempt may run.
     written: bool,
-    /// It was broken off then, and its wire is to tell how it ended.
-    broken_off: Option<(Ms, Outcome)>,
-    /// Where it is counted.
+    /// When cancellation was requested, and the outcome then; the connection still has to report the end.
+    cancel_requested: Option<(Ms, Outcome)>,
+    /// What it counts against promised limits.
     charge: Option<pace::Charge>,
 }
 
-impl Out {
-    /// When it ends by itself, of a call that may be delivered until `valid_until`.
-    fn due(&self, valid_until: Ms) -> Ms {
-        self.broken_off.map_or(self.until, |_| valid_until)
+impl OutstandingAttempt {
+    /// When the attempt ends by itself: at its timeout, or at the message's deadline `valid_until` once
+    /// cancellation was requested.
+    fn ends_at(&self, valid_until: Ms) -> Ms {
+        self.cancel_requested.map_or(self.timeout_at, |_| valid_until)
     }
 }
 
-/// Why the module does not have a call that has not ended.
+/// Why the decision module does not hold a message that has not ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Frozen {
-    /// Its tenant is on its way to another dispatcher.
-    Moving,
-    /// Its tenant has gone, and it ends here: what is out comes back, and nothing more is tried.
-    Behind,
-    /// One of its key may run still where its tenant comes from.
-    Parked,
-    /// One of its key may be held by another process that serves on the folder, during an upgrade.
-    Beside,
-    /// No endpoint of its destination is confirmed since the start.
-    Unconfirmed,
-    /// The module holds as many as it may already.
-    Queued,
-    /// Another dispatcher may act on it, or one of its key waits for that.
-    Still,
+enum Withheld {
+    /// Its tenant is being moved to another dispatcher.
+    TenantMoving,
+    /// Its tenant has moved away and the message ends here: an outstanding attempt may still end, no
+    /// other is started.
+    LeftBehind,
+    /// A message of the same key may still run at the dispatcher that the tenant came from.
+    KeyParked,
+    /// A message of the same key may be held by the sibling process, during an upgrade.
+    SiblingProcess,
+    /// No endpoint of its destination has been confirmed since the start.
+    EndpointUnconfirmed,
+    /// The decision module already holds as many restored messages as it may.
+    Backlogged,
+    /// Another dispatcher may act on it, or an earlier message of its key is suspended for that reason.
+    Suspended,
 }
 
-/// A call that was taken on.
+/// An accepted message.
 #[derive(Debug, Clone)]
-struct Call {
+struct HeldMessage {
     taken: crate::journal::Taken,
     attempts: u32,
-    /// How the last attempt of this process ended, for the log of the next.
-    last: Option<Outcome>,
+    /// The outcome of the last attempt by this process; logged when the next one starts.
+    last_outcome: Option<Outcome>,
+    /// When and in which zone the first attempt was sent that may have run.
     ran: Option<Sent>,
-    out: Option<Out>,
+    out: Option<OutstandingAttempt>,
     ending: Option<Ending>,
     /// The cell that it belongs to.
     cell: usize,
-    /// Bytes that it needs in a compacted journal.
+    /// Bytes that it takes in a compacted journal.
     size: u64,
-    frozen: Option<Frozen>,
-    /// It was delivered as its time was up, and the platform may not have taken it for delivered: the module hears of it,
-    /// and its key and slot come free, once the platform has confirmed the end.
-    unheard: Option<Ended>,
+    withheld: Option<Withheld>,
+    /// The end of an attempt that delivered the message close to its deadline, so that the platform may not
+    /// have counted it as delivered. The decision module learns of it, and frees the key and the slot, once
+    /// the platform has confirmed the final answer.
+    unreported_end: Option<Ended>,
 }
 
-/// What is remembered of an identity: the call that it named, or how that call ended.
+/// What is remembered of an identity: the message that it names, or how that message ended.
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownIdentity {
     no: CallNo,
     verdict: Verdict,
     ending: Option<Ending>,
     until: Ms,
-    /// Its tenant, where tenants may move.
+    /// The tenant, where tenants may move; else empty.
     tenant: String,
 }
 
-/// A worker of the list, and since when it is gone from it.
+/// An endpoint of the list, and since when it is gone from the list.
 #[derive(Debug, Clone)]
-struct Listed {
-    worker: Worker,
-    gone: Option<Ms>,
+struct ListedEndpoint {
+    endpoint: Worker,
+    gone_since: Option<Ms>,
 }
 
-/// What the core is built from.
+/// What a [`Core`] is built from.
 pub struct Parts {
-    /// The decision module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Their names.
+    /// Names of the classes, tenants, zones and kinds in the settings.
     pub names: Names,
     /// The journal.
     pub journal: Journal,
-    /// What was promised of the members' limits.
+    /// The limits promised to the members.
     pub promises: Vec<Promise>,
-    /// Classes that are never repeated, each with the span for which a message is remembered after its end.
+    /// At-most-once classes, each with the span for which a message is remembered after its end.
     pub once: Vec<(String, Ms)>,
-    /// The cells that it serves; none: one, undivided.
+    /// The cells that this dispatcher serves; if empty, it has a single cell.
     pub cells: Vec<CellSpec>,
-    /// The map that it shares with other dispatchers, if there are any.
+    /// The cell map that it shares with other dispatchers, if there are any.
     pub mesh: Option<MeshSpec>,
 }
 
-/// What a reload takes over.
+/// What a configuration reload replaces.
 pub struct Reloaded {
     /// The settings, under the names below.
     pub settings: Settings,
-    /// The names: those that were there keep their numbers.
+    /// The names: those that existed before keep their numbers.
     pub names: Names,
-    /// Names that are only kept for what is held.
+    /// Names that are no longer configured and are kept only for messages that are still held.
     pub retired: Names,
     /// See [`Parts::promises`].
     pub promises: Vec<Promise>,
@@ -340,151 +348,153 @@
     pub mesh: Option<MeshSpec>,
 }
 
-/// The dispatcher without its wires.
+/// The dispatcher without its network I/O.
 pub struct Core {
     cells: Cells,
-    seats: Seats,
+    ownership: Ownership,
     settings: Settings,
     names: Names,
     journal: Journal,
-    workers: BTreeMap<RouteId, Listed>,
-    worker_of: HashMap<String, RouteId>,
+    endpoints: BTreeMap<RouteId, ListedEndpoint>,
+    endpoint_by_id: HashMap<String, RouteId>,
     next_route: RouteId,
-    calls: BTreeMap<CallNo, Call>,
-    known: HashMap<Identity, Known>,
-    /// Identities by when they may be forgotten.
-    fading: BTreeSet<(u64, Identity)>,
-    next_no: CallNo,
-    /// The first number of this process's own calls.
-    first_no: CallNo,
-    /// What outlived the last process.
-    hints: Hints,
-    /// Copies of messages at other dispatchers, where the operators want them.
-    copying: Option<Box<copying::Copying>>,
-    /// Calls of an earlier process that the module does not hold yet.
+    messages: BTreeMap<CallNo, HeldMessage>,
+    identities: HashMap<Identity, KnownIdentity>,
+    /// Identities, ordered by when they may be forgotten.
+    identity_expiry: BTreeSet<(u64, Identity)>,
+    next_message_no: CallNo,
+    /// The number of the first message that this process accepts itself.
+    first_message_no: CallNo,
+    /// State for the start after an earlier process: endpoint confirmation, rate ramps and member health.
+    recovery: RecoveryState,
+    /// Replication of messages to other dispatchers, where it is enabled.
+    replication: Option<Box<copying::ReplicationState>>,
+    /// Restored messages that the decision module does not hold yet.
     backlog: backlog::Backlog,
-    /// Another process on the folder, during an upgrade.
-    beside: beside::Beside,
-    /// Waits that endpoints told this dispatcher.
-    waits: waits::Waits,
-    /// Calls of ordered keys that are not over.
-    order: order::KeyOrder,
+    /// The sibling process on the state folder, during an upgrade.
+    sibling: beside::SiblingProcess,
+    /// Retry-afters that endpoints asked this dispatcher for.
+    waits: waits::RetryAfters,
+    /// Messages of ordered keys that have not ended.
+    key_order: order::KeyOrder,
     /// Attempts that have ended here while their endpoints may not know yet.
-    unconfirmed: unconfirmed::Attempts,
-    /// What the rules on sending and closing did not allow.
+    unconfirmed: unconfirmed::UnconfirmedAttempts,
+    /// Refusals and violations of the rules on sending and closing.
     pub guard: guard::Counts,
-    /// The last file that was taken over: it may still be there.
-    adopted: Option<FileMark>,
-    /// The journal's file still holds what a later process has taken over and gone on with.
-    outdated: bool,
-    /// Attempts that could not be written down, and compactions.
-    unwritten: Complaint,
-    uncompacted: Complaint,
-    /// When the deferred records of the journal are next tried.
+    /// The journal file that was taken over last; it may still exist.
+    adopted_file: Option<FileMark>,
+    /// The journal file still holds records that a later process has taken over and continued.
+    superseded: bool,
+    /// Limits how often failed journal writes are logged.
+    append_errors: Complaint,
+    /// Limits how often failed compactions are logged.
+    compaction_errors: Complaint,
+    /// When writing the deferred journal records is next tried.
     flush_at: Ms,
     /// When a compaction may be tried again.
     compact_at: Ms,
     live_bytes: u64,
-    known_bytes: u64,
-    /// How calls ended whose clients wait for the verdict of this turn.
-    answers: HashMap<CallNo, Verdict>,
+    identity_bytes: u64,
+    /// Verdicts on messages that ended while their clients still wait for the verdict of this turn.
+    verdicts: HashMap<CallNo, Verdict>,
     /// Clients that wait for the verdict of this turn.
-    asking: Vec<(CallNo, Ticket)>,
+    awaiting_verdict: Vec<(CallNo, Ticket)>,
     orders: Vec<Order>,
     ceilings: Ceilings,
-    once: Once,
-    /// Routes by destination.
-    routes_of: BTreeMap<DestId, Vec<RouteId>>,
-    /// Room as the module knows it.
-    room_told: HashMap<(RouteId, usize), (u32, Ms, u32)>,
-    /// Probes that are counted.
+    at_most_once: AtMostOnce,
+    /// Endpoints by destination.
+    endpoints_of: BTreeMap<DestId, Vec<RouteId>>,
+    /// The capacity last reported to the decision module, by endpoint and cell: calls, when there is more,
+    /// and connections.
+    reported_capacity: HashMap<(RouteId, usize), (u32, Ms, u32)>,
+    /// Outstanding probes, and what each counts against promised limits.
     probes: HashMap<RouteId, Option<pace::Charge>>,
-    /// Names that the settings have no more, while calls that bear them are held.
+    /// Names that are no longer configured, while messages that use them are held.
     retired: Names,
-    /// The last moment that it was told.
+    /// The time of the last event.
     now: Ms,
-    /// When the module of a cell wants to be woken.
-    alarms: Vec<(Ms, usize, u64)>,
+    /// Timers that the decision modules have set: time, cell and token.
+    timers: Vec<(Ms, usize, u64)>,
     closing: Option<Ms>,
-    /// What was done so far.
+    /// Totals since the start.
     pub counters: Counters,
-    /// The figures of the operators' door.
+    /// Metrics of the control interface.
     pub figures: figures::Figures,
-    /// Endpoints out by hand, by id.
-    down: BTreeSet<String>,
-    /// Routes that the module probes and has not sent to since: it avoids them.
+    /// Ids of the endpoints that operators have blocked.
+    blocked_endpoints: BTreeSet<String>,
+    /// Endpoints that the decision module has probed and not sent to since.
     avoided: BTreeSet<RouteId>,
 }
 
 impl Core {
-    /// A core that holds nothing yet.
+    /// A core that holds no messages.
     pub fn new(parts: Parts) -> Core {
         Core {
             backlog: backlog::Backlog::default(),
-            copying: None,
-            hints: Hints::new(0.0, Past::default(), &parts.settings),
+            replication: None,
+            recovery: RecoveryState::new(0.0, Past::default(), &parts.settings),
             cells: Cells::new(&parts.settings, &parts.cells, &parts.promises, parts.journal.room()),
-            seats: Seats::new(parts.mesh),
+            ownership: Ownership::new(parts.mesh),
             settings: parts.settings,
             names: parts.names,
             journal: parts.journal,
-            workers: BTreeMap::new(),
-            worker_of: HashMap::new(),
+            endpoints: BTreeMap::new(),
+            endpoint_by_id: HashMap::new(),
             next_route: 0,
-            calls: BTreeMap::new(),
-            known: HashMap::new(),
-            fading: BTreeSet::new(),
-            next_no: 1,
-            first_no: 1,
-            beside: beside::Beside::default(),
-            waits: waits::Waits::default(),
-            order: order::KeyOrder::default(),
-            unconfirmed: unconfirmed::Attempts::default(),
+            messages: BTreeMap::new(),
+            identities: HashMap::new(),
+            identity_expiry: BTreeSet::new(),
+            next_message_no: 1,
+            first_message_no: 1,
+            sibling: beside::SiblingProcess::default(),
+            waits: waits::RetryAfters::default(),
+            key_order: order::KeyOrder::default(),
+            unconfirmed: unconfirmed::UnconfirmedAttempts::default(),
             guard: guard::Counts::default(),
-            adopted: None,
-            outdated: false,
-            unwritten: Complaint::default(),
-            uncompacted: Complaint::default(),
+            adopted_file: None,
+            superseded: false,
+            append_errors: Complaint::default(),
+            compaction_errors: Complaint::default(),
             flush_at: 0.0,
             compact_at: 0.0,
             live_bytes: 0,
-            known_bytes: 0,
-            answers: HashMap::new(),
-            asking: Vec::new(),
+            identity_bytes: 0,
+            verdicts: HashMap::new(),
+            awaiting_verdict: Vec::new(),
             orders: Vec::new(),
             ceilings: Ceilings::new(parts.promises),
-            once: Once::new(parts.once),
-            routes_of: BTreeMap::new(),
-            room_told: HashMap::new(),
+            at_most_once: AtMostOnce::new(parts.once),
+            endpoints_of: BTreeMap::new(),
+            reported_capacity: HashMap::new(),
             probes: HashMap::new(),
             retired: Names::default(),
             now: 0.0,
-            alarms: Vec::new(),
+            timers: Vec::new(),
             closing: None,
             counters: Counters::default(),
             figures: figures::Figures::default(),
-            down: BTreeSet::new(),
+            blocked_endpoints: BTreeSet::new(),
             avoided: BTreeSet::new(),
         }
     }
 
-    /// The settings that it runs under.
+    /// The current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Their names.
+    /// The names in the current settings.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// Calls whose end is still open or not yet confirmed.
+    /// The number of messages that have not ended or whose final answer is not confirmed.
     pub fn holds(&self) -> usize {
-        self.calls.len()
+        self.messages.len()
     }
 
-    /// The other journal of this folder: of a process that lives beside this one, or of one that has ended and left
-    /// calls, for [`Core::take_over`].
+    /// The other journal of this state folder: that of the sibling process, or of a process that has ended
+    /// and left messages for [`Core::take_over`].
     ///
     /// # Errors
     ///
@@ -493,63 +503,72 @@
         self.journal.other()
     }
 
-    /// What a look at the folder found: does another process serve on it? Once it has ended, what was held back for it goes
-    /// to the module, after what was taken over from it.
+    /// Reports whether another process serves on the state folder. Once that process has ended, messages
+    /// withheld because of it go to the decision module, after those taken over from it.
     pub fn beside(&mut self, now: Ms, lives: bool) {
         self.journal.share(lives);
-        if !self.beside.seen(now, lives) {
+        if !self.sibling.observe_folder(now, lives) {
             return;
         }
-        let held: Vec<CallNo> =
-            self.calls.iter().filter(|(_, c)| c.frozen == Some(Frozen::Beside)).map(|(no, _)| *no).collect();
+        let held: Vec<CallNo> = self
+            .messages
+            .iter()
+            .filter(|(_, c)| c.withheld == Some(Withheld::SiblingProcess))
+            .map(|(no, _)| *no)
+            .collect();
         held.into_iter().for_each(|no| self.resume(no));
     }
 
-    /// Does another process serve on the folder, during an upgrade?
+    /// Whether a sibling process serves on the state folder, during an upgrade.
     pub fn has_company(&self) -> bool {
-        self.beside.lives()
+        self.sibling.is_present()
     }
 
-    /// Delegations that are out.
+    /// The number of outstanding attempts.
     pub fn out(&self) -> usize {
-        self.calls.values().filter(|c| c.out.is_some()).count()
+        self.messages.values().filter(|c| c.out.is_some()).count()
     }
 
-    /// Has anything come in since the last [`Core::turn`], or is anybody owed a verdict?
+    /// Whether events have come in since the last [`Core::turn`], or clients wait for a verdict.
     pub fn is_due(&self) -> bool {
-        self.cells.any_events() || !self.orders.is_empty() || !self.asking.is_empty()
+        self.cells.any_events() || !self.orders.is_empty() || !self.awaiting_verdict.is_empty()
     }
 
-    /// When [`Core::turn`] has something to do of itself.
+    /// When [`Core::turn`] next has something to do without a new event.
     pub fn next_due(&self) -> Option<Ms> {
         if self.is_due() {
             return Some(0.0);
         }
-        let room = self.ceilings.next_due().filter(|_| !self.ceilings.is_empty() || self.hints.climbs());
-        let due = |c: &Call| Some(c.out.as_ref()?.due(c.taken.valid_until));
-        let outs = self.calls.values().filter_map(due);
-        let own =
-            room.into_iter().chain(self.hints_due()).chain(self.backlog.next_due()).chain(self.copying_due());
-        outs.chain(self.alarms.iter().map(|a| a.0))
+        let room =
+            self.ceilings.next_due().filter(|_| !self.ceilings.is_empty() || self.recovery.is_ramping());
+        let due = |c: &HeldMessage| Some(c.out.as_ref()?.ends_at(c.taken.valid_until));
+        let outs = self.messages.values().filter_map(due);
+        let own = room
+            .into_iter()
+            .chain(self.recovery_due())
+            .chain(self.backlog.next_due())
+            .chain(self.replication_due());
+        outs.chain(self.timers.iter().map(|a| a.0))
             .chain(own)
-            .chain(self.seats_due())
+            .chain(self.ownership_due())
             .chain(self.journal_due())
             .chain(self.unconfirmed.next_due())
             .min_by(f64::total_cmp)
     }
 
-    /// Takes changed settings over, under names that [`crate::config::Names::carry`] has made to fit. What is held, what has
-    /// gone out, waits and drains stay.
+    /// Applies changed settings, under names that [`crate::config::Names::carry`] has made compatible. Held
+    /// messages, outstanding attempts, retry-afters and drains are kept.
     pub fn reload(&mut self, now: Ms, parts: Reloaded) {
         self.cells.all.iter_mut().for_each(|c| c.brain.adopt(parts.settings.clone()));
         (self.settings, self.names, self.retired) = (parts.settings, parts.names, parts.retired);
         self.cells.change(now, &self.settings, &parts.promises);
         self.ceilings.change(now, parts.promises);
-        self.once.change(parts.once);
+        self.at_most_once.change(parts.once);
         self.change_map(now, parts.mesh);
     }
 
-    /// This process ends at that time: what cannot finish until then is left to the next one.
+    /// Announces that this process ends at the time `at`: what cannot finish until then is left to the next
+    /// process.
     pub fn close(&mut self, at: Ms) {
         self.closing = Some(at);
         self.cells.post_all(&Event::Closing(at));
--- a/src/dispatch/once.rs
+++ b/src/dispatch/once.rs
@@ -1,150 +1,153 @@
-//! Classes that are never repeated: which of their messages were taken on, whoever handed them in and whichever way.
+//! Deduplication for at-most-once classes: which of their messages were accepted, from whichever client and
+//! in whichever way.
 //!
-//! The decision module never sends such a message again once it may have run. This guards the other ways to a second
-//! effect: the message handed in anew, by another client, over the other front, after a restart. No I/O, no clock.
+//! The decision module never sends such a message again once it may have run. This guards the other ways to a
+//! second effect: the message submitted again, by another client, through another front end, or after a
+//! restart. No I/O, no clock.
 
 use crate::api::Ms;
 use crate::journal::{CallNo, Ending};
 use std::collections::{BTreeSet, HashMap};
 
-/// What a remembered message needs in the journal beside its name.
-const MARGIN: u64 = 48;
+/// Bytes that a remembered message takes in the journal beyond its name.
+const ENTRY_OVERHEAD_BYTES: u64 = 48;
 
-/// What is known of a message that is to be taken on.
+/// What is known of a message that is submitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Judgement {
-    /// Nothing: take it on.
+pub enum RepeatCheck {
+    /// Nothing: it may be accepted.
     New,
     /// It is held, under this number.
     Held(CallNo),
-    /// It ended so, and may have run.
+    /// It ended in this way, and may have run.
     Ended(Ending),
 }
 
 #[derive(Debug, Clone)]
-enum Seen {
+enum RememberedState {
     Held(CallNo),
-    /// How, until when it is remembered, and the tenant where tenants may move.
+    /// How it ended, until when it is remembered, and its tenant where tenants may move.
     Ended(Ending, Ms, String),
 }
 
-/// All that is remembered.
+/// The messages of at-most-once classes that are held or remembered.
 #[derive(Debug, Default)]
-pub struct Once {
+pub struct AtMostOnce {
     /// How long after its end a message of a class is remembered.
     classes: HashMap<String, Ms>,
-    seen: HashMap<String, Seen>,
-    fading: BTreeSet<(u64, String)>,
+    entries: HashMap<String, RememberedState>,
+    expiry: BTreeSet<(u64, String)>,
     bytes: u64,
 }
 
 /// The name under which a message of a class is known: by its idempotency key, or else by its id.
-fn name(class: &str, idempotency: &str, id: &str) -> String {
+fn entry_name(class: &str, idempotency: &str, id: &str) -> String {
     match idempotency.is_empty() {
         true => format!("{class}\ni{id}"),
         false => format!("{class}\nk{idempotency}"),
     }
 }
 
-impl Once {
-    /// Classes that are never repeated, each with the span after its end for which a message is remembered.
-    pub fn new(classes: impl IntoIterator<Item = (String, Ms)>) -> Once {
-        Once { classes: classes.into_iter().collect(), ..Once::default() }
+impl AtMostOnce {
+    /// Creates the state for at-most-once classes, each with the span for which a message is remembered after
+    /// its end.
+    pub fn new(classes: impl IntoIterator<Item = (String, Ms)>) -> AtMostOnce {
+        AtMostOnce { classes: classes.into_iter().collect(), ..AtMostOnce::default() }
     }
 
-    /// Takes changed classes over; what is remembered stays so until its time.
+    /// Replaces the classes; messages that are remembered stay until their time has passed.
     pub fn change(&mut self, classes: impl IntoIterator<Item = (String, Ms)>) {
         self.classes = classes.into_iter().collect();
     }
 
-    /// The name of a message; `None` if its class may be repeated.
-    pub fn name(&self, class: &str, idempotency: &str, id: &str) -> Option<String> {
-        self.classes.contains_key(class).then(|| name(class, idempotency, id))
+    /// The name of a message; `None` if its class is not at-most-once.
+    pub fn entry_name(&self, class: &str, idempotency: &str, id: &str) -> Option<String> {
+        self.classes.contains_key(class).then(|| entry_name(class, idempotency, id))
     }
 
     /// What is known of a message.
-    pub fn judge(&self, name: &str) -> Judgement {
-        match self.seen.get(name) {
-            None => Judgement::New,
-            Some(Seen::Held(no)) => Judgement::Held(*no),
-            Some(Seen::Ended(ending, ..)) => Judgement::Ended(*ending),
+    pub fn check(&self, name: &str) -> RepeatCheck {
+        match self.entries.get(name) {
+            None => RepeatCheck::New,
+            Some(RememberedState::Held(no)) => RepeatCheck::Held(*no),
+            Some(RememberedState::Ended(ending, ..)) => RepeatCheck::Ended(*ending),
         }
     }
 
-    /// Bytes that all of it needs in the journal, and that one more would.
+    /// Bytes that all entries take in the journal.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// See [`Once::bytes`].
-    pub fn size(name: &str) -> u64 {
-        name.len() as u64 + MARGIN
+    /// Bytes that one entry takes in the journal.
+    pub fn entry_size(name: &str) -> u64 {
+        name.len() as u64 + ENTRY_OVERHEAD_BYTES
     }
 
-    fn put(&mut self, name: String, seen: Seen) {
-        let size = Once::size(&name);
-        match self.seen.insert(name.clone(), seen) {
-            Some(Seen::Ended(_, until, _)) => {
-                self.fading.remove(&(until as u64, name));
+    fn put(&mut self, name: String, seen: RememberedState) {
+        let size = AtMostOnce::entry_size(&name);
+        match self.entries.insert(name.clone(), seen) {
+            Some(RememberedState::Ended(_, until, _)) => {
+                self.expiry.remove(&(until as u64, name));
             }
-            Some(Seen::Held(_)) => {}
+            Some(RememberedState::Held(_)) => {}
             None => self.bytes += size,
         }
     }
 
-    /// A message was taken on.
-    pub fn held(&mut self, name: String, no: CallNo) {
-        self.put(name, Seen::Held(no));
+    /// A message was accepted.
+    pub fn hold(&mut self, name: String, no: CallNo) {
+        self.put(name, RememberedState::Held(no));
     }
 
-    /// It ended. One that was handed back never ran, and may be taken on again; any other is remembered, and the time
-    /// until then is returned, to be written down.
-    pub fn ended(&mut self, now: Ms, class: &str, name: &str, ending: Ending, tenant: String) -> Option<Ms> {
+    /// A message ended. One that was returned never ran, and may be accepted again. Any other is remembered,
+    /// and the time until when is returned, to be written to the journal.
+    pub fn end(&mut self, now: Ms, class: &str, name: &str, ending: Ending, tenant: String) -> Option<Ms> {
         if matches!(ending, Ending::HandedBack(_)) {
             self.forget(name);
             return None;
         }
-        let until = now + self.span(class);
+        let until = now + self.memory_span(class);
         self.remember(name.to_string(), ending, until, tenant);
         Some(until)
     }
 
     /// How long after its end a message of a class is remembered.
-    pub fn span(&self, class: &str) -> Ms {
+    pub fn memory_span(&self, class: &str) -> Ms {
         self.classes.get(class).copied().unwrap_or(0.0)
     }
 
-    /// A message that never ran, or that is somebody else's now.
+    /// Forgets a message that never ran, or that another dispatcher owns now.
     pub fn forget(&mut self, name: &str) {
-        if let Some(seen) = self.seen.remove(name) {
-            self.bytes -= Once::size(name);
-            if let Seen::Ended(_, until, _) = seen {
-                self.fading.remove(&(until as u64, name.to_string()));
+        if let Some(seen) = self.entries.remove(name) {
+            self.bytes -= AtMostOnce::entry_size(name);
+            if let RememberedState::Ended(_, until, _) = seen {
+                self.expiry.remove(&(until as u64, name.to_string()));
             }
         }
     }
 
-    /// Remembers an end.
+    /// Remembers an ending.
     pub fn remember(&mut self, name: String, ending: Ending, until: Ms, tenant: String) {
-        self.put(name.clone(), Seen::Ended(ending, until, tenant));
-        self.fading.insert((until as u64, name));
+        self.put(name.clone(), RememberedState::Ended(ending, until, tenant));
+        self.expiry.insert((until as u64, name));
     }
 
-    /// Forgets what is past its time.
-    pub fn fade(&mut self, now: Ms) {
-        while let Some((until, name)) = self.fading.first().cloned().filter(|f| f.0 as Ms <= now) {
-            self.fading.remove(&(until, name.clone()));
-            if self.seen.remove(&name).is_some() {
-                self.bytes -= Once::size(&name);
+    /// Forgets endings whose time has passed.
+    pub fn expire(&mut self, now: Ms) {
+        while let Some((until, name)) = self.expiry.first().cloned().filter(|f| f.0 as Ms <= now) {
+            self.expiry.remove(&(until, name.clone()));
+            if self.entries.remove(&name).is_some() {
+                self.bytes -= AtMostOnce::entry_size(&name);
             }
         }
     }
 
-    /// Ends that are remembered, for a journal that is written anew.
-    pub fn ends(&self) -> impl Iterator<Item = (&String, Ending, Ms, &String)> {
-        self.seen.iter().filter_map(|(name, seen)| match seen {
-            Seen::Ended(ending, until, tenant) => Some((name, *ending, *until, tenant)),
-            Seen::Held(_) => None,
+    /// The remembered endings, for a compacted journal.
+    pub fn endings(&self) -> impl Iterator<Item = (&String, Ending, Ms, &String)> {
+        self.entries.iter().filter_map(|(name, seen)| match seen {
+            RememberedState::Ended(ending, until, tenant) => Some((name, *ending, *until, tenant)),
+            RememberedState::Held(_) => None,
         })
     }
 }
@@ -153,23 +156,23 @@
 mod tests {
     use super::*;
 
-    /// Guards against a second effect by another way in, and against one that never ran being kept out.
+    /// Guards against a second effect by another way in, and against rejecting a message that never ran.
     #[test]
-    fn a_message_is_known_by_key_or_id_until_its_time() {
-        let mut once = Once::new([("pay".to_string(), 1_000.0)]);
-        assert_eq!(once.name("status", "k", "a"), None);
-        let keyed = once.name("pay", "k", "a").unwrap();
-        assert_eq!(once.name("pay", "k", "b"), Some(keyed.clone()), "the key counts, not the id");
-        assert_ne!(once.name("pay", "", "k"), Some(keyed.clone()), "an id is no key");
-        once.held(keyed.clone(), 7);
-        assert_eq!(once.judge(&keyed), Judgement::Held(7));
-        assert_eq!(once.ended(0.0, "pay", &keyed, Ending::HandedBack(5.0), String::new()), None);
-        assert_eq!((once.judge(&keyed), once.bytes()), (Judgement::New, 0));
-        once.held(keyed.clone(), 8);
-        assert_eq!(once.ended(10.0, "pay", &keyed, Ending::GivenUp, String::new()), Some(1_010.0));
-        once.fade(1_009.0);
-        assert_eq!(once.judge(&keyed), Judgement::Ended(Ending::GivenUp));
-        once.fade(1_010.0);
-        assert_eq!((once.judge(&keyed), once.bytes(), once.fading.len()), (Judgement::New, 0, 0));
+    fn a_message_is_known_by_key_or_id_until_its_time_has_passed() {
+        let mut once = AtMostOnce::new([("pay".to_string(), 1_000.0)]);
+        assert_eq!(once.entry_name("status", "k", "a"), None);
+        let keyed = once.entry_name("pay", "k", "a").unwrap();
+        assert_eq!(once.entry_name("pay", "k", "b"), Some(keyed.clone()), "the key counts, not the id");
+        assert_ne!(once.entry_name("pay", "", "k"), Some(keyed.clone()), "an id is not a key");
+        once.hold(keyed.clone(), 7);
+        assert_eq!(once.check(&keyed), RepeatCheck::Held(7));
+        assert_eq!(once.end(0.0, "pay", &keyed, Ending::HandedBack(5.0), String::new()), None);
+        assert_eq!((once.check(&keyed), once.bytes()), (RepeatCheck::New, 0));
+        once.hold(keyed.clone(), 8);
+        assert_eq!(once.end(10.0, "pay", &keyed, Ending::GivenUp, String::new()), Some(1_010.0));
+        once.expire(1_009.0);
+        assert_eq!(once.check(&keyed), RepeatCheck::Ended(Ending::GivenUp));
+        once.expire(1_010.0);
+        assert_eq!((once.check(&keyed), once.bytes(), once.expiry.len()), (RepeatCheck::New, 0, 0));
     }
 }
--- a/src/dispatch/order.rs
+++ b/src/dispatch/order.rs
@@ -1,35 +1,35 @@
-//! Which calls of each ordered key are not over, in the order of their taking.
+//! The messages of each ordered key that have not ended, in the order in which they were accepted.
 
 use crate::journal::{CallNo, Taken};
 use std::collections::{BTreeSet, HashMap};
 
-/// The calls of ordered keys that are held.
+/// The held messages of ordered keys.
 #[derive(Debug, Default)]
 pub struct KeyOrder(HashMap<u64, BTreeSet<CallNo>>);
 
 impl KeyOrder {
-    /// A call is held from now on.
-    pub fn enter(&mut self, taken: &Taken) {
+    /// Adds a message.
+    pub fn insert(&mut self, taken: &Taken) {
         if let Some(key) = taken.key {
             self.0.entry(key).or_default().insert(taken.no);
         }
     }
 
-    /// A call is over.
-    pub fn leave(&mut self, no: CallNo, key: Option<u64>) {
+    /// Removes a message.
+    pub fn remove(&mut self, no: CallNo, key: Option<u64>) {
         let Some(key) = key else { return };
-        if let Some(calls) = self.0.get_mut(&key) {
-            calls.remove(&no);
-            if calls.is_empty() {
+        if let Some(messages) = self.0.get_mut(&key) {
+            messages.remove(&no);
+            if messages.is_empty() {
                 self.0.remove(&key);
             }
         }
     }
 
-    /// Is a call of the same key held that was taken earlier?
+    /// Whether an earlier message of the same key is held.
     pub fn has_earlier(&self, taken: &Taken) -> bool {
-        let calls = taken.key.and_then(|key| self.0.get(&key));
-        calls.and_then(BTreeSet::first).is_some_and(|first| *first < taken.no)
+        let messages = taken.key.and_then(|key| self.0.get(&key));
+        messages.and_then(BTreeSet::first).is_some_and(|first| *first < taken.no)
     }
 }
 
@@ -38,16 +38,16 @@
     use super::*;
 
     #[test]
-    fn a_call_has_its_turn_once_all_before_it_are_over() {
+    fn a_message_has_its_turn_once_all_earlier_ones_of_its_key_have_ended() {
         let taken = |no, key| Taken { no, key, ..Taken::default() };
         let (a, b, other, free) = (taken(1, Some(7)), taken(2, Some(7)), taken(3, Some(8)), taken(4, None));
         let mut order = KeyOrder::default();
-        [&b, &a, &other, &free].into_iter().for_each(|t| order.enter(t));
+        [&b, &a, &other, &free].into_iter().for_each(|t| order.insert(t));
         assert!(!order.has_earlier(&a) && order.has_earlier(&b));
         assert!(!order.has_earlier(&other) && !order.has_earlier(&free));
-        order.leave(a.no, a.key);
+        order.remove(a.no, a.key);
         assert!(!order.has_earlier(&b));
-        order.leave(b.no, b.key);
+        order.remove(b.no, b.key);
         assert_eq!(order.0.len(), 1);
     }
 }
--- a/src/dispatch/pace.rs
+++ b/src/dispatch/pace.rs
@@ -1,45 +1,46 @@
-//! Pace: what was promised of the members' limits stands between the module's wish to send and the wire.
+//! Pacing: keeps attempts and probes within the limits promised to the members.
 //!
-//! The module is told how much fits and plans with it; what it wants beyond that is not sent all the same.
+//! The decision module is told the capacity and plans with it; an attempt that it wants beyond that is not
+//! sent.
 
 use super::{Core, End, Order};
 use crate::api::*;
 use crate::journal::{CallNo, Record};
 use lilacbank_limits::Step;
 
-/// A call or probe that is counted, and where.
+/// An attempt or probe that counts against a promised limit.
 #[derive(Debug, Clone)]
 pub(super) struct Charge {
     dest: DestId,
     uid: String,
-    /// It takes a place of its cell's own part, too.
-    own: bool,
+    /// It also counts against its cell's own share.
+    from_cell_share: bool,
     pub(super) written: bool,
 }
 
 impl Core {
-    /// Tells the module of room that has changed.
-    pub(super) fn tell_room(&mut self, now: Ms) {
-        if self.ceilings.is_empty() && self.room_told.is_empty() && !self.hints.climbs() {
+    /// Reports changed capacity to the decision modules.
+    pub(super) fn report_capacity(&mut self, now: Ms) {
+        if self.ceilings.is_empty() && self.reported_capacity.is_empty() && !self.recovery.is_ramping() {
             return;
         }
         for dest in self.ceilings.changed(now) {
             let mut again = f64::MAX;
-            for route in &self.routes_of.get(&dest).cloned().unwrap_or_default() {
-                let climb = self.climb_room(now, *route);
-                let Some(w) = self.workers.get(route) else { continue };
-                let links = self.ceilings.room(now, dest, &w.worker.uid).map_or(u32::MAX, |r| r.links);
+            for route in &self.endpoints_of.get(&dest).cloned().unwrap_or_default() {
+                let ramp = self.ramp_room(now, *route);
+                let Some(w) = self.endpoints.get(route) else { continue };
+                let links = self.ceilings.room(now, dest, &w.endpoint.uid).map_or(u32::MAX, |r| r.links);
                 for cell in 0..self.cells.all.len() {
-                    let uid = &w.worker.uid;
+                    let uid = &w.endpoint.uid;
                     let (calls, at) = self.cells.calls_left(now, cell, &mut self.ceilings, dest, uid);
-                    let (calls, at) = if climb.0 < calls { climb } else { (calls, at) };
+                    let (calls, at) = if ramp.0 < calls { ramp } else { (calls, at) };
                     if calls == 0 {
                         again = again.min(at);
                     }
-                    let links = self.cells.links_left(cell, uid, links);
-                    let told = (calls, if calls == 0 { at } else { 0.0 }, links);
-                    if self.room_told.get(&(*route, cell)) != Some(&told) {
-                        self.room_told.insert((*route, cell), told);
+                    let links = self.cells.connections_left(cell, uid, links);
+                    let reported = (calls, if calls == 0 { at } else { 0.0 }, links);
+                    if self.reported_capacity.get(&(*route, cell)) != Some(&reported) {
+                        self.reported_capacity.insert((*route, cell), reported);
                         self.cells.post(cell, Event::Room { route: *route, calls, again: at, links });
                     }
                 }
@@ -50,89 +51,93 @@
         }
     }
 
-    /// Counts a call or probe to a worker, and writes that down; the time to wait if it does not fit.
+    /// Counts an attempt or a probe against the endpoint's promised limit, and writes that to the journal;
+    /// returns the time to wait if it does not fit.
     pub(super) fn charge(&mut self, now: Ms, cell: usize, route: RouteId) -> Result<Option<Charge>, Ms> {
-        let Some((dest, uid)) = self.worker(route).map(|w| (w.dest, w.uid.clone())) else { return Ok(None) };
+        let Some((dest, uid)) = self.endpoint(route).map(|w| (w.dest, w.uid.clone())) else {
+            return Ok(None);
+        };
         if self.ceilings.promise(dest).is_none() {
             return Ok(None);
         }
-        // Before the count changes: what is written anew and the record behind it must not tell of one call twice.
+        // Before the count changes: a compaction and the record after it must not both contain the same call.
         self.compact_if_full();
-        let own = self.cells.charge(now, cell, &mut self.ceilings, dest, &uid)?;
+        let from_cell_share = self.cells.charge(now, cell, &mut self.ceilings, dest, &uid)?;
         if let Err(over) = self.ceilings.take(now, dest, &uid) {
-            if own {
+            if from_cell_share {
                 self.cells.charge_ended(now, cell, dest, &uid, false);
             }
             return Err(over.wait);
         }
-        let charge = Charge { dest, uid, own, written: false };
-        if !self.step(now, &charge, Step::Started) {
-            // What cannot be written down is not sent: a restart would not know of it.
+        let charge = Charge { dest, uid, from_cell_share, written: false };
+        if !self.record_step(now, &charge, Step::Started) {
+            // What cannot be written to the journal is not sent: a restart would not know of it.
             self.ceilings.ended(charge.dest, &charge.uid, false);
-            if own {
+            if from_cell_share {
                 self.cells.charge_ended(now, cell, charge.dest, &charge.uid, false);
             }
-            return Err(NOT_WRITTEN_REST);
+            return Err(JOURNAL_RETRY_DELAY);
         }
-        self.cells.link(cell, &charge.uid, true);
-        // The module counts down by itself; other routes of the limit hear of it.
-        if let Some(told) = self.room_told.get_mut(&(route, cell)) {
-            told.0 = if told.0 == u32::MAX { told.0 } else { told.0.saturating_sub(1) };
+        self.cells.count_connection(cell, &charge.uid, true);
+        // The decision module counts down by itself; it is told about other endpoints of the same limit.
+        if let Some(reported) = self.reported_capacity.get_mut(&(route, cell)) {
+            reported.0 = if reported.0 == u32::MAX { reported.0 } else { reported.0.saturating_sub(1) };
         }
         Ok(Some(charge))
     }
 
-    fn step(&mut self, now: Ms, charge: &Charge, step: Step) -> bool {
+    fn record_step(&mut self, now: Ms, charge: &Charge, step: Step) -> bool {
         let Some(spent) = self.ceilings.record(now, charge.dest, &charge.uid, step) else { return true };
         let done = self.journal.append(&Record::Spent(spent));
         if let Err(e) = &done {
-            log::error!(member = charge.dest, worker = charge.uid.as_str(), cause:% = e; "the journal misses a call");
+            log::error!(member = charge.dest, worker = charge.uid.as_str(), cause:% = e;
+                "a counted request cannot be recorded in the journal");
         }
         done.is_ok()
     }
 
-    /// The last byte of what is counted is out.
+    /// The last byte of the attempt or probe has been written.
     pub(super) fn charge_written(&mut self, now: Ms, charge: &mut Charge) {
         if !std::mem::replace(&mut charge.written, true) {
             self.compact_if_full();
             self.ceilings.written(now, charge.dest, &charge.uid);
-            self.step(now, charge, Step::Written);
+            self.record_step(now, charge, Step::Written);
         }
     }
 
-    /// It has ended.
+    /// The attempt or probe has ended.
     pub(super) fn charge_ended(&mut self, now: Ms, cell: usize, charge: Charge) {
         self.compact_if_full();
-        if charge.own {
+        if charge.from_cell_share {
             self.cells.charge_ended(now, cell, charge.dest, &charge.uid, charge.written);
         }
-        self.cells.link(cell, &charge.uid, false);
+        self.cells.count_connection(cell, &charge.uid, false);
         self.ceilings.ended(charge.dest, &charge.uid, charge.written);
         if !charge.written {
-            self.step(now, &charge, Step::GivenBack);
+            self.record_step(now, &charge, Step::GivenBack);
         }
     }
 
-    /// A delegation that does not fit is not sent; the module hears so at once, with the wait.
-    pub(super) fn over(&mut self, now: Ms, no: CallNo, attempt: u32, wait: Ms) {
-        self.counters.over += 1;
+    /// Reports an attempt that does not fit as not sent to the decision module at once, with the wait.
+    pub(super) fn report_unsent(&mut self, now: Ms, no: CallNo, attempt: u32, wait: Ms) {
+        self.counters.over_limit += 1;
         self.outcome(now, no, attempt, End { wait, ..End::of(Outcome::NotSent) });
     }
 
-    /// Orders a probe, if it fits: a probe counts as a call. One that is out serves all cells.
+    /// Orders a probe if it fits: a probe counts as a call. An outstanding probe serves all cells.
     pub(super) fn probe(&mut self, now: Ms, route: RouteId) {
         if self.probes.contains_key(&route) {
             return;
         }
-        let allowed = self.guarded_endpoint(now, route).map(|e| crate::guard::may_probe(now, &e));
+        let allowed = self.guard_endpoint(now, route).map(|e| crate::guard::may_probe(now, &e));
         let charge = match allowed.map(|answer| self.guard.note(answer)) {
-            Some(Ok(())) => self.charge(now, PROBES_OF, route),
+            Some(Ok(())) => self.charge(now, PROBE_CELL, route),
             _ => Err(0.0),
         };
         match charge {
             Ok(charge) => drop(self.probes.insert(route, charge)),
             Err(_) => {
-                self.counters.over += 1;
+                self.counters.over_limit += 1;
                 let report = Report::default();
                 let ended = Event::Probed { route, outcome: Outcome::NotSent, took: 0.0, report };
                 return self.cells.post_all(&ended);
@@ -140,7 +145,7 @@
         }
         self.counters.probes += 1;
         let address = self.address(route);
-        let dest = self.worker(route).map_or(0, |w| w.dest);
+        let dest = self.endpoint(route).map_or(0, |w| w.dest);
         self.orders.push(Order::Probe { route, dest, address });
     }
 
@@ -154,44 +159,46 @@
     /// A probe ended.
     pub fn probed(&mut self, now: Ms, route: RouteId, outcome: Outcome, took: Ms, report: Report) {
         if let Some(charge) = self.probes.remove(&route).flatten() {
-            self.charge_ended(now, PROBES_OF, charge);
+            self.charge_ended(now, PROBE_CELL, charge);
         }
-        self.hints_heard(now, route, outcome, true);
+        self.record_endpoint_response(now, route, outcome, true);
         self.cells.post_all(&Event::Probed { route, outcome, took, report });
     }
 
-    /// A delegation ended: its cell hears of it, and all others of the wait that was told.
-    pub(super) fn ended_in(&mut self, cell: usize, ended: Ended) {
-        // What was not sent was kept back by the cell's own part: that is no word of the member's.
+    /// Reports the end of an attempt to its cell, and the retry-after that it brought to all other cells.
+    pub(super) fn post_end(&mut self, cell: usize, ended: Ended) {
+        // An attempt that was not sent was held back by the cell's own share: the member asked for no wait.
         if ended.wait > 0.0 && ended.outcome != Outcome::NotSent {
             for other in (0..self.cells.all.len()).filter(|n| *n != cell) {
-                let wait = Ended { id: NOBODY, report: Report::default(), ..ended };
+                let wait = Ended { id: NO_MESSAGE, report: Report::default(), ..ended };
                 self.cells.post(other, Event::Ended(wait));
             }
         }
         self.cells.post(cell, Event::Ended(ended));
     }
 
-    /// All cells hear of a wait that no delegation of theirs was told.
-    pub(super) fn post_wait(&mut self, route: RouteId, wait: Ms) {
-        let told = Ended { wait, heard: true, ..Ended::of(NOBODY, 0, route, Outcome::Refused) };
-        self.cells.post_all(&Event::Ended(told));
+    /// Reports a retry-after to all cells that no attempt of theirs has brought.
+    pub(super) fn post_retry_after(&mut self, route: RouteId, wait: Ms) {
+        let reported = Ended { wait, heard: true, ..Ended::of(NO_MESSAGE, 0, route, Outcome::Refused) };
+        self.cells.post_all(&Event::Ended(reported));
     }
 
-    /// How long a message with so much time left would have to stay away to be in time; none if it is already.
-    pub(super) fn door_wait(&mut self, now: Ms, dest: DestId, left: Ms) -> Option<Ms> {
+    /// How long a client would have to wait before a message with this much time left could be delivered in
+    /// time; `None` if it can be now.
+    pub(super) fn admission_wait(&mut self, now: Ms, dest: DestId, left: Ms) -> Option<Ms> {
         self.ceilings.promise(dest)?;
-        let routes = self.routes_of.get(&dest).into_iter().flatten();
-        let up = routes.filter_map(|r| self.workers.get(r)).filter(|w| w.worker.listing == Listing::Ready);
-        let uids: Vec<&str> = up.map(|w| w.worker.uid.as_str()).collect();
+        let routes = self.endpoints_of.get(&dest).into_iter().flatten();
+        let up =
+            routes.filter_map(|r| self.endpoints.get(r)).filter(|w| w.endpoint.listing == Listing::Ready);
+        let uids: Vec<&str> = up.map(|w| w.endpoint.uid.as_str()).collect();
         let at = self.ceilings.when(now, dest, &uids);
         (at > now + left).then(|| (at - now - left).max(1.0))
     }
 }
 
-/// Probes are counted in the first cell's part, and told to all.
-const PROBES_OF: usize = 0;
-/// The number of no message: what is told under it concerns its route alone.
-const NOBODY: MsgId = 0;
-/// After a call that could not be written down.
-pub(super) const NOT_WRITTEN_REST: Ms = 100.0;
+/// Probes count against the first cell's share, and are reported to all.
+const PROBE_CELL: usize = 0;
+/// The number of no message: an event under it concerns its endpoint alone.
+const NO_MESSAGE: MsgId = 0;
+/// The delay after an attempt that could not be written to the journal.
+pub(super) const JOURNAL_RETRY_DELAY: Ms = 100.0;
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -1,30 +1,31 @@
-//! Route: the decision module is told what came in and says what to do; the list of workers is kept here.
+//! Routing: feeds events to the decision modules, carries out their actions, and keeps the list of endpoints.
 
-use super::{Core, Listed, Order};
+use super::{Core, ListedEndpoint, Order};
 use crate::api::*;
 use crate::config::{Worker, WorkerList};
 use std::collections::BTreeSet;
 
-/// Steps of the module in one turn at most; what is left waits for the next turn.
-const STEPS_MOST: usize = 4;
+/// The most steps of the decision modules in one turn; remaining events wait for the next turn.
+const MAX_STEPS_PER_TURN: usize = 4;
 
 impl Core {
-    /// Lets the module decide on all that has come in, and returns what is to be done on the wires.
+    /// Lets the decision modules process all events that have come in, and returns the orders for the network
+    /// side.
     pub fn turn(&mut self, now: Ms) -> Vec<Order> {
         self.now = now;
-        self.expire(now);
-        self.lapse(now);
+        self.expire_attempts(now);
+        self.drop_unclaimed_answers(now);
         self.unconfirmed_turn(now);
-        self.ring(now);
-        self.seats_turn(now);
-        self.hints_turn(now);
-        self.copying_turn(now);
+        self.fire_timers(now);
+        self.ownership_turn(now);
+        self.recovery_turn(now);
+        self.replication_turn(now);
         self.backlog_turn(now);
-        for _ in 0..STEPS_MOST {
-            self.tell_room(now);
+        for _ in 0..MAX_STEPS_PER_TURN {
+            self.report_capacity(now);
             if !self.cells.any_events() {
-                // What was taken and is kept from the module waits for no step of it.
-                self.give_verdicts();
+                // Messages that were accepted and withheld from the decision module need no step of it.
+                self.answer_waiting_clients();
                 break;
             }
             for cell in self.cells.turn() {
@@ -35,19 +36,19 @@
                 c.brain.step(now, &events, &mut actions);
                 actions.into_iter().for_each(|a| self.carry_out(now, cell, a));
             }
-            self.give_verdicts();
+            self.answer_waiting_clients();
         }
-        self.fade(now);
-        self.once.fade(now);
-        self.waits.fade(now);
+        self.expire_identities(now);
+        self.at_most_once.expire(now);
+        self.waits.expire(now);
         self.journal_turn(now);
-        self.copying_out();
+        self.send_replication();
         std::mem::take(&mut self.orders)
     }
 
-    fn ring(&mut self, now: Ms) {
+    fn fire_timers(&mut self, now: Ms) {
         let cells = &mut self.cells;
-        self.alarms.retain(|(at, cell, token)| {
+        self.timers.retain(|(at, cell, token)| {
             if *at <= now {
                 cells.post(*cell, Event::Timer(*token));
             }
@@ -62,7 +63,7 @@
                 self.send(now, id, route, cap)
             }
             Action::Cancel { id, attempt } => self.cancel(now, id, attempt),
-            Action::Deny { id, retry_in } => self.hand_back(now, id, retry_in),
+            Action::Deny { id, retry_in } => self.return_message(now, id, retry_in),
             Action::Fail(id) => self.give_up(now, id),
             Action::Probe(route) => {
                 self.avoided.insert(route);
@@ -73,104 +74,107 @@
                 self.orders.push(Order::CloseIdle { route, address });
             }
             Action::Watch => self.orders.push(Order::Watch),
-            Action::Timer { at, token } => self.alarms.push((at, cell, token)),
+            Action::Timer { at, token } => self.timers.push((at, cell, token)),
         }
     }
 
-    /// The workers that it knows: id, destination, kind, zone.
+    /// The endpoints on the list: id, destination, kind and zone.
     pub fn workers_known(&self) -> Vec<(&str, DestId, usize, usize)> {
-        let known = self.workers.values().map(|l| &l.worker);
+        let known = self.endpoints.values().map(|l| &l.endpoint);
         known.map(|w| (w.uid.as_str(), w.dest, w.kind, w.zone)).collect()
     }
 
-    pub(super) fn worker(&self, route: RouteId) -> Option<&Worker> {
-        self.workers.get(&route).map(|w| &w.worker)
+    pub(super) fn endpoint(&self, route: RouteId) -> Option<&Worker> {
+        self.endpoints.get(&route).map(|w| &w.endpoint)
     }
 
     pub(super) fn address(&self, route: RouteId) -> String {
-        self.worker(route).map(|w| w.address.clone()).unwrap_or_default()
+        self.endpoint(route).map(|w| w.address.clone()).unwrap_or_default()
     }
 
-    /// Does the list name a worker of the destination? Before there is a list, any may be in it.
+    /// Whether the list contains an endpoint of the destination. Before the first list, any destination may
+    /// be in it.
     pub(super) fn is_listed(&self, dest: DestId) -> bool {
-        self.workers.is_empty() || self.workers.values().any(|w| w.worker.dest == dest)
+        self.endpoints.is_empty() || self.endpoints.values().any(|w| w.endpoint.dest == dest)
     }
 
-    /// The registry's list, or changes of it. A worker is its id: it keeps its number if it goes and comes back soon,
-    /// and another one at its address gets a number of its own.
+    /// Applies the registry's endpoint list, or changes to it. An endpoint is identified by its id: it keeps
+    /// its number if it leaves and comes back soon, and another endpoint at the same address gets a number of
+    /// its own.
     pub fn list(&mut self, now: Ms, list: WorkerList, cached: bool) {
         if list.whole {
-            self.workers.values_mut().for_each(|w| w.gone = w.gone.or(Some(now)));
+            self.endpoints.values_mut().for_each(|w| w.gone_since = w.gone_since.or(Some(now)));
         }
         let (mut rows, mut routes) = (Vec::new(), Vec::new());
-        for told in list.workers {
-            let old = self.worker_of.get(&told.uid).copied();
-            let old = old.and_then(|route| Some((route, self.workers.remove(&route)?)));
-            // A change may leave out what stays as it was.
+        for listed in list.workers {
+            let old = self.endpoint_by_id.get(&listed.uid).copied();
+            let old = old.and_then(|route| Some((route, self.endpoints.remove(&route)?)));
+            // A change may omit fields that stay the same.
             let worker = match &old {
-                Some((_, o)) if told.address.is_empty() => {
-                    Worker { listing: told.listing, ..o.worker.clone() }
+                Some((_, o)) if listed.address.is_empty() => {
+                    Worker { listing: listed.listing, ..o.endpoint.clone() }
                 }
-                _ => told,
+                _ => listed,
             };
-            let mut number = None;
+            let mut kept_route = None;
             if let Some((route, mut o)) = old {
-                let same = (o.worker.dest, o.worker.kind) == (worker.dest, worker.kind);
-                // Nothing new goes there, or it is elsewhere now: idle connections are of no more use.
-                if !same || worker.listing != Listing::Ready || o.worker.address != worker.address {
-                    let (address, dest) = (o.worker.address.clone(), o.worker.dest);
+                let same = (o.endpoint.dest, o.endpoint.kind) == (worker.dest, worker.kind);
+                // The endpoint takes nothing new, or has moved: its idle connections are of no use any more.
+                if !same || worker.listing != Listing::Ready || o.endpoint.address != worker.address {
+                    let (address, dest) = (o.endpoint.address.clone(), o.endpoint.dest);
                     self.orders.push(Order::CloseIdle { route, address });
-                    // Nor does what was decided before and waits for its connection, which may come up after the grace.
+                    // Attempts that were decided before must not go out either: their connections may come up
+                    // after the drain period.
                     self.orders.push(Order::Hold { dest, route: Some(route) });
                 }
                 if same {
-                    number = Some(route);
+                    kept_route = Some(route);
                 } else {
-                    // Under an id that serves another destination now, nothing of the old one holds.
-                    o.worker.listing = Listing::Gone;
-                    rows.push(self.row_of(route, &o.worker));
-                    self.workers.insert(route, Listed { gone: Some(now), ..o });
+                    // The id serves another destination now: nothing that is known of the old one applies.
+                    o.endpoint.listing = Listing::Gone;
+                    rows.push(self.listing_row(route, &o.endpoint));
+                    self.endpoints.insert(route, ListedEndpoint { gone_since: Some(now), ..o });
                 }
             }
-            let route = number.unwrap_or(self.next_route);
+            let route = kept_route.unwrap_or(self.next_route);
             self.next_route = self.next_route.max(route + 1);
-            self.worker_of.insert(worker.uid.clone(), route);
-            rows.push(self.row_of(route, &worker));
+            self.endpoint_by_id.insert(worker.uid.clone(), route);
+            rows.push(self.listing_row(route, &worker));
             routes.push(route);
             let gone = (worker.listing == Listing::Gone).then_some(now);
-            self.workers.insert(route, Listed { worker, gone });
+            self.endpoints.insert(route, ListedEndpoint { endpoint: worker, gone_since: gone });
         }
-        for (route, w) in self.workers.iter().filter(|(_, w)| list.whole && w.gone == Some(now)) {
-            self.orders.push(Order::Hold { dest: w.worker.dest, route: Some(*route) });
+        for (route, w) in self.endpoints.iter().filter(|(_, w)| list.whole && w.gone_since == Some(now)) {
+            self.orders.push(Order::Hold { dest: w.endpoint.dest, route: Some(*route) });
         }
         self.cells.post_all(&Event::List { rows, whole: list.whole, cached });
         self.prune(now);
         self.index();
-        self.hints_listed(now, &routes, cached);
+        self.recovery_list_changed(now, &routes, cached);
         self.apply_unknown_waits(now);
     }
 
-    /// The routes of each destination; the module is to hear of their room.
+    /// Rebuilds the index of endpoints by destination, and has their capacity reported again.
     fn index(&mut self) {
-        self.routes_of.clear();
-        for (route, w) in &self.workers {
-            self.routes_of.entry(w.worker.dest).or_default().push(*route);
+        self.endpoints_of.clear();
+        for (route, w) in &self.endpoints {
+            self.endpoints_of.entry(w.endpoint.dest).or_default().push(*route);
         }
-        let workers = &self.workers;
-        self.room_told.retain(|(route, _), _| workers.contains_key(route));
+        let endpoints = &self.endpoints;
+        self.reported_capacity.retain(|(route, _), _| endpoints.contains_key(route));
         self.ceilings.touch();
     }
 
-    /// Forgets workers that have been gone for long and have no delegation out.
+    /// Forgets endpoints that have been gone for long and have no outstanding attempt.
     fn prune(&mut self, now: Ms) {
         let out: BTreeSet<RouteId> =
-            self.calls.values().filter_map(|c| Some(c.out.as_ref()?.route)).collect();
-        let over = |route: &RouteId, w: &Listed| {
-            w.gone.is_some_and(|t| now - t >= GONE_KEPT) && !out.contains(route)
+            self.messages.values().filter_map(|c| Some(c.out.as_ref()?.route)).collect();
+        let over = |route: &RouteId, w: &ListedEndpoint| {
+            w.gone_since.is_some_and(|t| now - t >= GONE_KEPT) && !out.contains(route)
         };
-        self.workers.retain(|route, w| !over(route, w));
-        let workers = &self.workers;
-        self.worker_of.retain(|_, route| workers.contains_key(route));
+        self.endpoints.retain(|route, w| !over(route, w));
+        let endpoints = &self.endpoints;
+        self.endpoint_by_id.retain(|_, route| endpoints.contains_key(route));
     }
 }
 
@@ -190,7 +194,7 @@
         core_of(name, Settings::default(), Default::default())
     }
 
-    /// A core of the settings that tests of the whole program use.
+    /// A core with the settings that tests of the whole program use.
     fn platform_core(name: &str) -> Core {
         let text = lilacbank_rig::config::platform("n0", "0a", 3.0, 1, 1_000, "\"127.0.0.1:1\"");
         let env = |key: &str| match key {
@@ -210,7 +214,7 @@
         Core::new(Parts { settings, names, journal, promises, once, cells, mesh: None })
     }
 
-    /// The one class `c`, safe, of this deadline.
+    /// Configures the single class `c`, which is idempotent, with this deadline.
     fn one_class(core: &mut Core, deadline: Ms, in_order: bool) {
         let (promise, window, worth) = (1_000.0, 20_000.0, 1.0);
         let (effect, late_worth, aim_stretch) = (Effect::Safe, 0.0, 0.0);
@@ -219,43 +223,43 @@
         core.names.classes = vec!["c".into()];
     }
 
-    fn news(core: &mut Core, now: Ms, workers: Vec<Worker>) {
+    fn update_list(core: &mut Core, now: Ms, workers: Vec<Worker>) {
         core.list(now, WorkerList { rev: 1, whole: false, workers }, false);
         core.turn(now);
     }
 
-    /// Guards against growth: on a day of releases every id is new.
+    /// Guards against unbounded growth: on a day of releases every endpoint id is new.
     #[test]
-    fn workers_gone_for_long_are_forgotten_and_one_that_comes_back_soon_is_the_same() {
+    fn endpoints_gone_for_long_are_forgotten_and_one_that_returns_soon_keeps_its_number() {
         let mut core = core("growth");
         for n in 0..1_000 {
             let now = Ms::from(n) * 1_000.0;
             let old = worker(&format!("u{}", n - 1), 1, Listing::Gone);
-            news(&mut core, now, vec![old, worker(&format!("u{n}"), 1, Listing::Ready)]);
+            update_list(&mut core, now, vec![old, worker(&format!("u{n}"), 1, Listing::Ready)]);
         }
-        assert!(core.workers.len() < 40 && core.worker_of.len() < 40, "{}", core.workers.len());
-        let number = core.worker_of["u999"];
-        news(&mut core, 1e6, vec![worker("u999", 1, Listing::Gone)]);
-        news(&mut core, 1e6 + 5_000.0, vec![worker("u999", 1, Listing::Ready)]);
-        assert_eq!(core.worker_of["u999"], number);
+        assert!(core.endpoints.len() < 40 && core.endpoint_by_id.len() < 40, "{}", core.endpoints.len());
+        let number = core.endpoint_by_id["u999"];
+        update_list(&mut core, 1e6, vec![worker("u999", 1, Listing::Gone)]);
+        update_list(&mut core, 1e6 + 5_000.0, vec![worker("u999", 1, Listing::Ready)]);
+        assert_eq!(core.endpoint_by_id["u999"], number);
     }
 
-    /// Guards against an id that serves another destination all at once, with calls for the old one.
+    /// Guards against attempts to the old destination after an id has moved to another destination.
     #[test]
-    fn an_id_that_changes_its_destination_is_another_worker() {
+    fn an_id_that_changes_its_destination_is_another_endpoint() {
         let mut core = core("moved");
-        news(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
-        let number = core.worker_of["u"];
-        news(&mut core, 1.0, vec![worker("u", 2, Listing::Ready)]);
-        assert_ne!(core.worker_of["u"], number);
-        assert_eq!(core.worker(number).map(|w| w.listing), Some(Listing::Gone));
+        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        let number = core.endpoint_by_id["u"];
+        update_list(&mut core, 1.0, vec![worker("u", 2, Listing::Ready)]);
+        assert_ne!(core.endpoint_by_id["u"], number);
+        assert_eq!(core.endpoint(number).map(|w| w.listing), Some(Listing::Gone));
         assert!(core.is_listed(2) && !core.is_listed(3));
     }
 
-    /// Guards against a clock that was set back between two lives: an attempt of the future would be within its window for
-    /// as long as the step was, and a message valid for as long.
+    /// Guards against a clock that was set back between two incarnations: an attempt dated in the future
+    /// would stay within its window, and a message valid, for as long as the step was.
     #[test]
-    fn what_a_life_with_a_clock_ahead_left_is_held_to_the_times_of_now() {
+    fn restored_times_ahead_of_the_clock_are_capped() {
         let mut core = core("clock");
         one_class(&mut core, 6_000.0, false);
         let hour = 3_600_000.0;
@@ -266,16 +270,17 @@
         let records =
             vec![Record::Taken(taken), Record::Taken(other), state(3, 2.0 * hour), state(4, hour - 9.0)];
         core.restore(hour, records);
-        assert_eq!(core.calls[&3].taken.valid_until, hour + 6_000.0);
-        assert_eq!(core.calls[&3].ran.as_ref().map(|s| s.at), Some(0.0), "long ago");
-        assert_eq!(core.calls[&4].taken.valid_until, hour + 500.0);
-        assert_eq!(core.calls[&4].ran.as_ref().map(|s| s.at), Some(hour - 9.0));
+        assert_eq!(core.messages[&3].taken.valid_until, hour + 6_000.0);
+        assert_eq!(core.messages[&3].ran.as_ref().map(|s| s.at), Some(0.0), "long ago");
+        assert_eq!(core.messages[&4].taken.valid_until, hour + 500.0);
+        assert_eq!(core.messages[&4].ran.as_ref().map(|s| s.at), Some(hour - 9.0));
     }
 
-    /// Guards against a journal with many calls that all go to the module at once, which then hands the rest back or costs
-    /// seconds in each turn; and against a later message of a key that overtakes one in the backlog.
+    /// Guards against a journal with many messages that all go to the decision module at once, which then
+    /// returns most of them or spends seconds in each turn; and against a later message of a key overtaking
+    /// one in the backlog.
     #[test]
-    fn many_calls_of_an_earlier_process_wait_for_the_module_s_room_in_their_order() {
+    fn many_restored_messages_wait_for_capacity_in_their_order() {
         let mut core = core("backlog");
         one_class(&mut core, 60_000.0, true);
         core.settings.max_held = 100;
@@ -285,9 +290,9 @@
             Record::Taken(Taken { no, identity, class, key, dest: 1, valid_until, ..Taken::default() })
         };
         core.restore(0.0, (1..=95).map(taken).collect());
-        assert_eq!((core.calls.len(), core.backlog.len()), (95, 10));
+        assert_eq!((core.messages.len(), core.backlog.len()), (95, 10));
         core.turn(1.0);
-        let queued = |core: &Core, no: u64| core.calls[&no].frozen.is_some();
+        let queued = |core: &Core, no: u64| core.messages[&no].withheld.is_some();
         assert!(!queued(&core, 85) && queued(&core, 86) && queued(&core, 95));
         let class = "c".to_string();
         let late = Submission {
@@ -299,36 +304,38 @@
         };
         core.submit(2.0, 7, late);
         assert!(core.turn(2.0).contains(&Order::Answer { ticket: 7, verdict: Verdict::Taken }));
-        assert!(queued(&core, 96), "behind the one of its key that waits");
-        // Without workers the module has handed them back; heard of that, their clients leave room.
+        assert!(queued(&core, 96), "behind the waiting message of its key");
+        // Without endpoints the decision module has returned these messages; once the answers are confirmed
+        // there is room.
         (1..=4).for_each(|no| {
             core.finish(3.0, no, Ending::Delivered);
             core.confirmed(3.0, no);
         });
         core.turn(3.0);
         let waiting: Vec<u64> =
-            core.calls.iter().filter(|(_, c)| c.frozen.is_some()).map(|(no, _)| *no).collect();
-        assert_eq!(waiting, [90, 91, 92, 93, 94, 95, 96], "the first ones go as room comes");
+            core.messages.iter().filter(|(_, c)| c.withheld.is_some()).map(|(no, _)| *no).collect();
+        assert_eq!(waiting, [90, 91, 92, 93, 94, 95, 96], "the first messages go as capacity becomes free");
         core.turn(50_092.0);
         assert!(
-            (90..=92).all(|no| !core.calls.contains_key(&no) || !queued(&core, no)),
-            "time is up: at once"
+            (90..=92).all(|no| !core.messages.contains_key(&no) || !queued(&core, no)),
+            "past their deadline: at once"
         );
     }
 
-    /// Guards against a wait that the module was not told, as the other process of an upgrade was: the guard keeps the call back,
-    /// it costs neither an attempt nor a record, and goes once the wait is over.
+    /// Guards against wasted attempts when the decision module does not know of a retry-after, such as one
+    /// that the sibling process received. The guard holds the message back without an attempt or a journal
+    /// record, and lets it go once the wait is over.
     #[test]
-    fn what_the_guard_keeps_back_costs_no_attempt_and_no_record() {
+    fn a_message_held_back_by_the_guard_costs_no_attempt_and_no_record() {
         let mut core = platform_core("kept-back");
-        news(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
         let class = "pay".to_string();
         core.submit(
             1.0,
             7,
             Submission { identity: (String::new(), "x".into()), class, dest: 1, ..Submission::default() },
         );
-        core.waits.told(1.0, "u", 301.0);
+        core.waits.set(1.0, "u", 301.0);
         let delegated =
             |core: &mut Core, now: Ms| core.turn(now).iter().any(|o| matches!(o, Order::Delegate(_)));
         let size = core.journal.size();
@@ -336,16 +343,17 @@
         let first = (2..400).map(Ms::from).find(|now| delegated(&mut core, *now)).unwrap();
         assert!((301.0..330.0).contains(&first), "{first}");
         assert!(core.guard.json()["refused"]["waiting"].as_u64() >= Some(1));
-        let call = core.calls.values().next().unwrap();
+        let call = core.messages.values().next().unwrap();
         assert_eq!((call.attempts, call.out.as_ref().map(|o| o.attempt)), (1, Some(0)));
-        let mark = core.state(call.taken.no, call).size();
+        let mark = core.attempt_record(call.taken.no, call).size();
         assert_eq!(core.journal.size() - size, mark, "one record, of the attempt that went out");
     }
 
-    /// Guards against a trial of a member that was away that never goes out: with the room told long before the first
-    /// call, the module sent a second one beside it, which was kept back, and that broke the first one off, over and over.
+    /// Guards against a trial attempt to a member that was away never completing. The capacity of one call
+    /// had been reported long before the first message, so the decision module sent a second attempt beside
+    /// the first. The second was held back, which cancelled the first, over and over.
     #[test]
-    fn a_member_that_was_away_is_tried_by_one_call_and_what_is_kept_back_does_not_break_it_off() {
+    fn a_member_that_was_away_is_tried_by_one_attempt_that_a_held_back_one_does_not_cancel() {
         use crate::dispatch::Past;
         use lilacbank_limits::ramp::{Former, Health};
         let mut core = platform_core("trial");
@@ -353,8 +361,9 @@
         let former = Former { health: Health { rate: 0.0, away: Some(0.0) }, age: Some(10.0) };
         let former = [("u".to_string(), former)].into();
         core.begin_from(0.0, Past { recovery, former, ..Past::default() });
-        news(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
-        // The room of one call was told by now, and the time of the next one is over when they come.
+        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        // The capacity of one call is reported by now, and the time of the next one has passed when the
+        // messages come.
         (1..=20).for_each(|n| drop(core.turn(Ms::from(n) * 50.0)));
         for no in 1..=3 {
             let identity = (String::new(), format!("m{no}"));
@@ -366,18 +375,19 @@
             .iter()
             .filter_map(|o| if let Order::Delegate(d) = o { Some(d.no) } else { None })
             .collect();
-        assert_eq!((out.len(), core.counters.over), (1, 0), "one tries it: {orders:?}");
-        // Another that comes to be sent all the same is kept back, and nothing is held for that.
+        assert_eq!((out.len(), core.counters.over_limit), (1, 0), "one attempt is the trial: {orders:?}");
+        // A second attempt is held back, and that orders no hold.
         let other = if out[0] == 1 { 2 } else { 1 };
         core.send(1_001.0, other, 0, None);
         let orders = core.turn(1_001.0);
-        assert_eq!(core.counters.over, 1);
+        assert_eq!(core.counters.over_limit, 1);
         assert!(!orders.iter().any(|o| matches!(o, Order::Hold { .. })), "{orders:?}");
     }
 
-    /// Guards against a repeat, after a restart, of what was refused or given up: as taken, its end would never be told.
+    /// Guards against a message that was rejected or given up being answered as accepted when it is submitted
+    /// again after a restart: its end would never be reported.
     #[test]
-    fn what_was_refused_before_a_restart_is_not_taken_after_it() {
+    fn a_message_rejected_before_a_restart_is_not_accepted_after_it() {
         let cases = [
             (Ending::HandedBack(40.0), Verdict::Busy(40.0)),
             (Ending::GivenUp, Verdict::Failed("given up".into())),
