--- a/src/dispatch/seats.rs
+++ b/src/dispatch/seats.rs
@@ -1,13 +1,15 @@
-//! Seats: which tenants live in this dispatcher, and how one moves to another.
+//! Tenant ownership: which tenants this dispatcher serves, and how a tenant moves to another dispatcher.
 //!
-//! What is decided between dispatchers is [`lilacbank_cells::moving`]; here it meets calls. A seat is written down before
-//! what it orders is done. To drain a tenant, its messages are taken out of the module: what is out may end for a while,
-//! then what may be repeated is cut, and what may not be stays here and ends here; its key waits at the other side until
-//! it must have ended. So no move waits for a silent member. What was offered stays in this journal until the other side
-//! serves it, and only then is it struck out: first the messages, then the seat.
-
-use super::seats_read::SeatsRead;
-use super::{Call, Core, Frozen, Order, Verdict};
+//! The protocol between dispatchers is [`lilacbank_cells::moving`]; this module applies it to messages. An
+//! ownership record is written before the orders that follow from it are carried out. To drain a tenant, its
+//! messages are withdrawn from the decision module. Outstanding attempts may end by themselves for a while;
+//! then those of messages that may be repeated are cancelled, and a message that may not be repeated stays
+//! and ends here, while its key waits at the other dispatcher until it must have ended. So no move waits for
+//! a silent member. What was offered stays in this journal until the other dispatcher serves it. Only then is
+//! it removed: first the messages, then the ownership.
+
+use super::seats_read::OwnershipRecords;
+use super::{Core, HeldMessage, Order, Verdict, Withheld};
 use crate::api::*;
 use crate::config::place;
 use crate::guard::{self, CONFIRM_MOST};
@@ -21,29 +23,30 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// What is out when a move begins may end by itself for so long.
-const DRAIN_PATIENCE: Ms = 500.0;
-/// A message without order that has less time left than this ends where it is.
-const NEAR: Ms = 1_000.0;
-/// An offer that is not answered by then is taken back,
-const OFFER_MOST: Ms = 5_000.0;
-/// and in any case so long before the first of its messages would be late.
+/// How long outstanding attempts may end by themselves after a move begins.
+const DRAIN_GRACE: Ms = 500.0;
+/// A message without an ordering key that has less time left than this is not moved; it ends here.
+const MIN_LEFT_TO_MOVE: Ms = 1_000.0;
+/// An offer that is not answered within this time is taken back.
+const OFFER_TIMEOUT: Ms = 5_000.0;
+/// An offer is taken back at the latest this long before the first of its messages reaches its deadline.
 const OFFER_MARGIN: Ms = 400.0;
-/// Words are said again after this, and after twice as long each time,
-const AGAIN_FIRST: Ms = 100.0;
-/// up to this.
-const AGAIN_MOST: Ms = 1_000.0;
-/// A tenant that is placed here for the first time is served after this, unless somebody says that it is served there.
-const ASK_FOR: Ms = 1_000.0;
-/// What a client is told to wait while a tenant is on its way,
-const WAIT_MOVING: Ms = 100.0;
-/// and before it asks at another dispatcher.
-const WAIT_ELSEWHERE: Ms = 1.0;
-
-/// Another dispatcher, or this one, as the map has it.
+/// How long after it was sent a peer message is sent again; the delay doubles with each repeat.
+const RESEND_FIRST: Ms = 100.0;
+/// The longest delay before a peer message is sent again.
+const RESEND_MAX: Ms = 1_000.0;
+/// How long a tenant that is placed here for the first time waits for another dispatcher to claim it before
+/// it is served here.
+const CLAIM_WAIT: Ms = 1_000.0;
+/// The retry-after of a client whose tenant is being moved.
+const MOVING_RETRY_AFTER: Ms = 100.0;
+/// How long a client waits before it turns to the dispatcher that its tenant has moved to.
+const MOVED_RETRY_AFTER: Ms = 1.0;
+
+/// A dispatcher of the cell map, including this one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerSpec {
-    /// Its name.
+    /// The dispatcher's name.
     pub name: String,
     /// Where other dispatchers reach it.
     pub peer: SocketAddr,
@@ -53,70 +56,73 @@
     pub mqtt: Option<SocketAddr>,
 }
 
-/// The cell map as one dispatcher serves under it.
+/// The cell map, as one dispatcher sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MeshSpec {
-    /// This dispatcher.
+    /// The name of this dispatcher.
     pub me: String,
-    /// The map's version.
+    /// The version of the map.
     pub version: u64,
-    /// All dispatchers.
+    /// All dispatchers, including this one.
     pub peers: Vec<PeerSpec>,
     /// The cells.
     pub areas: Vec<Area>,
 }
 
 impl MeshSpec {
-    /// A dispatcher by its name.
+    /// Finds a dispatcher by its name.
     pub fn peer(&self, name: &str) -> Option<&PeerSpec> {
         self.peers.iter().find(|p| p.name == name)
     }
 }
 
-/// A tenant's seat, and what is not written down of it.
+/// A tenant's ownership, and the state that is not in the journal.
 #[derive(Debug)]
-struct Place {
+struct TenantState {
     seat: Seat<Contents>,
-    /// In this phase since.
+    /// When the current phase began.
     since: Ms,
-    /// When words are said again, and after which pause then.
-    tick_at: Ms,
-    pause: Ms,
-    /// Draining ends at the latest then.
+    /// When the pending peer message is sent again.
+    resend_at: Ms,
+    /// The delay after that.
+    resend_delay: Ms,
+    /// When draining ends at the latest.
     drain_until: Option<Ms>,
-    /// Then endpoints know of all that was cut off.
+    /// When endpoints know of all cancelled attempts.
     confirm_until: Option<Ms>,
-    /// An offer is taken back then.
+    /// When an offer is taken back.
     offer_until: Ms,
-    /// Since when messages stand still.
-    still_since: Ms,
-    /// For how long they stood in the last move that ended here.
-    stood: Ms,
+    /// Since when the tenant's messages have been withdrawn from the decision module.
+    halted_since: Ms,
+    /// For how long they were withdrawn in the last move that ended here.
+    last_halt: Ms,
 }
 
-/// All seats of a dispatcher.
+/// The ownership of all tenants known to this dispatcher.
 #[derive(Debug, Default)]
-pub(super) struct Seats {
+pub(super) struct Ownership {
     spec: Option<MeshSpec>,
-    /// Dispatchers by number; numbers hold for this process only.
+    /// Names of the dispatchers by number; the numbers hold for this process only.
     nodes: Vec<String>,
-    of: BTreeMap<String, Place>,
-    /// Tenants that are to be placed here, unless somebody says that they are served there: until when it is waited.
-    asking: BTreeMap<String, Ms>,
-    /// Tenants that are in the middle of a move.
+    tenants: BTreeMap<String, TenantState>,
+    /// Tenants that are to be served here unless another dispatcher claims them, and until when a claim is
+    /// awaited.
+    unclaimed: BTreeMap<String, Ms>,
+    /// Tenants with a move under way.
     moving: BTreeSet<String>,
-    /// Keys whose messages wait for one that ends where their tenant came from: until when, and whose.
+    /// Keys whose messages wait for one that ends at the dispatcher their tenant came from: until when, and
+    /// the tenant.
     parked: HashMap<u64, (Ms, String)>,
-    /// Keys that rest after an attempt that may still run: until when, and whose.
-    rests: HashMap<u64, (Ms, String)>,
-    /// Bytes of what was received, in a compacted journal.
+    /// Keys in a quiet period after an attempt that may still run: until when, and the tenant.
+    quiet_keys: HashMap<u64, (Ms, String)>,
+    /// Bytes that received contents take in a compacted journal.
     bytes: u64,
-    ask_again: Ms,
+    next_query_at: Ms,
 }
 
-impl Seats {
-    pub(super) fn new(spec: Option<MeshSpec>) -> Seats {
-        Seats { spec, ..Seats::default() }
+impl Ownership {
+    pub(super) fn new(spec: Option<MeshSpec>) -> Ownership {
+        Ownership { spec, ..Ownership::default() }
     }
 
     fn node(&mut self, name: &str) -> Node {
@@ -139,84 +145,85 @@
         self.spec.as_ref().map_or(0, |s| s.version)
     }
 
-    /// Are there any moves, waits or questions under way?
-    fn busy(&self) -> bool {
-        !self.asking.is_empty() || !self.parked.is_empty() || !self.moving.is_empty()
+    /// Whether there are moves, parked keys or unclaimed tenants.
+    fn is_active(&self) -> bool {
+        !self.unclaimed.is_empty() || !self.parked.is_empty() || !self.moving.is_empty()
     }
 
-    /// Bytes that received contents need in the journal.
+    /// Bytes that received contents take in a compacted journal.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// A seat as it is written down, with the keys that wait.
+    /// The journal record of a tenant's ownership, with its parked keys.
     fn record(&self, tenant: &str, seat: &Seat<Contents>) -> SeatRecord {
         let own = self.parked.iter().filter(|(_, w)| w.1 == tenant);
-        let parked = own.map(|(key, w)| Parked { key: *key, until: ms(w.0).saturating_add(1) }).collect();
+        let parked =
+            own.map(|(key, w)| Parked { key: *key, until: whole_ms(w.0).saturating_add(1) }).collect();
         SeatRecord { parked, ..wire::record(tenant, seat, |n| self.name(n)) }
     }
 
-    /// Keys that wait here for what ends elsewhere.
-    fn park(&mut self, tenant: &str, keys: &[Parked]) {
+    /// Parks keys whose messages wait here for one that ends at another dispatcher.
+    fn park_keys(&mut self, tenant: &str, keys: &[Parked]) {
         self.parked.extend(keys.iter().map(|k| (k.key, (k.until as Ms, tenant.to_string()))));
     }
 
-    /// Takes up the keys that waited when an earlier process ended.
-    pub(super) fn park_again(&mut self, now: Ms, read: &SeatsRead) {
-        for (tenant, record) in &read.last {
-            self.park(tenant, &record.parked);
+    /// Restores the keys that were parked when an earlier process ended.
+    pub(super) fn restore_parked_keys(&mut self, now: Ms, read: &OwnershipRecords) {
+        for (tenant, record) in &read.latest {
+            self.park_keys(tenant, &record.parked);
         }
         self.parked.retain(|_, w| w.0 > now);
     }
 
-    /// A seat is so from now on.
-    fn put(&mut self, tenant: &str, place: Place) {
-        match place.seat.is_moving() {
+    /// Replaces the state of a tenant.
+    fn set(&mut self, tenant: &str, state: TenantState) {
+        match state.seat.is_moving() {
             true => self.moving.insert(tenant.to_string()),
             false => self.moving.remove(tenant),
         };
-        self.of.insert(tenant.to_string(), place);
-        self.reckon();
+        self.tenants.insert(tenant.to_string(), state);
+        self.recount_bytes();
     }
 
-    fn reckon(&mut self) {
-        let received = |p: &Place| match &p.seat.phase {
+    fn recount_bytes(&mut self) {
+        let received = |p: &TenantState| match &p.seat.phase {
             Phase::Received { contents, .. } => contents.encoded_len() as u64,
             _ => 0,
         };
-        self.bytes = self.of.values().map(received).sum();
+        self.bytes = self.tenants.values().map(received).sum();
     }
 }
 
-fn fresh(now: Ms, seat: Seat<Contents>) -> Place {
-    Place {
+fn new_tenant_state(now: Ms, seat: Seat<Contents>) -> TenantState {
+    TenantState {
         seat,
         since: now,
-        tick_at: now,
-        pause: AGAIN_FIRST,
+        resend_at: now,
+        resend_delay: RESEND_FIRST,
         drain_until: None,
         confirm_until: None,
         offer_until: f64::MAX,
-        still_since: now,
-        stood: 0.0,
+        halted_since: now,
+        last_halt: 0.0,
     }
 }
 
-fn ms(t: Ms) -> u64 {
+fn whole_ms(t: Ms) -> u64 {
     t.max(0.0) as u64
 }
 
-/// Of an [`Ending`]: its number on the wire, and the wait.
-fn ending_out(ending: Option<Ending>) -> (u32, u64) {
+/// Encodes an [`Ending`] for the wire: its number, and the retry-after.
+fn encode_ending(ending: Option<Ending>) -> (u32, u64) {
     match ending {
         Some(Ending::Delivered) => (0, 0),
         Some(Ending::GivenUp) => (1, 0),
-        Some(Ending::HandedBack(wait)) => (2, ms(wait)),
+        Some(Ending::HandedBack(wait)) => (2, whole_ms(wait)),
         None => (3, 0),
     }
 }
 
-fn ending_in(past: &Past) -> Option<Ending> {
+fn decode_ending(past: &Past) -> Option<Ending> {
     match past.ending {
         0 => Some(Ending::Delivered),
         1 => Some(Ending::GivenUp),
@@ -236,7 +243,7 @@
     }
 }
 
-fn other<C>(phase: &Phase<C>) -> Option<Node> {
+fn counterpart<C>(phase: &Phase<C>) -> Option<Node> {
     match phase {
         Phase::Away { at } => *at,
         Phase::Settled => None,
@@ -246,121 +253,126 @@
 }
 
 impl Core {
-    /// May tenants move between dispatchers at all?
-    pub(super) fn may_move(&self) -> bool {
-        self.seats.spec.is_some()
+    /// Whether tenants can move between dispatchers at all.
+    pub(super) fn tenants_can_move(&self) -> bool {
+        self.ownership.spec.is_some()
     }
 
-    /// The tenant, where tenants may move; else nothing, which takes no room.
-    pub(super) fn movable(&self, tenant: &str) -> String {
-        if self.may_move() {
+    /// The tenant's name, where tenants can move; else an empty string, which takes no memory.
+    pub(super) fn tenant_if_movable(&self, tenant: &str) -> String {
+        if self.tenants_can_move() {
             tenant.to_string()
         } else {
             String::new()
         }
     }
 
-    /// Is the tenant not served here, or not now?
-    pub(super) fn is_elsewhere(&self, tenant: &str) -> bool {
-        self.seats.of.get(tenant).is_some_and(|p| !p.seat.serves())
+    /// Whether the tenant is not served here, or not at the moment.
+    pub(super) fn is_not_served_here(&self, tenant: &str) -> bool {
+        self.ownership.tenants.get(tenant).is_some_and(|p| !p.seat.serves())
     }
 
-    /// What a client of such a tenant is told.
-    pub(super) fn elsewhere(&self, tenant: &str) -> Verdict {
-        let busy = Verdict::Busy(WAIT_MOVING.min(self.settings.max_advice));
-        let Some(place) = self.seats.of.get(tenant) else { return busy };
-        let Phase::Away { at: Some(node) } = place.seat.phase else { return busy };
-        let name = self.seats.name(node);
-        let peer = self.seats.spec.as_ref().and_then(|s| s.peer(&name));
+    /// The answer to a client whose tenant is not served here.
+    pub(super) fn moved_verdict(&self, tenant: &str) -> Verdict {
+        let busy = Verdict::Busy(MOVING_RETRY_AFTER.min(self.settings.max_advice));
+        let Some(state) = self.ownership.tenants.get(tenant) else { return busy };
+        let Phase::Away { at: Some(node) } = state.seat.phase else { return busy };
+        let name = self.ownership.name(node);
+        let peer = self.ownership.spec.as_ref().and_then(|s| s.peer(&name));
         let (resp, mqtt) = peer.map_or((None, None), |p| (p.resp, p.mqtt));
-        Verdict::Elsewhere { wait: WAIT_ELSEWHERE, name, resp, mqtt }
+        Verdict::Elsewhere { wait: MOVED_RETRY_AFTER, name, resp, mqtt }
     }
 
-    /// Gives every tenant its seat, as it is written down or as the map has it. Messages are restored already.
-    pub(super) fn open_seats(&mut self, now: Ms, read: SeatsRead) {
-        let Some(spec) = self.seats.spec.clone() else { return };
-        for (tenant, record) in read.last {
-            let nodes = std::cell::RefCell::new(&mut self.seats);
+    /// Restores the ownership of every tenant from the journal, or else from the cell map. Messages have been
+    /// restored before.
+    pub(super) fn restore_ownership(&mut self, now: Ms, read: OwnershipRecords) {
+        let Some(spec) = self.ownership.spec.clone() else { return };
+        for (tenant, record) in read.latest {
+            let nodes = std::cell::RefCell::new(&mut self.ownership);
             let seat = record.seat(|name| nodes.borrow_mut().node(name), |_| Contents::default());
             let Some(mut seat) = seat else {
-                log::error!(tenant = tenant.as_str(); "the seat of '{tenant}' in the journal makes no sense");
+                log::error!(tenant = tenant.as_str();
+                    "the ownership record of '{tenant}' in the journal is invalid");
                 continue;
             };
             if let Phase::Offered { contents, .. } | Phase::Committed { contents, .. } = &mut seat.phase {
-                *contents = self.contents_of(now, &tenant, now);
+                *contents = self.handoff_contents(now, &tenant, now);
             }
-            let mut place = fresh(now, seat);
-            if let Phase::Offered { contents, .. } = &place.seat.phase {
-                place.offer_until = offer_until(now, contents);
+            let mut state = new_tenant_state(now, seat);
+            if let Phase::Offered { contents, .. } = &state.seat.phase {
+                state.offer_until = offer_until(now, contents);
             }
-            self.seats.put(&tenant, place);
+            self.ownership.set(&tenant, state);
         }
-        self.place_new(now, &spec);
+        self.place_new_tenants(now, &spec);
     }
 
-    /// Tenants that have no seat yet.
-    fn place_new(&mut self, now: Ms, spec: &MeshSpec) {
+    /// Decides on tenants that have no ownership yet.
+    fn place_new_tenants(&mut self, now: Ms, spec: &MeshSpec) {
         let new: Vec<String> =
-            self.names.tenants.iter().filter(|t| !self.seats.of.contains_key(*t)).cloned().collect();
+            self.names.tenants.iter().filter(|t| !self.ownership.tenants.contains_key(*t)).cloned().collect();
         for tenant in new {
             let home = lives(&spec.areas, &tenant).map(|(_, at)| at.to_string());
             let at = match home {
                 Some(home) if home == spec.me => {
-                    self.seats.asking.insert(tenant.clone(), now + ASK_FOR);
+                    self.ownership.unclaimed.insert(tenant.clone(), now + CLAIM_WAIT);
                     None
                 }
-                home => home.map(|h| self.seats.node(&h)),
+                home => home.map(|h| self.ownership.node(&h)),
             };
             let seat = Seat::away(at);
-            // Who is asked about is not written down before it is known: another start asks again.
+            // Nothing is written while the owner is being queried: another start queries again.
             if at.is_some() {
-                self.write_seat(&tenant, &seat);
+                self.write_ownership(&tenant, &seat);
             }
-            self.seats.put(&tenant, fresh(now, seat));
+            self.ownership.set(&tenant, new_tenant_state(now, seat));
         }
         if spec.peers.len() < 2 {
-            self.seats.asking.values_mut().for_each(|t| *t = now);
+            self.ownership.unclaimed.values_mut().for_each(|t| *t = now);
         }
-        self.seats.ask_again = now;
+        self.ownership.next_query_at = now;
     }
 
-    /// Takes a changed map over. It moves nobody who has a seat: that is done by a move.
+    /// Applies a changed cell map. A tenant that already has an owner stays there; only a move changes that.
     pub(super) fn change_map(&mut self, now: Ms, spec: Option<MeshSpec>) {
-        if let (Some(new), Some(_)) = (spec, &self.seats.spec) {
-            self.seats.spec = Some(new.clone());
-            self.place_new(now, &new);
+        if let (Some(new), Some(_)) = (spec, &self.ownership.spec) {
+            self.ownership.spec = Some(new.clone());
+            self.place_new_tenants(now, &new);
         }
     }
 
-    fn write_seat(&mut self, tenant: &str, seat: &Seat<Contents>) -> bool {
+    fn write_ownership(&mut self, tenant: &str, seat: &Seat<Contents>) -> bool {
         self.compact_if_full();
-        self.append_seat(&self.seats.record(tenant, seat))
+        self.append_ownership(&self.ownership.record(tenant, seat))
     }
 
-    fn append_seat(&mut self, record: &SeatRecord) -> bool {
+    fn append_ownership(&mut self, record: &SeatRecord) -> bool {
         let done = self.journal.append(&Record::Seat(record.encode_to_vec()));
         if let Err(e) = &done {
-            log::error!(tenant = record.tenant.as_str(), cause:% = e; "a seat cannot be written down: {e}");
+            log::error!(tenant = record.tenant.as_str(), cause:% = e;
+                "an ownership record cannot be written to the journal: {e}");
         }
         done.is_ok()
     }
 
-    /// The seats for a journal that is written anew.
-    pub(super) fn seat_records(&self) -> Vec<Record> {
-        let known = self.seats.of.iter().filter(|(t, _)| !self.seats.asking.contains_key(*t));
-        let record =
-            |(tenant, p): (&String, &Place)| Record::Seat(self.seats.record(tenant, &p.seat).encode_to_vec());
+    /// The ownership records for a compacted journal.
+    pub(super) fn ownership_records(&self) -> Vec<Record> {
+        let known = self.ownership.tenants.iter().filter(|(t, _)| !self.ownership.unclaimed.contains_key(*t));
+        let record = |(tenant, p): (&String, &TenantState)| {
+            Record::Seat(self.ownership.record(tenant, &p.seat).encode_to_vec())
+        };
         known.map(record).collect()
     }
 
-    /// One step of a seat: written down first, then carried out.
-    fn advance(&mut self, now: Ms, tenant: &str, input: Input<Contents>) -> Result<(), Refused> {
-        let Some(place) = self.seats.of.get(tenant) else { return Err(Refused::NotOwner) };
-        let old = &place.seat;
+    /// Applies one input to a tenant's ownership: the new state is written first, then its orders are carried
+    /// out.
+    fn step_ownership(&mut self, now: Ms, tenant: &str, input: Input<Contents>) -> Result<(), Refused> {
+        let Some(state) = self.ownership.tenants.get(tenant) else { return Err(Refused::NotOwner) };
+        let old = &state.seat;
         let (seat, orders) = old.step(input, Faults::default())?;
         if seat != *old {
             let (was, old_epoch) = (phase_name(&old.phase), old.epoch);
-            let handed = match (&old.phase, &seat.phase) {
+            let handed_off = match (&old.phase, &seat.phase) {
                 (Phase::Committed { contents, .. }, Phase::Away { .. }) => Some(contents.clone()),
                 _ => None,
             };
@@ -368,369 +380,394 @@
                 (Phase::Received { contents, .. }, Phase::Settled) => Some(contents.clone()),
                 _ => None,
             };
-            // Messages that are served elsewhere go before the seat does: else a start in between would serve them here.
-            handed.iter().for_each(|c| self.strike_out(now, c));
+            // Messages that another dispatcher serves are removed before the ownership is written: a restart
+            // in between would otherwise serve them here.
+            handed_off.iter().for_each(|c| self.remove_handed_off(now, c));
             let written = match &adopted {
-                Some(contents) => self.adopt(now, tenant, &seat, contents),
-                None => self.write_seat(tenant, &seat),
+                Some(contents) => self.adopt_tenant(now, tenant, &seat, contents),
+                None => self.write_ownership(tenant, &seat),
             };
             if !written {
-                // As if nothing had been heard: it is said again.
+                // The input counts as not received; the peer sends it again.
                 return Ok(());
             }
-            let node = other(&seat.phase);
-            let there = node.map(|n| self.seats.name(n)).unwrap_or_default();
+            let node = counterpart(&seat.phase);
+            let counterpart_name = node.map(|n| self.ownership.name(n)).unwrap_or_default();
             let (is, epoch) = (phase_name(&seat.phase), seat.epoch);
-            if let Some(mut place) = self.seats.of.remove(tenant) {
-                (place.since, place.tick_at, place.pause) = (now, now + AGAIN_FIRST, AGAIN_FIRST);
+            if let Some(mut state) = self.ownership.tenants.remove(tenant) {
+                (state.since, state.resend_at, state.resend_delay) = (now, now + RESEND_FIRST, RESEND_FIRST);
                 if let Phase::Offered { contents, .. } = &seat.phase {
-                    place.offer_until = offer_until(now, contents);
+                    state.offer_until = offer_until(now, contents);
                 }
                 if !matches!(seat.phase, Phase::Draining { .. }) {
-                    place.drain_until = None;
+                    state.drain_until = None;
                 }
                 if let Some(c) = &adopted {
-                    place.stood = (now - c.still_since as Ms).max(0.0);
+                    state.last_halt = (now - c.still_since as Ms).max(0.0);
                 }
-                place.seat = seat;
-                self.seats.put(tenant, place);
+                state.seat = seat;
+                self.ownership.set(tenant, state);
             }
-            self.seats.asking.remove(tenant);
-            log::info!(tenant = tenant, phase = is, was = was, epoch = epoch, was_epoch = old_epoch, other = there.as_str(); "{tenant} is {is}");
+            self.ownership.unclaimed.remove(tenant);
+            log::info!(tenant = tenant, phase = is, was = was, epoch = epoch, was_epoch = old_epoch, other = counterpart_name.as_str();
+                "{tenant} is {is}");
             if adopted.is_some() {
                 self.claim(tenant, None);
             }
         }
-        orders.into_iter().for_each(|o| self.seat_order(now, tenant, o));
+        orders.into_iter().for_each(|o| self.apply_move_order(now, tenant, o));
         Ok(())
     }
 
-    fn seat_order(&mut self, now: Ms, tenant: &str, order: moving::Order<Contents>) {
+    fn apply_move_order(&mut self, now: Ms, tenant: &str, order: moving::Order<Contents>) {
         match order {
             moving::Order::Tell(node, word) => {
-                let to = self.seats.name(node);
-                let envelope = wire::envelope(self.seats.me(), &to, tenant, self.seats.version(), &word);
+                let to = self.ownership.name(node);
+                let envelope =
+                    wire::envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
                 self.orders.push(Order::Say { to, envelope: Box::new(envelope) });
             }
             moving::Order::Drain => self.drain_tenant(now, tenant),
-            moving::Order::Resume => self.thaw_tenant(now, tenant),
-            // An adoption has done it.
+            moving::Order::Resume => self.resume_tenant(now, tenant),
+            // `adopt_tenant` has done it already.
             moving::Order::Serve(_) => {}
             moving::Order::Forget => {
-                let committed = |p: &Place| matches!(p.seat.phase, Phase::Committed { .. });
-                // What was committed stays in the journal until the other side has said that it serves it.
-                if !self.seats.of.get(tenant).is_some_and(committed) {
-                    self.overtaken(now, tenant);
+                let committed = |p: &TenantState| matches!(p.seat.phase, Phase::Committed { .. });
+                // Committed messages stay in the journal until the other dispatcher has confirmed that it
+                // serves them.
+                if !self.ownership.tenants.get(tenant).is_some_and(committed) {
+                    self.give_up_superseded(now, tenant);
                 }
             }
-            // It ends here by itself.
+            // The remaining messages end here by themselves.
             moving::Order::Finish => {}
         }
     }
 
-    /// Tells a dispatcher, or all, that a tenant is served here.
+    /// Tells one dispatcher, or all, that a tenant is served here.
     fn claim(&mut self, tenant: &str, only: Option<&str>) {
-        let Some(place) = self.seats.of.get(tenant) else { return };
-        let word = Word::Claim { epoch: place.seat.epoch };
-        for to in self.others().into_iter().filter(|n| only.is_none_or(|o| o == n)) {
-            let envelope = wire::envelope(self.seats.me(), &to, tenant, self.seats.version(), &word);
+        let Some(state) = self.ownership.tenants.get(tenant) else { return };
+        let word = Word::Claim { epoch: state.seat.epoch };
+        for to in self.peer_names().into_iter().filter(|n| only.is_none_or(|o| o == n)) {
+            let envelope = wire::envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
             self.orders.push(Order::Say { to, envelope: Box::new(envelope) });
         }
     }
 
-    fn others(&self) -> Vec<String> {
-        let Some(spec) = &self.seats.spec else { return Vec::new() };
+    fn peer_names(&self) -> Vec<String> {
+        let Some(spec) = &self.ownership.spec else { return Vec::new() };
         spec.peers.iter().map(|p| p.name.clone()).filter(|n| *n != spec.me).collect()
     }
 
-    /// A connection to another dispatcher is up: it learns who is served here.
+    /// Tells a newly connected dispatcher which tenants are served here.
     pub fn peer_up(&mut self, name: &str) {
         let owned: Vec<String> =
-            self.seats.of.iter().filter(|(_, p)| p.seat.owns()).map(|(t, _)| t.clone()).collect();
+            self.ownership.tenants.iter().filter(|(_, p)| p.seat.owns()).map(|(t, _)| t.clone()).collect();
         owned.iter().for_each(|t| self.claim(t, Some(name)));
     }
 
-    /// Something came from another dispatcher, or from a tool.
+    /// Handles a message from another dispatcher or from an operator's tool.
     pub fn hear(&mut self, now: Ms, conn: usize, e: Envelope) {
         self.now = now;
         let Ok(kind) = Kind::try_from(e.kind) else { return };
         if kind == Kind::Wish {
-            let answer = match e.to == self.seats.me() {
-                true => self.wish(now, &e.tenant, e.wish.as_ref()),
-                false => Answer { refused: format!("this is {}", self.seats.me()), seats: Vec::new() },
+            let answer = match e.to == self.ownership.me() {
+                true => self.operator_request(now, &e.tenant, e.wish.as_ref()),
+                false => Answer { refused: format!("this is {}", self.ownership.me()), seats: Vec::new() },
             };
             let mut reply =
-                wire::plain(self.seats.me(), &e.from, &e.tenant, self.seats.version(), Kind::Answer);
+                wire::plain(self.ownership.me(), &e.from, &e.tenant, self.ownership.version(), Kind::Answer);
             reply.answer = Some(answer);
             return self.orders.push(Order::Reply { conn, envelope: Box::new(reply) });
         }
-        if e.to != self.seats.me() || e.from == e.to {
-            return log::warn!(from = e.from.as_str(), to = e.to.as_str(); "a word for another dispatcher came here");
+        if e.to != self.ownership.me() || e.from == e.to {
+            return log::warn!(from = e.from.as_str(), to = e.to.as_str();
+                "a peer message for another dispatcher was received; it is ignored");
         }
-        if e.map > self.seats.version() {
-            log::warn!(from = e.from.as_str(), version = e.map; "'{}' serves under version {} of the map; here it is {}", e.from, e.map, self.seats.version());
+        if e.map > self.ownership.version() {
+            log::warn!(from = e.from.as_str(), version = e.map;
+                "'{}' uses version {} of the cell map; this dispatcher uses {}", e.from, e.map, self.ownership.version());
         }
-        let from = self.seats.node(&e.from);
+        let from = self.ownership.node(&e.from);
         match kind {
             Kind::Whose => {
-                let theirs = |p: &Place| p.seat.owns() || matches!(p.seat.phase, Phase::Committed { .. });
-                if self.seats.of.get(&e.tenant).is_some_and(theirs) {
+                let theirs =
+                    |p: &TenantState| p.seat.owns() || matches!(p.seat.phase, Phase::Committed { .. });
+                if self.ownership.tenants.get(&e.tenant).is_some_and(theirs) {
                     self.claim(&e.tenant, Some(&e.from));
                 }
             }
             Kind::NoRoom => {
-                let offered = |p: &Place| {
+                let offered = |p: &TenantState| {
                     p.seat.epoch + 1 == e.epoch
                         && matches!(p.seat.phase, Phase::Offered { to, .. } if to == from)
                 };
-                if self.seats.of.get(&e.tenant).is_some_and(offered) {
-                    log::warn!(tenant = e.tenant.as_str(), other = e.from.as_str(), cause = e.why.as_str(); "'{}' does not take '{}': {}", e.from, e.tenant, e.why);
-                    let _ = self.advance(now, &e.tenant, Input::Abort);
+                if self.ownership.tenants.get(&e.tenant).is_some_and(offered) {
+                    log::warn!(tenant = e.tenant.as_str(), other = e.from.as_str(), cause = e.why.as_str();
+                        "'{}' rejects the offer of '{}': {}", e.from, e.tenant, e.why);
+                    let _ = self.step_ownership(now, &e.tenant, Input::Abort);
                 }
             }
             _ => match e.word() {
-                Ok(word) => self.word(now, &e, from, word),
+                Ok(word) => self.handle_peer_message(now, &e, from, word),
                 Err(why) => {
-                    log::warn!(from = e.from.as_str(), cause:% = why; "a word is not understood: {why}")
+                    log::warn!(from = e.from.as_str(), cause:% = why; "a peer message is invalid: {why}")
                 }
             },
         }
     }
 
-    fn word(&mut self, now: Ms, e: &Envelope, from: Node, word: Word<Contents>) {
+    fn handle_peer_message(&mut self, now: Ms, e: &Envelope, from: Node, word: Word<Contents>) {
         let tenant = e.tenant.as_str();
-        let refuse = match (&word, self.seats.of.get(tenant)) {
+        let refuse = match (&word, self.ownership.tenants.get(tenant)) {
             (Word::Offer { .. }, None) => Some("the tenant is not configured here".to_string()),
             (Word::Offer { contents, .. }, Some(p)) if matches!(p.seat.phase, Phase::Away { .. }) => {
-                self.cannot_take(contents)
+                self.offer_rejection(contents)
             }
             (Word::Claim { epoch }, Some(p))
                 if *epoch == p.seat.epoch
                     && p.seat.phase == Phase::Settled
-                    && e.from.as_str() < self.seats.me() =>
+                    && e.from.as_str() < self.ownership.me() =>
             {
-                log::warn!(tenant = tenant, other = e.from.as_str(); "'{tenant}' was placed here and at '{}', which keeps it", e.from);
-                let _ = self.advance(now, tenant, Input::Yield(from));
+                log::warn!(tenant = tenant, other = e.from.as_str();
+                    "'{tenant}' was placed both here and at '{}', which keeps it", e.from);
+                let _ = self.step_ownership(now, tenant, Input::Yield(from));
                 None
             }
             _ => None,
         };
         if let Some(why) = refuse {
-            let mut no = wire::plain(self.seats.me(), &e.from, tenant, self.seats.version(), Kind::NoRoom);
+            let mut no =
+                wire::plain(self.ownership.me(), &e.from, tenant, self.ownership.version(), Kind::NoRoom);
             (no.epoch, no.why) = (e.epoch, why);
             return self.orders.push(Order::Say { to: e.from.clone(), envelope: Box::new(no) });
         }
-        let _ = self.advance(now, tenant, Input::Heard(from, word));
+        let _ = self.step_ownership(now, tenant, Input::Heard(from, word));
     }
 
-    /// Why what is offered cannot be held here.
-    fn cannot_take(&self, c: &Contents) -> Option<String> {
+    /// Why offered contents cannot be accepted here, if they cannot.
+    fn offer_rejection(&self, c: &Contents) -> Option<String> {
         let size = c.encoded_len() as u64;
-        let needed = self.live_bytes + self.once.bytes() + self.seats.bytes + 2 * size;
+        let needed = self.live_bytes + self.at_most_once.bytes() + self.ownership.bytes + 2 * size;
         if !self.journal.has_room(needed) {
             return Some(format!("there is no room for {size} bytes in the journal"));
         }
-        if self.calls.len() + c.held.len() > self.settings.max_held {
+        if self.messages.len() + c.held.len() > self.settings.max_held {
             return Some(format!("there is no room for {} messages", c.held.len()));
         }
         let strange = c.held.iter().find(|h| place(&self.names.classes, &h.class).is_none());
         strange.map(|h| format!("the class '{}' is not configured here", h.class))
     }
 
-    fn wish(&mut self, now: Ms, tenant: &str, wish: Option<&Wish>) -> Answer {
+    fn operator_request(&mut self, now: Ms, tenant: &str, wish: Option<&Wish>) -> Answer {
         let ask = wish.and_then(|w| Ask::try_from(w.ask).ok()).unwrap_or(Ask::None);
         let to = wish.map_or("", |w| w.to.as_str());
-        let known = tenant.is_empty() && ask == Ask::Status || self.seats.of.contains_key(tenant);
-        let target = self.seats.spec.as_ref().and_then(|s| s.peer(to)).is_some();
+        let known = tenant.is_empty() && ask == Ask::Status || self.ownership.tenants.contains_key(tenant);
+        let target = self.ownership.spec.as_ref().and_then(|s| s.peer(to)).is_some();
         let refused = match ask {
             _ if !known => Some(format!("there is no tenant '{tenant}' here")),
             Ask::Status => None,
-            Ask::Move if to == self.seats.me() => match self.is_elsewhere(tenant) {
+            Ask::Move if to == self.ownership.me() => match self.is_not_served_here(tenant) {
                 true => Some(format!("'{tenant}' is not served here; ask the dispatcher that serves it")),
                 false => Some(Refused::Here.to_string()),
             },
             Ask::Move if !target => Some(format!("the map has no dispatcher '{to}'")),
             Ask::Move => {
-                let node = self.seats.node(to);
-                self.advance(now, tenant, Input::Move(node)).err().map(|e| e.to_string())
+                let node = self.ownership.node(to);
+                self.step_ownership(now, tenant, Input::Move(node)).err().map(|e| e.to_string())
             }
-            Ask::Abort => self.advance(now, tenant, Input::Abort).err().map(|e| e.to_string()),
-            Ask::Reclaim => self.advance(now, tenant, Input::Reclaim).err().map(|e| e.to_string()),
+            Ask::Abort => self.step_ownership(now, tenant, Input::Abort).err().map(|e| e.to_string()),
+            Ask::Reclaim => self.step_ownership(now, tenant, Input::Reclaim).err().map(|e| e.to_string()),
             Ask::None => Some("this wish is not known here".into()),
         };
         Answer { refused: refused.unwrap_or_default(), seats: self.reports(now, tenant) }
     }
 
-    /// How the seats are: of one tenant, or of all.
+    /// Reports the ownership of one tenant, or of all if `tenant` is empty.
     fn reports(&self, now: Ms, tenant: &str) -> Vec<Report> {
         let mut held: HashMap<&str, (u64, u64)> = HashMap::new();
-        for c in self.calls.values().filter(|c| c.ending.is_none()) {
+        for c in self.messages.values().filter(|c| c.ending.is_none()) {
             let count = held.entry(&c.taken.tenant).or_default();
-            *count = (count.0 + 1, count.1 + u64::from(c.frozen.is_some()));
+            *count = (count.0 + 1, count.1 + u64::from(c.withheld.is_some()));
         }
-        let wanted = self.seats.of.iter().filter(|(t, _)| tenant.is_empty() || *t == tenant);
-        let report = |(tenant, p): (&String, &Place)| {
-            let asking = self.seats.asking.contains_key(tenant);
+        let wanted = self.ownership.tenants.iter().filter(|(t, _)| tenant.is_empty() || *t == tenant);
+        let report = |(tenant, p): (&String, &TenantState)| {
+            let asking = self.ownership.unclaimed.contains_key(tenant);
             let (held, still) = held.get(tenant.as_str()).copied().unwrap_or_default();
             Report {
                 tenant: tenant.clone(),
                 phase: if asking { "asking" } else { phase_name(&p.seat.phase) }.into(),
-                other: other(&p.seat.phase).map(|n| self.seats.name(n)).unwrap_or_default(),
+                other: counterpart(&p.seat.phase).map(|n| self.ownership.name(n)).unwrap_or_default(),
                 epoch: p.seat.epoch,
                 held,
                 still,
-                since: ms(now - p.since),
-                stood: ms(p.stood),
+                since: whole_ms(now - p.since),
+                stood: whole_ms(p.last_halt),
             }
         };
         wanted.map(report).collect()
     }
 
-    /// Takes a tenant's messages out of the module; what is out may end.
+    /// Withdraws a tenant's messages from the decision module; outstanding attempts may end.
     fn drain_tenant(&mut self, now: Ms, tenant: &str) {
-        let Some(p) = self.seats.of.get_mut(tenant).filter(|p| p.drain_until.is_none()) else { return };
-        (p.drain_until, p.confirm_until) = (Some(now + DRAIN_PATIENCE), None);
-        p.still_since = now;
-        let mut gone = Vec::new();
-        for (no, c) in self.calls.iter_mut().filter(|(_, c)| c.taken.tenant == tenant && c.ending.is_none()) {
-            let near = c.taken.valid_until - now < NEAR && c.taken.key.is_none();
-            match c.frozen {
+        let Some(p) = self.ownership.tenants.get_mut(tenant).filter(|p| p.drain_until.is_none()) else {
+            return;
+        };
+        (p.drain_until, p.confirm_until) = (Some(now + DRAIN_GRACE), None);
+        p.halted_since = now;
+        let mut withdrawn = Vec::new();
+        for (no, c) in
+            self.messages.iter_mut().filter(|(_, c)| c.taken.tenant == tenant && c.ending.is_none())
+        {
+            let near = c.taken.valid_until - now < MIN_LEFT_TO_MOVE && c.taken.key.is_none();
+            match c.withheld {
                 None if !near => {
-                    gone.push((c.cell, *no));
-                    c.frozen = Some(Frozen::Moving);
+                    withdrawn.push((c.cell, *no));
+                    c.withheld = Some(Withheld::TenantMoving);
                 }
-                Some(Frozen::Parked) => c.frozen = Some(Frozen::Moving),
+                Some(Withheld::KeyParked) => c.withheld = Some(Withheld::TenantMoving),
                 _ => {}
             }
         }
-        gone.into_iter().for_each(|(cell, no)| self.cells.post(cell, Event::ClientGone(no)));
+        withdrawn.into_iter().for_each(|(cell, no)| self.cells.post(cell, Event::ClientGone(no)));
     }
 
-    /// A move was taken back: the module has the messages again, in their order.
-    fn thaw_tenant(&mut self, now: Ms, tenant: &str) {
-        if let Some(p) = self.seats.of.get_mut(tenant) {
-            p.stood = now - p.still_since;
+    /// Gives the messages back to the decision module, in their order, after a move was taken back.
+    fn resume_tenant(&mut self, now: Ms, tenant: &str) {
+        if let Some(p) = self.ownership.tenants.get_mut(tenant) {
+            p.last_halt = now - p.halted_since;
         }
-        let moving = |c: &Call| c.taken.tenant == tenant && c.frozen == Some(Frozen::Moving);
-        let mut back = self.those(moving);
-        // What was left holds its key in the module until it has ended.
-        back.retain(|no| self.cut_or_leave(now, *no));
-        back.iter().for_each(|no| self.conclude_any(now, *no));
-        self.park_resting(now, tenant);
-        for no in back {
-            self.calls.entry(no).and_modify(|c| c.frozen = Some(Frozen::Parked));
-            self.thaw_if_free(no);
+        let moving = |c: &HeldMessage| c.taken.tenant == tenant && c.withheld == Some(Withheld::TenantMoving);
+        let mut resumed = self.messages_where(moving);
+        // A message that is left to end by itself holds its key until then.
+        resumed.retain(|no| self.cancel_or_leave(now, *no));
+        resumed.iter().for_each(|no| self.book_any_cancelled(now, *no));
+        self.park_quiet_keys(now, tenant);
+        for no in resumed {
+            self.messages.entry(no).and_modify(|c| c.withheld = Some(Withheld::KeyParked));
+            self.resume_if_key_free(no);
         }
     }
 
-    /// Keys of a tenant that rest go on resting: the module did not have their calls, and knows of no rest.
-    fn park_resting(&mut self, now: Ms, tenant: &str) {
-        let rests = self.seats.rests.iter().filter(|(_, rest)| rest.0 > now && rest.1 == tenant);
-        for (key, rest) in rests.map(|(key, rest)| (*key, rest.clone())).collect::<Vec<_>>() {
-            let parked = self.seats.parked.entry(key).or_insert_with(|| rest.clone());
-            parked.0 = parked.0.max(rest.0);
+    /// Parks the keys of a tenant that are in a quiet period: the decision module did not hold their messages
+    /// and knows of no quiet period.
+    fn park_quiet_keys(&mut self, now: Ms, tenant: &str) {
+        let quiet_keys =
+            self.ownership.quiet_keys.iter().filter(|(_, quiet)| quiet.0 > now && quiet.1 == tenant);
+        for (key, quiet) in quiet_keys.map(|(key, quiet)| (*key, quiet.clone())).collect::<Vec<_>>() {
+            let parked = self.ownership.parked.entry(key).or_insert_with(|| quiet.clone());
+            parked.0 = parked.0.max(quiet.0);
         }
     }
 
-    /// The numbers of calls that are so, in the order in which they were taken.
-    fn those(&self, are: impl Fn(&Call) -> bool) -> Vec<CallNo> {
-        self.calls.iter().filter(|(_, c)| are(c)).map(|(no, _)| *no).collect()
+    /// The numbers of the messages that match, in the order in which they were accepted.
+    fn messages_where(&self, are: impl Fn(&HeldMessage) -> bool) -> Vec<CallNo> {
+        self.messages.iter().filter(|(_, c)| are(c)).map(|(no, _)| *no).collect()
     }
 
-    /// Of a call whose tenant moves, or does not after all, cuts off what is out if it may be repeated or has not begun. Else
-    /// it is left: it ends here by itself.
-    fn cut_or_leave(&mut self, now: Ms, no: CallNo) -> bool {
-        let out = self.calls.get(&no).and_then(|c| c.out.as_ref()).map(|o| (o.attempt, o.written));
+    /// Cancels the outstanding attempt of a message whose tenant moves, or whose move was taken back, if the
+    /// message may be repeated or the attempt is not written whole. Otherwise the message is left to end
+    /// here, and the result is false.
+    fn cancel_or_leave(&mut self, now: Ms, no: CallNo) -> bool {
+        let out = self.messages.get(&no).and_then(|c| c.out.as_ref()).map(|o| (o.attempt, o.written));
         let Some((attempt, written)) = out else { return true };
-        let leave = written && self.is_unsafe(no);
+        let leave = written && self.is_at_most_once(no);
         match leave {
-            true => drop(self.calls.entry(no).and_modify(|c| c.frozen = Some(Frozen::Behind))),
+            true => drop(self.messages.entry(no).and_modify(|c| c.withheld = Some(Withheld::LeftBehind))),
             false => self.cancel(now, no, attempt),
         }
         !leave
     }
 
-    fn is_broken_off(&self, no: CallNo) -> bool {
-        let out = self.calls.get(&no).and_then(|c| c.out.as_ref());
-        out.is_some_and(|o| o.broken_off.is_some())
+    fn is_cancel_requested(&self, no: CallNo) -> bool {
+        let out = self.messages.get(&no).and_then(|c| c.out.as_ref());
+        out.is_some_and(|o| o.cancel_requested.is_some())
     }
 
-    /// A tenant that drains stays for as long as endpoints may need to know of ends; false once it has.
-    fn wait_once_more(&mut self, now: Ms, tenant: &str) -> bool {
-        let Some(place) = self.seats.of.get_mut(tenant) else { return false };
-        let until = *place.confirm_until.get_or_insert(guard::confirmed_by(now));
-        place.drain_until = Some(until);
+    /// Extends the drain of a tenant until endpoints must know of the cancelled attempts; false once that
+    /// time has passed.
+    fn extend_drain(&mut self, now: Ms, tenant: &str) -> bool {
+        let Some(state) = self.ownership.tenants.get_mut(tenant) else { return false };
+        let until = *state.confirm_until.get_or_insert(guard::confirmed_by(now));
+        state.drain_until = Some(until);
         now < until
     }
 
-    /// What was cut off here has ended, whether or not its endpoint knows yet: the rules keep it back until then.
-    fn conclude_any(&mut self, now: Ms, no: CallNo) {
-        if let Some(attempt) = self.calls.get(&no).and_then(|c| Some(c.out.as_ref()?.attempt)) {
-            self.conclude(now, no, attempt);
+    /// Books a cancelled attempt as ended, whether or not its endpoint knows: the send rules hold back other
+    /// attempts of the message until it does.
+    fn book_any_cancelled(&mut self, now: Ms, no: CallNo) {
+        if let Some(attempt) = self.messages.get(&no).and_then(|c| Some(c.out.as_ref()?.attempt)) {
+            self.book_cancelled(now, no, attempt);
         }
     }
 
-    /// Gives a call back to the module, unless others of its key must end first.
-    fn thaw_if_free(&mut self, no: CallNo) {
-        if self.calls.get(&no).is_some_and(|c| c.ending.is_none() && !self.is_parked(c.taken.key)) {
+    /// Gives a message to the decision module, unless another message of its key must end first.
+    fn resume_if_key_free(&mut self, no: CallNo) {
+        if self.messages.get(&no).is_some_and(|c| c.ending.is_none() && !self.is_parked(c.taken.key)) {
             self.resume(no);
         }
     }
 
-    fn is_unsafe(&self, no: CallNo) -> bool {
-        let class = self.calls.get(&no).and_then(|c| place(&self.names.classes, &c.taken.class));
+    fn is_at_most_once(&self, no: CallNo) -> bool {
+        let class = self.messages.get(&no).and_then(|c| place(&self.names.classes, &c.taken.class));
         class.is_none_or(|c| self.settings.classes[c].effect == Effect::Unsafe)
     }
 
-    /// Must a message of this key wait here for one that ends elsewhere?
+    /// Whether messages of this key wait here for one that ends at another dispatcher.
     pub(super) fn is_parked(&self, key: Option<u64>) -> bool {
-        key.is_some_and(|k| self.seats.parked.contains_key(&k))
+        key.is_some_and(|k| self.ownership.parked.contains_key(&k))
     }
 
-    /// A key rests after an attempt that may still run.
-    pub(super) fn note_rest(&mut self, now: Ms, no: CallNo, outcome: Outcome) {
-        if self.seats.spec.is_none()
+    /// Starts the quiet period of a key after an attempt that may still run.
+    pub(super) fn start_quiet_period(&mut self, now: Ms, no: CallNo, outcome: Outcome) {
+        if self.ownership.spec.is_none()
             || !matches!(outcome, Outcome::Late | Outcome::Reset | Outcome::Cancelled)
         {
             return;
         }
-        let Some((key, tenant)) = self.calls.get(&no).map(|c| (c.taken.key, c.taken.tenant.clone())) else {
+        let Some((key, tenant)) = self.messages.get(&no).map(|c| (c.taken.key, c.taken.tenant.clone()))
+        else {
             return;
         };
-        self.rest_key(now, key, &tenant, now + self.settings.key_quiet);
+        self.set_key_quiet(now, key, &tenant, now + self.settings.key_quiet);
     }
 
-    /// A key of a tenant rests until then, also where the tenant goes.
-    pub(super) fn rest_key(&mut self, now: Ms, key: Option<u64>, tenant: &str, until: Ms) {
-        if let (Some(key), true) = (key, self.seats.spec.is_some()) {
-            self.seats.rests.retain(|_, r| r.0 > now);
-            self.seats.rests.insert(key, (until, tenant.to_string()));
+    /// Sets the quiet period of a tenant's key; a move carries it to the next owner.
+    pub(super) fn set_key_quiet(&mut self, now: Ms, key: Option<u64>, tenant: &str, until: Ms) {
+        if let (Some(key), true) = (key, self.ownership.spec.is_some()) {
+            self.ownership.quiet_keys.retain(|_, r| r.0 > now);
+            self.ownership.quiet_keys.insert(key, (until, tenant.to_string()));
         }
     }
 
-    /// A message that stayed here while its tenant moved has come back without a delivery: the module knows it no more.
-    pub(super) fn end_behind(&mut self, now: Ms, no: CallNo) {
-        if self.calls.get(&no).is_some_and(|c| c.frozen == Some(Frozen::Behind) && c.out.is_none()) {
-            self.end_unsent(now, no);
+    /// Ends a message that stayed here when its tenant moved and whose attempt ended without a delivery: the
+    /// decision module does not hold it any more.
+    pub(super) fn end_left_behind(&mut self, now: Ms, no: CallNo) {
+        if self.messages.get(&no).is_some_and(|c| c.withheld == Some(Withheld::LeftBehind) && c.out.is_none())
+        {
+            self.end_withheld(now, no);
         }
     }
 
-    /// Ends a call that the module does not have: without a promise if it may have run.
-    fn end_unsent(&mut self, now: Ms, no: CallNo) {
-        let ran = self.calls.get(&no).is_some_and(|c| c.ran.is_some());
+    /// Ends a message that the decision module does not hold: given up if it may have run, else returned.
+    fn end_withheld(&mut self, now: Ms, no: CallNo) {
+        let ran = self.messages.get(&no).is_some_and(|c| c.ran.is_some());
         self.finish(now, no, if ran { Ending::GivenUp } else { Ending::HandedBack(0.0) });
     }
 
-    /// All that is handed over of a tenant; what stays here shows in its keys and in what is past.
-    fn contents_of(&self, now: Ms, tenant: &str, still_since: Ms) -> Contents {
-        let goes = |c: &Call| c.frozen == Some(Frozen::Moving) && c.out.is_none() && c.ending.is_none();
-        let own = || self.calls.iter().filter(|(_, c)| c.taken.tenant == tenant);
-        let mut contents = Contents { still_since: ms(still_since), ..Contents::default() };
+    /// Everything that is handed over of a tenant. A message that stays here appears only as a parked key and
+    /// in the list of past endings.
+    fn handoff_contents(&self, now: Ms, tenant: &str, still_since: Ms) -> Contents {
+        let is_moving = |c: &HeldMessage| {
+            c.withheld == Some(Withheld::TenantMoving) && c.out.is_none() && c.ending.is_none()
+        };
+        let own = || self.messages.iter().filter(|(_, c)| c.taken.tenant == tenant);
+        let mut contents = Contents { still_since: whole_ms(still_since), ..Contents::default() };
         let mut parked: BTreeMap<u64, u64> = BTreeMap::new();
         for (no, c) in own() {
             let t = &c.taken;
-            let name = self.once.name(&t.class, &t.idempotency, &t.identity.1);
-            if goes(c) {
+            let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
+            if is_moving(c) {
                 contents.held.push(Held {
                     client: t.identity.0.clone(),
                     id: t.identity.1.clone(),
@@ -738,64 +775,68 @@
                     key: t.key,
                     idempotency: t.idempotency.clone(),
                     dest: t.dest,
-                    valid_until: ms(t.valid_until),
+                    valid_until: whole_ms(t.valid_until),
                     reply: t.reply.clone(),
                     body: t.body.clone(),
                     attempts: c.attempts,
-                    ran_at: c.ran.as_ref().map(|s| ms(s.at)),
+                    ran_at: c.ran.as_ref().map(|s| whole_ms(s.at)),
                     ran_in: c.ran.as_ref().map(|s| s.zone.clone()).unwrap_or_default(),
                     no: *no,
                 });
                 continue;
             }
             if let Some(key) = t.key {
-                // Until its end is known and heard, by its endpoint too, it may come before what follows it.
+                // The message may run before later ones of its key until its end is known here and to its
+                // endpoint.
                 let unconfirmed = if c.out.is_some() { CONFIRM_MOST } else { 0.0 };
-                let until = ms(t.valid_until.max(now) + unconfirmed + self.settings.key_quiet);
+                let until = whole_ms(t.valid_until.max(now) + unconfirmed + self.settings.key_quiet);
                 parked.entry(key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
             }
-            let until = ms(t.valid_until + self.once.span(&t.class));
+            let until = whole_ms(t.valid_until + self.at_most_once.memory_span(&t.class));
             contents.past.extend(name.map(|id| Past { id, name: true, ending: 1, until, ..Past::default() }));
         }
-        let waits = self.seats.parked.iter().chain(&self.seats.rests);
+        let waits = self.ownership.parked.iter().chain(&self.ownership.quiet_keys);
         for (key, (until, _)) in waits.filter(|(_, w)| w.0 > now && w.1 == tenant) {
-            let until = ms(*until).saturating_add(1);
+            let until = whole_ms(*until).saturating_add(1);
             parked.entry(*key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
         }
         contents.parked = parked.into_iter().map(|(key, until)| Parked { key, until }).collect();
-        let goes_no = |no: &CallNo| self.calls.get(no).is_some_and(goes);
-        for (identity, k) in self.known.iter().filter(|(_, k)| k.tenant == tenant && !goes_no(&k.no)) {
-            let (ending, wait) = ending_out(k.ending);
+        let number_is_moving = |no: &CallNo| self.messages.get(no).is_some_and(is_moving);
+        for (identity, k) in
+            self.identities.iter().filter(|(_, k)| k.tenant == tenant && !number_is_moving(&k.no))
+        {
+            let (ending, wait) = encode_ending(k.ending);
             let (client, id) = identity.clone();
-            contents.past.push(Past { client, id, name: false, ending, wait, until: ms(k.until) });
+            contents.past.push(Past { client, id, name: false, ending, wait, until: whole_ms(k.until) });
         }
-        for (name, ending, until, _) in self.once.ends().filter(|e| e.3 == tenant) {
-            let (ending, wait) = ending_out(Some(ending));
+        for (name, ending, until, _) in self.at_most_once.endings().filter(|e| e.3 == tenant) {
+            let (ending, wait) = encode_ending(Some(ending));
             let (client, id) = (String::new(), name.clone());
-            contents.past.push(Past { client, id, name: true, ending, wait, until: ms(until) });
+            contents.past.push(Past { client, id, name: true, ending, wait, until: whole_ms(until) });
         }
         contents
     }
 
-    /// Messages are somebody else's: nothing is told of them here.
-    fn strike_out(&mut self, now: Ms, contents: &Contents) {
+    /// Removes messages that another dispatcher serves now; their clients get no answer from here.
+    fn remove_handed_off(&mut self, now: Ms, contents: &Contents) {
         for h in &contents.held {
-            let Some(c) = self.take_out(now, h.no) else { continue };
-            let name = self.once.name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
-            name.iter().for_each(|n| self.once.forget(n));
+            let Some(c) = self.remove_message(now, h.no) else { continue };
+            let name =
+                self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
+            name.iter().for_each(|n| self.at_most_once.forget(n));
             self.forget_identity(&c.taken.identity);
-            self.note(&Record::Over { no: h.no, until: 0.0 });
+            self.append_or_defer(&Record::Over { no: h.no, until: 0.0 });
         }
     }
 
-    /// This dispatcher served from an old folder, or under an old map, and the tenant has gone on without it. What it holds
-    /// may have run elsewhere: it is given up, and its clients hear so.
-    fn overtaken(&mut self, now: Ms, tenant: &str) {
-        let own = |c: &Call| c.taken.tenant == tenant && c.ending.is_none();
-        for no in self.those(own) {
-            let Some(c) = self.calls.get_mut(&no) else { continue };
-            let (cell, known, out) = (c.cell, c.frozen.is_none(), c.out.is_some());
-            c.frozen = Some(Frozen::Behind);
+    /// Gives up a tenant's messages after another dispatcher has taken the tenant over without this one,
+    /// which served from an old state folder or under an old map. The messages may have run there;     /// clients are told that they are given up.
+    fn give_up_superseded(&mut self, now: Ms, tenant: &str) {
+        let own = |c: &HeldMessage| c.taken.tenant == tenant && c.ending.is_none();
+        for no in self.messages_where(own) {
+            let Some(c) = self.messages.get_mut(&no) else { continue };
+            let (cell, known, out) = (c.cell, c.withheld.is_none(), c.out.is_some());
+            c.withheld = Some(Withheld::LeftBehind);
             if known {
                 self.cells.post(cell, Event::ClientGone(no));
             }
@@ -805,19 +846,20 @@
         }
     }
 
-    /// Writes down what was received, as messages of this journal. Until the last record stands, none of it counts.
-    fn adopt(&mut self, now: Ms, tenant: &str, seat: &Seat<Contents>, contents: &Contents) -> bool {
+    /// Writes received contents to this journal as messages of its own. None of it counts until the last
+    /// record is written.
+    fn adopt_tenant(&mut self, now: Ms, tenant: &str, seat: &Seat<Contents>, contents: &Contents) -> bool {
         self.compact_if_full();
         let parked = contents.parked.clone();
-        let settled = SeatRecord { parked, ..wire::record(tenant, seat, |n| self.seats.name(n)) };
-        let first = self.next_no;
+        let settled = SeatRecord { parked, ..wire::record(tenant, seat, |n| self.ownership.name(n)) };
+        let first = self.next_message_no;
         let begun = SeatRecord { adopts_from: Some(first), ..settled.clone() };
-        if !self.append_seat(&begun) {
+        if !self.append_ownership(&begun) {
             return false;
         }
-        self.next_no += contents.held.len() as CallNo;
-        let cell = self.cells.of(tenant);
-        let mut calls = Vec::new();
+        self.next_message_no += contents.held.len() as CallNo;
+        let cell = self.cells.cell_of(tenant);
+        let mut messages = Vec::new();
         for (h, no) in contents.held.iter().zip(first..) {
             let taken = Taken {
                 no,
@@ -833,200 +875,210 @@
             };
             let ran = h.ran_at.map(|at| Sent { at: at as Ms, zone: h.ran_in.clone() });
             let record = Record::Taken(taken);
-            let size = record.size() + super::admit::MARGIN;
+            let size = record.size() + super::admit::MESSAGE_OVERHEAD_BYTES;
             let state = Record::State { no, attempts: h.attempts, ran: ran.clone(), out: None };
             let both = [Some(&record), (h.attempts > 0).then_some(&state)];
             for r in both.into_iter().flatten() {
                 if let Err(e) = self.journal.append(r) {
-                    log::error!(tenant = tenant, cause:% = e; "what was handed over cannot be written down: {e}");
+                    log::error!(tenant = tenant, cause:% = e;
+                        "a handed-over message cannot be written to the journal: {e}");
                     return false;
                 }
             }
             let Record::Taken(taken) = record else { return false };
-            let frozen = Some(Frozen::Parked);
-            calls.push(Call {
+            let withheld = Some(Withheld::KeyParked);
+            messages.push(HeldMessage {
                 taken,
                 attempts: h.attempts,
-                last: None,
+                last_outcome: None,
                 ran,
                 out: None,
                 ending: None,
                 cell,
                 size,
-                frozen,
-                unheard: None,
+                withheld,
+                unreported_end: None,
             });
         }
-        // Before the seat is settled: a crash behind that would leave messages here that are never to run again.
+        // These records come before the one that settles the ownership: after a crash in between, messages
+        // that must not run again would otherwise be unknown here.
         for past in &contents.past {
             if let Err(e) = self.journal.append(&past_record(tenant, past)) {
-                log::error!(tenant = tenant, cause:% = e; "what is past cannot be written down: {e}");
+                log::error!(tenant = tenant, cause:% = e;
+                    "a handed-over ending cannot be written to the journal: {e}");
                 return false;
             }
         }
-        if !self.append_seat(&settled) {
+        if !self.append_ownership(&settled) {
             return false;
         }
-        self.seats.park(tenant, &contents.parked);
-        // From here on a journal that is written anew must tell of what was written here.
-        if let Some(place) = self.seats.of.get_mut(tenant) {
-            place.seat = seat.clone();
+        self.ownership.park_keys(tenant, &contents.parked);
+        // From here on a compacted journal must contain the ownership that was written above.
+        if let Some(state) = self.ownership.tenants.get_mut(tenant) {
+            state.seat = seat.clone();
         }
-        for mut call in calls {
-            call.frozen = self.is_parked(call.taken.key).then_some(Frozen::Parked);
-            self.hold_again(now, call);
+        for mut message in messages {
+            message.withheld = self.is_parked(message.taken.key).then_some(Withheld::KeyParked);
+            self.hold_restored(now, message);
         }
-        contents.past.iter().for_each(|past| self.remember_past(now, tenant, past));
+        contents.past.iter().for_each(|past| self.restore_past(now, tenant, past));
         true
     }
 
-    /// What ended where the tenant came from is known here, too.
-    fn remember_past(&mut self, now: Ms, tenant: &str, past: &Past) {
-        let (until, ending) = (past.until as Ms, ending_in(past));
+    /// Remembers a message that ended at the dispatcher the tenant came from.
+    fn restore_past(&mut self, now: Ms, tenant: &str, past: &Past) {
+        let (until, ending) = (past.until as Ms, decode_ending(past));
         if past.name {
             let ending = ending.unwrap_or(Ending::GivenUp);
-            self.once.remember(past.id.clone(), ending, until, tenant.to_string());
+            self.at_most_once.remember(past.id.clone(), ending, until, tenant.to_string());
         } else {
             let identity = (past.client.clone(), past.id.clone());
-            self.recall(now, identity, 0, ending, until, tenant.to_string());
+            self.restore_identity(now, identity, 0, ending, until, tenant.to_string());
         }
     }
 
-    /// What time brings: drains that end, words that are said again, offers that nobody answers, keys that may go on.
-    pub(super) fn seats_turn(&mut self, now: Ms) {
-        if !self.seats.busy() {
+    /// Handles what is due: drains, repeated peer messages, offers without an answer, and parked keys.
+    pub(super) fn ownership_turn(&mut self, now: Ms) {
+        if !self.ownership.is_active() {
             return;
         }
-        self.unpark(now);
-        self.end_still(now);
-        self.ask(now);
-        for tenant in self.seats.moving.clone() {
-            let Some(p) = self.seats.of.get_mut(&tenant) else { continue };
+        self.release_parked_keys(now);
+        self.expire_withheld(now);
+        self.query_owners(now);
+        for tenant in self.ownership.moving.clone() {
+            let Some(p) = self.ownership.tenants.get_mut(&tenant) else { continue };
             match (&p.seat.phase, p.drain_until) {
-                (Phase::Draining { .. }, Some(until)) => self.drain_on(now, &tenant, until),
+                (Phase::Draining { .. }, Some(until)) => self.continue_drain(now, &tenant, until),
                 (Phase::Offered { to, .. }, _) if p.offer_until <= now => {
                     let to = *to;
-                    let to = self.seats.name(to);
-                    log::warn!(tenant = tenant.as_str(), other = to.as_str(); "'{to}' has not taken '{tenant}' in time; the move is taken back");
-                    let _ = self.advance(now, &tenant, Input::Abort);
+                    let to = self.ownership.name(to);
+                    log::warn!(tenant = tenant.as_str(), other = to.as_str();
+                        "'{to}' has not accepted '{tenant}' in time; the move is taken back");
+                    let _ = self.step_ownership(now, &tenant, Input::Abort);
                 }
-                _ if p.tick_at <= now => {
-                    p.tick_at = now + p.pause;
-                    p.pause = (2.0 * p.pause).min(AGAIN_MOST);
-                    let _ = self.advance(now, &tenant, Input::Tick);
+                _ if p.resend_at <= now => {
+                    p.resend_at = now + p.resend_delay;
+                    p.resend_delay = (2.0 * p.resend_delay).min(RESEND_MAX);
+                    let _ = self.step_ownership(now, &tenant, Input::Tick);
                 }
                 _ => {}
             }
         }
     }
 
-    fn drain_on(&mut self, now: Ms, tenant: &str, until: Ms) {
-        let goes =
-            |c: &Call| c.taken.tenant == tenant && c.frozen == Some(Frozen::Moving) && c.ending.is_none();
-        let going = self.those(goes);
-        let is_out = |no: &CallNo| self.calls.get(no).is_some_and(|c| c.out.is_some());
-        let left: Vec<CallNo> = going.iter().copied().filter(is_out).collect();
-        if now < until && !left.is_empty() {
+    fn continue_drain(&mut self, now: Ms, tenant: &str, until: Ms) {
+        let is_moving = |c: &HeldMessage| {
+            c.taken.tenant == tenant && c.withheld == Some(Withheld::TenantMoving) && c.ending.is_none()
+        };
+        let moving_messages = self.messages_where(is_moving);
+        let is_out = |no: &CallNo| self.messages.get(no).is_some_and(|c| c.out.is_some());
+        let outstanding: Vec<CallNo> = moving_messages.iter().copied().filter(is_out).collect();
+        if now < until && !outstanding.is_empty() {
             return;
         }
-        // Another dispatcher sends them once it has them: their endpoints have to know of the end before.
-        for no in &left {
-            self.cut_or_leave(now, *no);
+        // Another dispatcher sends these messages once it has them, so their endpoints must know of the end
+        // before.
+        for no in &outstanding {
+            self.cancel_or_leave(now, *no);
         }
-        let unconfirmed = |no: &CallNo| self.unconfirmed.is_of(*no, now) || self.is_broken_off(*no);
-        if going.iter().any(unconfirmed) && self.wait_once_more(now, tenant) {
+        let unconfirmed =
+            |no: &CallNo| self.unconfirmed.has_unconfirmed(*no, now) || self.is_cancel_requested(*no);
+        if moving_messages.iter().any(unconfirmed) && self.extend_drain(now, tenant) {
             return;
         }
-        left.into_iter().for_each(|no| self.conclude_any(now, no));
-        let since = self.seats.of.get(tenant).map_or(now, |p| p.still_since);
-        let contents = self.contents_of(now, tenant, since);
+        outstanding.into_iter().for_each(|no| self.book_any_cancelled(now, no));
+        let since = self.ownership.tenants.get(tenant).map_or(now, |p| p.halted_since);
+        let contents = self.handoff_contents(now, tenant, since);
         if contents.encoded_len() + 4_096 > wire::FRAME_MOST {
-            log::error!(tenant = tenant; "'{tenant}' holds more than one frame takes, and is not moved");
-            let _ = self.advance(now, tenant, Input::Abort);
+            log::error!(tenant = tenant;
+                "the messages of '{tenant}' do not fit in one frame; it is not moved");
+            let _ = self.step_ownership(now, tenant, Input::Abort);
             return;
         }
-        let _ = self.advance(now, tenant, Input::Drained(contents));
+        let _ = self.step_ownership(now, tenant, Input::Drained(contents));
     }
 
-    /// Keys whose wait is over.
-    fn unpark(&mut self, now: Ms) {
-        let due: Vec<u64> = self.seats.parked.iter().filter(|(_, w)| w.0 <= now).map(|w| *w.0).collect();
+    /// Releases parked keys whose time has passed.
+    fn release_parked_keys(&mut self, now: Ms) {
+        let due: Vec<u64> = self.ownership.parked.iter().filter(|(_, w)| w.0 <= now).map(|w| *w.0).collect();
         for key in due {
-            self.seats.parked.remove(&key);
-            let waits = |c: &Call| c.frozen == Some(Frozen::Parked) && c.taken.key == Some(key);
-            self.those(waits).into_iter().for_each(|no| self.thaw_if_free(no));
+            self.ownership.parked.remove(&key);
+            let waits = |c: &HeldMessage| c.withheld == Some(Withheld::KeyParked) && c.taken.key == Some(key);
+            self.messages_where(waits).into_iter().for_each(|no| self.resume_if_key_free(no));
         }
     }
 
-    /// Messages that stand still and whose time is up. What is offered or committed is somebody's decision already.
-    fn end_still(&mut self, now: Ms) {
-        let due = |c: &Call| match c.frozen {
-            Some(Frozen::Parked) => true,
-            Some(Frozen::Moving) => {
-                let p = self.seats.of.get(&c.taken.tenant);
+    /// Ends withheld messages whose deadline has passed. Offered or committed messages are left alone:     /// fate is decided by the move.
+    fn expire_withheld(&mut self, now: Ms) {
+        let due = |c: &HeldMessage| match c.withheld {
+            Some(Withheld::KeyParked) => true,
+            Some(Withheld::TenantMoving) => {
+                let p = self.ownership.tenants.get(&c.taken.tenant);
                 c.out.is_none() && p.is_some_and(|p| matches!(p.seat.phase, Phase::Draining { .. }))
             }
             _ => false,
         };
-        let over = |c: &Call| c.ending.is_none() && c.taken.valid_until <= now && due(c);
-        for no in self.those(over) {
-            self.end_unsent(now, no);
+        let over = |c: &HeldMessage| c.ending.is_none() && c.taken.valid_until <= now && due(c);
+        for no in self.messages_where(over) {
+            self.end_withheld(now, no);
         }
     }
 
-    /// Asks whose a tenant is that has never been served here; who hears nothing takes it.
-    fn ask(&mut self, now: Ms) {
-        if self.seats.asking.is_empty() {
+    /// Asks the other dispatchers who serves the tenants that have no owner yet, and takes those that nobody
+    /// has claimed in time.
+    fn query_owners(&mut self, now: Ms) {
+        if self.ownership.unclaimed.is_empty() {
             return;
         }
         let due: Vec<String> =
-            self.seats.asking.iter().filter(|a| *a.1 <= now).map(|a| a.0.clone()).collect();
+            self.ownership.unclaimed.iter().filter(|a| *a.1 <= now).map(|a| a.0.clone()).collect();
         for tenant in due {
             let seat = Seat::settled();
-            if self.write_seat(&tenant, &seat) {
-                self.seats.asking.remove(&tenant);
-                self.seats.put(&tenant, fresh(now, seat));
+            if self.write_ownership(&tenant, &seat) {
+                self.ownership.unclaimed.remove(&tenant);
+                self.ownership.set(&tenant, new_tenant_state(now, seat));
                 self.claim(&tenant, None);
             }
         }
-        if self.seats.ask_again <= now {
-            self.seats.ask_again = now + AGAIN_FIRST;
-            let all: Vec<String> = self.seats.asking.keys().cloned().collect();
-            for to in self.others() {
+        if self.ownership.next_query_at <= now {
+            self.ownership.next_query_at = now + RESEND_FIRST;
+            let all: Vec<String> = self.ownership.unclaimed.keys().cloned().collect();
+            for to in self.peer_names() {
                 for tenant in &all {
-                    let whose = wire::plain(self.seats.me(), &to, tenant, self.seats.version(), Kind::Whose);
+                    let whose =
+                        wire::plain(self.ownership.me(), &to, tenant, self.ownership.version(), Kind::Whose);
                     self.orders.push(Order::Say { to: to.clone(), envelope: Box::new(whose) });
                 }
             }
         }
     }
 
-    /// When [`Core::seats_turn`] has something to do of itself.
-    pub(super) fn seats_due(&self) -> Option<Ms> {
-        if !self.seats.busy() {
+    /// When [`Core::ownership_turn`] next has something to do.
+    pub(super) fn ownership_due(&self) -> Option<Ms> {
+        if !self.ownership.is_active() {
             return None;
         }
-        let asks = self.seats.asking.values().copied();
-        let asks = asks.chain((!self.seats.asking.is_empty()).then_some(self.seats.ask_again));
-        let parked = self.seats.parked.values().map(|w| w.0);
-        let seat = |p: &Place| match p.drain_until {
+        let asks = self.ownership.unclaimed.values().copied();
+        let asks = asks.chain((!self.ownership.unclaimed.is_empty()).then_some(self.ownership.next_query_at));
+        let parked = self.ownership.parked.values().map(|w| w.0);
+        let seat = |p: &TenantState| match p.drain_until {
             Some(until) => until,
-            None => p.tick_at.min(p.offer_until),
+            None => p.resend_at.min(p.offer_until),
         };
-        let seats = self.seats.moving.iter().filter_map(|t| self.seats.of.get(t)).map(seat);
-        let still = |c: &Call| match c.frozen {
-            Some(Frozen::Parked) if c.ending.is_none() => Some(c.taken.valid_until),
+        let seats = self.ownership.moving.iter().filter_map(|t| self.ownership.tenants.get(t)).map(seat);
+        let expires_at = |c: &HeldMessage| match c.withheld {
+            Some(Withheld::KeyParked) if c.ending.is_none() => Some(c.taken.valid_until),
             _ => None,
         };
-        let still = self.calls.values().filter_map(still);
-        asks.chain(parked).chain(seats).chain(still).min_by(f64::total_cmp)
+        let expiries = self.messages.values().filter_map(expires_at);
+        asks.chain(parked).chain(seats).chain(expiries).min_by(f64::total_cmp)
     }
 }
 
-/// The record of what ended where the tenant came from. What ends elsewhere is, for a start after this, something that may have
-/// taken effect.
+/// The journal record of a message that ended at the dispatcher the tenant came from. If its ending is not
+/// known there, a restart treats the message as one that may have taken effect.
 fn past_record(tenant: &str, past: &Past) -> Record {
-    let (until, ending) = (past.until as Ms, ending_in(past).unwrap_or(Ending::GivenUp));
+    let (until, ending) = (past.until as Ms, decode_ending(past).unwrap_or(Ending::GivenUp));
     let tenant = tenant.to_string();
     if past.name {
         return Record::Once { name: past.id.clone(), ending, until, tenant };
@@ -1034,8 +1086,8 @@
     Record::Known { identity: (past.client.clone(), past.id.clone()), ending, until, tenant }
 }
 
-/// When an offer is taken back by itself.
+/// When an offer is taken back without an answer.
 fn offer_until(now: Ms, contents: &Contents) -> Ms {
-    let times = contents.held.iter().map(|h| h.valid_until as Ms).filter(|t| *t >= now + NEAR);
-    times.map(|t| t - OFFER_MARGIN).fold(now + OFFER_MOST, f64::min)
+    let times = contents.held.iter().map(|h| h.valid_until as Ms).filter(|t| *t >= now + MIN_LEFT_TO_MOVE);
+    times.map(|t| t - OFFER_MARGIN).fold(now + OFFER_TIMEOUT, f64::min)
 }
--- a/src/dispatch/take_in.rs
+++ b/src/dispatch/take_in.rs
@@ -1,176 +1,179 @@
-//! Take in: checks what a front hands over, and answers at once what needs no decision.
+//! Intake: checks what a front end submits, and answers at once where no decision is needed.
 
-use super::admit::NO_ROOM_ADVICE;
-use super::figures::Tally;
-use super::once::Judgement;
+use super::admit::NO_ROOM_RETRY_AFTER;
+use super::figures::ClientOutcome;
+use super::once::RepeatCheck;
 use super::{Core, Order, Ticket, Verdict};
 use crate::api::{Effect, Ms};
 use crate::config::place;
 use crate::journal::{Ending, Identity, Taken};
 
-/// The largest body.
+/// The largest body, in bytes.
 pub const BODY_MOST: usize = 64 * 1024;
-/// The longest id, idempotency key or client name.
-const NAME_MOST: usize = 256;
+/// The longest id, idempotency key or client name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// A call as a front reads it off its wire.
+/// A message as a front end has read it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Submission {
-    /// Who hands it in (empty for the platform), and under which id.
+    /// The client (empty for the platform) and the id that it gave the message.
     pub identity: Identity,
     /// The name of its class.
     pub class: String,
     /// The name of its tenant; empty if it has none.
     pub tenant: String,
-    /// The key of its order; passed over in classes without order.
+    /// The ordering key; ignored in classes without ordering.
     pub key: Option<u64>,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub idempotency: String,
-    /// Its destination.
+    /// The destination.
     pub dest: u64,
-    /// How long it may still be delivered; none: the class's deadline.
+    /// How long it may still be delivered; `None` means the class's deadline.
     pub left: Option<Ms>,
-    /// It was handed in before.
+    /// The client marks it as submitted before.
     pub again: bool,
-    /// Where its final answer goes; only its front reads this.
+    /// Where the final answer goes; only the front end interprets this.
     pub reply: Vec<u8>,
-    /// The body.
+    /// The message body.
     pub body: Vec<u8>,
 }
 
-/// Why a message is not taken on.
+/// Why a message is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NotTaken {
-    /// It makes no sense.
+enum RejectReason {
+    /// The submission is invalid.
     Unreadable,
-    /// A lost life may have sent it.
+    /// An earlier incarnation that the state folder knows nothing of may have sent it.
     Unproven,
-    /// Its tenant is served by another dispatcher.
+    /// Another dispatcher serves its tenant.
     Elsewhere,
-    /// The others have not told yet what became of what this one held.
+    /// The peers have not reported yet what became of the messages that this dispatcher held.
     CatchingUp,
-    /// The list names no endpoint of its destination.
+    /// The endpoint list has no endpoint of its destination.
     NotListed,
-    /// Its destination's promised share is used up beyond its time.
+    /// The promised share of its destination is used up beyond its deadline.
     NotInTime,
-    /// There is no room for it, or the folder takes nothing.
+    /// There is no capacity for it, or the state folder cannot be written.
     NoRoom,
 }
 
-impl NotTaken {
-    /// The word of the log and of the figures.
+impl RejectReason {
+    /// The reason's name in log records and metrics.
     fn name(self) -> &'static str {
         match self {
-            NotTaken::Unreadable => "unreadable",
-            NotTaken::Unproven => "unproven",
-            NotTaken::Elsewhere => "elsewhere",
-            NotTaken::CatchingUp => "catching_up",
-            NotTaken::NotListed => "not_listed",
-            NotTaken::NotInTime => "not_in_time",
-            NotTaken::NoRoom => "no_room",
+            RejectReason::Unreadable => "unreadable",
+            RejectReason::Unproven => "unproven",
+            RejectReason::Elsewhere => "elsewhere",
+            RejectReason::CatchingUp => "catching_up",
+            RejectReason::NotListed => "not_listed",
+            RejectReason::NotInTime => "not_in_time",
+            RejectReason::NoRoom => "no_room",
         }
     }
 }
 
 impl Core {
-    /// Takes a call in. The verdict comes as an [`Order::Answer`] of the next [`Core::turn`].
+    /// Submits a message. The verdict comes as an [`Order::Answer`] of the next [`Core::turn`].
     pub fn submit(&mut self, now: Ms, ticket: Ticket, s: Submission) {
         self.take_in(now, ticket, s, false);
     }
 
-    /// The others have said what they know of a message that was handed in before.
-    pub(super) fn submit_looked_for(&mut self, now: Ms, ticket: Ticket, s: Submission) {
+    /// Continues a submission after the peers have reported what they know of it.
+    pub(super) fn submit_after_query(&mut self, now: Ms, ticket: Ticket, s: Submission) {
         self.take_in(now, ticket, s, true);
     }
 
-    fn take_in(&mut self, now: Ms, ticket: Ticket, s: Submission, looked: bool) {
+    fn take_in(&mut self, now: Ms, ticket: Ticket, s: Submission, peers_queried: bool) {
         self.now = now;
         if let Some(verdict) = self.once_verdict(now, &s) {
-            return self.repeat_answer(&s, ticket, verdict);
+            return self.answer_repeat(&s, ticket, verdict);
         }
-        if self.known.contains_key(&s.identity) {
+        if self.identities.contains_key(&s.identity) {
             return self.answer_known(now, ticket, s);
         }
-        if let Some(verdict) = self.copied_verdict(&s.identity) {
-            return self.repeat_answer(&s, ticket, verdict);
+        if let Some(verdict) = self.verdict_from_copy(&s.identity) {
+            return self.answer_repeat(&s, ticket, verdict);
         }
-        if !looked && self.look_elsewhere(now, ticket, &s) {
+        if !peers_queried && self.query_peers(now, ticket, &s) {
             return;
         }
-        match self.may_take(now, &s) {
-            Ok((class, left)) => self.take_on(now, ticket, s, class, left),
-            Err((why, verdict)) => self.refuse(&s.class, &s.identity.1, ticket, why, verdict),
+        match self.check_acceptance(now, &s) {
+            Ok((class, left)) => self.accept(now, ticket, s, class, left),
+            Err((why, verdict)) => self.reject(&s.class, &s.identity.1, ticket, why, verdict),
         }
     }
 
-    /// It was handed in before, by whoever and wherever.
-    fn repeat_answer(&mut self, s: &Submission, ticket: Ticket, verdict: Verdict) {
+    /// Answers a submission that was made before, by whichever client and at whichever dispatcher.
+    fn answer_repeat(&mut self, s: &Submission, ticket: Ticket, verdict: Verdict) {
         self.counters.repeated += 1;
         self.answer_now(&s.class, ticket, verdict);
     }
 
-    /// A client hands in under an id that is known.
+    /// Answers a submission under an identity that is known.
     fn answer_known(&mut self, now: Ms, ticket: Ticket, s: Submission) {
-        let Some(no) = self.known.get(&s.identity).map(|k| k.no) else { return };
+        let Some(no) = self.identities.get(&s.identity).map(|k| k.no) else { return };
         self.counters.repeated += 1;
-        if self.asking.iter().any(|a| a.0 == no) {
-            self.asking.push((no, ticket));
+        if self.awaiting_verdict.iter().any(|a| a.0 == no) {
+            self.awaiting_verdict.push((no, ticket));
             return;
         }
-        if self.copy_is_asked(no) && self.copy_asks(now, no, ticket) {
+        if self.waits_for_copy_ack(no) && self.wait_for_copy_ack(now, no, ticket) {
             return;
         }
-        let Some(k) = self.known.get(&s.identity) else { return };
-        // The platform hears of an end once; a session asks again because it may have missed it.
-        let told = k.ending.filter(|_| !s.identity.0.is_empty());
+        let Some(k) = self.identities.get(&s.identity) else { return };
+        // The platform learns of an ending once; a session submits again because it may have missed the
+        // answer.
+        let unclaimed_ending = k.ending.filter(|_| !s.identity.0.is_empty());
         let (no, verdict) = (k.no, k.verdict.clone());
         self.answer_now(&s.class, ticket, verdict);
-        if let Some(ending) = told {
+        if let Some(ending) = unclaimed_ending {
             let until = now + super::ANSWER_KEPT;
             let told = super::Told { no, identity: s.identity, ending, reply: s.reply, until };
             self.orders.push(Order::Tell(told));
         } else {
-            self.move_reply(no, s.reply);
+            self.update_reply(no, s.reply);
         }
     }
 
-    /// The class of a message that may be taken on and the time that it has left; else why not, and what its client is told.
-    fn may_take(&mut self, now: Ms, s: &Submission) -> Result<(usize, Ms), (NotTaken, Verdict)> {
+    /// The class of an acceptable message and the time that it has left; else the reason for the rejection
+    /// and the answer to its client.
+    fn check_acceptance(&mut self, now: Ms, s: &Submission) -> Result<(usize, Ms), (RejectReason, Verdict)> {
         let busy = |wait: Ms, most: Ms| Verdict::Busy(wait.min(most));
         let advice = self.settings.max_advice;
-        let class = match self.check(s) {
+        let class = match self.validate(s) {
             Ok(class) => class,
-            Err(why) => return Err((NotTaken::Unreadable, Verdict::Failed(why))),
+            Err(why) => return Err((RejectReason::Unreadable, Verdict::Failed(why))),
         };
-        // Its first hand-in may have been taken, sent and forgotten with the folder.
+        // An earlier submission may have been accepted and sent by an incarnation whose state folder is lost.
         if self.is_unproven(now, &s.class, s.again) {
             self.counters.unproven += 1;
             let why = "it may have taken effect in a lost life, and is not sent again";
-            return Err((NotTaken::Unproven, Verdict::Failed(why.into())));
+            return Err((RejectReason::Unproven, Verdict::Failed(why.into())));
         }
-        if self.is_elsewhere(&s.tenant) {
-            return Err((NotTaken::Elsewhere, self.elsewhere(&s.tenant)));
+        if self.is_not_served_here(&s.tenant) {
+            return Err((RejectReason::Elsewhere, self.moved_verdict(&s.tenant)));
         }
-        // What it lost may be told it any moment: it says yes to nobody before.
+        // Peers may still report messages that this dispatcher has lost, so it accepts none before they have.
         if self.is_catching_up() {
-            return Err((NotTaken::CatchingUp, busy(NO_ROOM_ADVICE, advice)));
+            return Err((RejectReason::CatchingUp, busy(NO_ROOM_RETRY_AFTER, advice)));
         }
-        // Perhaps the client has heard of it first: it may come again. Taken on, the message could only wait.
+        // The client may know of the destination before this dispatcher does and may submit again later. An
+        // accepted message could only wait.
         if !self.is_listed(s.dest) {
-            return Err((NotTaken::NotListed, busy(NO_ROOM_ADVICE, advice)));
+            return Err((RejectReason::NotListed, busy(NO_ROOM_RETRY_AFTER, advice)));
         }
         let deadline = self.settings.classes[class].deadline;
         let left = s.left.unwrap_or(deadline).min(deadline);
-        match self.door_wait(now, s.dest, left) {
-            Some(wait) => Err((NotTaken::NotInTime, busy(wait, advice))),
+        match self.admission_wait(now, s.dest, left) {
+            Some(wait) => Err((RejectReason::NotInTime, busy(wait, advice))),
             None => Ok((class, left)),
         }
     }
 
-    fn take_on(&mut self, now: Ms, ticket: Ticket, s: Submission, class: usize, left: Ms) {
+    fn accept(&mut self, now: Ms, ticket: Ticket, s: Submission, class: usize, left: Ms) {
         let (name, id) = (s.class.clone(), s.identity.1.clone());
         let taken = Taken {
-            no: self.next_no,
+            no: self.next_message_no,
             identity: s.identity,
             key: s.key.filter(|_| self.settings.classes[class].in_order),
             class: s.class,
@@ -183,18 +186,18 @@
         };
         if let Err(wait) = self.admit(now, class, taken, s.again, ticket) {
             let verdict = Verdict::Busy(wait.min(self.settings.max_advice));
-            self.refuse(&name, &id, ticket, NotTaken::NoRoom, verdict);
+            self.reject(&name, &id, ticket, RejectReason::NoRoom, verdict);
         }
     }
 
-    /// A message is not taken on: said to its client, logged and counted by its reason.
-    fn refuse(&mut self, class: &str, id: &str, ticket: Ticket, why: NotTaken, verdict: Verdict) {
+    /// Rejects a message: answers its client, and logs and counts the reason.
+    fn reject(&mut self, class: &str, id: &str, ticket: Ticket, why: RejectReason, verdict: Verdict) {
         self.figures.not_taken(why.name());
         self.counters.busy += u64::from(matches!(verdict, Verdict::Busy(_) | Verdict::Elsewhere { .. }));
-        self.counters.malformed += u64::from(why == NotTaken::Unreadable);
+        self.counters.malformed += u64::from(why == RejectReason::Unreadable);
         match &verdict {
-            _ if why == NotTaken::Unproven => log::warn!(id = id, class = class, outcome = "failed";
-                "{id} was handed in before, and the folder cannot prove that it never went out: it is not sent"),
+            _ if why == RejectReason::Unproven => log::warn!(id = id, class = class, outcome = "failed";
+                "{id} was submitted before, and the state folder cannot prove that it was never sent; it is not sent again"),
             Verdict::Failed(cause) => {
                 log::debug!(id = id, class = class, outcome = "failed", why = why.name(),
                 cause = cause.as_str(); "a call is not taken on")
@@ -204,35 +207,38 @@
                 "a call is not taken on")
             }
             _ => {
-                log::debug!(id = id, class = class, outcome = "elsewhere", why = why.name(); "a call is not taken on")
+                log::debug!(id = id, class = class, outcome = "elsewhere", why = why.name();
+                    "a call is not taken on")
             }
         }
         self.answer_now(class, ticket, verdict);
     }
 
-    /// A verdict at once, counted in the figures if it ends the message.
+    /// Answers a client at once, and counts the verdict in the metrics if it ends the message.
     fn answer_now(&mut self, class: &str, ticket: Ticket, verdict: Verdict) {
         let tally = match verdict {
             Verdict::Taken => None,
-            Verdict::Busy(_) | Verdict::Elsewhere { .. } => Some(Tally::Rejected),
-            Verdict::Failed(_) => Some(Tally::Failed),
+            Verdict::Busy(_) | Verdict::Elsewhere { .. } => Some(ClientOutcome::Rejected),
+            Verdict::Failed(_) => Some(ClientOutcome::Failed),
         };
-        // Only classes of the settings are counted: a client's nonsense makes no new figure.
+        // Only configured classes are counted: invalid input from clients creates no new metrics.
         if let Some(tally) = tally.filter(|_| self.names.classes.iter().any(|c| c == class)) {
             self.figures.count(class, tally);
         }
         self.orders.push(Order::Answer { ticket, verdict });
     }
 
-    /// What a message of a class that is never repeated is answered if it was handed in before, by whoever and wherever.
+    /// The answer to a message of an at-most-once class that was submitted before, by whichever client and at
+    /// whichever dispatcher.
     fn once_verdict(&mut self, now: Ms, s: &Submission) -> Option<Verdict> {
-        let name = self.once.name(&s.class, &s.idempotency, &s.identity.1)?;
-        match self.once.judge(&name) {
-            Judgement::New => None,
-            // Its end is not known yet, and somebody else is told of it.
-            Judgement::Held(no) if self.known.get(&s.identity).is_some_and(|k| k.no == no) => None,
-            Judgement::Held(_) => Some(Verdict::Busy(NO_ROOM_ADVICE.min(self.settings.max_advice))),
-            Judgement::Ended(ending @ Ending::Delivered) => {
+        let name = self.at_most_once.entry_name(&s.class, &s.idempotency, &s.identity.1)?;
+        match self.at_most_once.check(&name) {
+            RepeatCheck::New => None,
+            // The message is held and its end not known yet. Its own client is answered by its identity; any
+            // other has to submit again, as it would not get the final answer.
+            RepeatCheck::Held(no) if self.identities.get(&s.identity).is_some_and(|k| k.no == no) => None,
+            RepeatCheck::Held(_) => Some(Verdict::Busy(NO_ROOM_RETRY_AFTER.min(self.settings.max_advice))),
+            RepeatCheck::Ended(ending @ Ending::Delivered) => {
                 if !s.identity.0.is_empty() {
                     let until = now + super::ANSWER_KEPT;
                     let (identity, reply) = (s.identity.clone(), s.reply.clone());
@@ -240,14 +246,14 @@
                 }
                 Some(Verdict::Taken)
             }
-            Judgement::Ended(_) => {
+            RepeatCheck::Ended(_) => {
                 Some(Verdict::Failed("it may have taken effect, and is not sent again".into()))
             }
         }
     }
 
-    /// The class of a call that makes sense.
-    fn check(&self, s: &Submission) -> Result<usize, String> {
+    /// The class of a valid message, or the error text.
+    fn validate(&self, s: &Submission) -> Result<usize, String> {
         let class = place(&self.names.classes, &s.class).ok_or("unknown class")?;
         if self.retired.classes.contains(&s.class) || self.retired.tenants.contains(&s.tenant) {
             return Err("the class or tenant is not served any more".into());
@@ -256,9 +262,10 @@
         let printable = |t: &str| t.bytes().all(|b| b.is_ascii_graphic());
         if !s.tenant.is_empty() && place(&self.names.tenants, &s.tenant).is_none() {
             Err("unknown tenant".into())
-        } else if s.identity.1.is_empty() || s.identity.1.len() > NAME_MOST || !printable(&s.identity.1) {
+        } else if s.identity.1.is_empty() || s.identity.1.len() > MAX_NAME_BYTES || !printable(&s.identity.1)
+        {
             Err("bad id".into())
-        } else if s.idempotency.len() > NAME_MOST || !printable(&s.idempotency) {
+        } else if s.idempotency.len() > MAX_NAME_BYTES || !printable(&s.idempotency) {
             Err("bad idempotency key".into())
         } else if keyed && s.idempotency.is_empty() {
             Err("an idempotency key is needed in this class".into())
--- a/src/dispatch/unconfirmed.rs
+++ b/src/dispatch/unconfirmed.rs
@@ -1,115 +1,127 @@
-//! Attempts that have ended here while their endpoints may not know yet: their message goes out nowhere else, and the next of
-//! their key waits.
+//! Attempts that have ended here while their endpoints may not know yet: their messages are sent nowhere
+//! else, and the next messages of their keys wait.
 //!
-//! Most attempts stay out until their wire has told that their endpoint counts them as over. What is kept here could not wait
-//! for that: the endpoint itself ended the connection, the message's time was up, it went to another dispatcher, or the process
-//! that had sent it has ended.
+//! Most attempts stay outstanding until their connection has reported that the endpoint counts them as over.
+//! The attempts kept here could not wait for that: the endpoint itself ended the connection, the message
+//! reached its deadline, it went to another dispatcher, or the process that had sent it has ended.
 
 use crate::api::{Ms, RouteId};
 use crate::journal::CallNo;
 use std::collections::BTreeMap;
 
-/// Such an attempt.
+/// An attempt that has ended here while its endpoint may not know yet.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(super) struct Unconfirmed {
-    /// Where it went.
+pub(super) struct UnconfirmedAttempt {
+    /// The endpoint that it was sent to.
     pub(super) route: RouteId,
-    /// The key of its message, in classes in order.
+    /// The ordering key of its message, in ordered classes.
     pub(super) key: Option<u64>,
     /// The tenant of its message.
     pub(super) tenant: String,
-    /// Its message is held no more; the key is free once the attempt is confirmed.
-    is_over: bool,
-    /// Its endpoint knows from then on; none: its wire will tell.
-    known_at: Option<Ms>,
-    /// Its key rests for so long after that.
-    rest: Ms,
+    /// Its message is not held any more; the key is released once the attempt is confirmed.
+    message_ended: bool,
+    /// From when on its endpoint knows; `None` until its connection reports it.
+    confirmed_at: Option<Ms>,
+    /// How long the quiet period of its key lasts after that.
+    quiet: Ms,
 }
 
-impl Unconfirmed {
+impl UnconfirmedAttempt {
     /// An attempt of a message that is held.
-    pub(super) fn new(route: RouteId, key: Option<u64>, tenant: String) -> Unconfirmed {
-        Unconfirmed { route, key, tenant, ..Unconfirmed::default() }
+    pub(super) fn new(route: RouteId, key: Option<u64>, tenant: String) -> UnconfirmedAttempt {
+        UnconfirmedAttempt { route, key, tenant, ..UnconfirmedAttempt::default() }
     }
 
-    fn is_known(&self, now: Ms) -> bool {
-        self.known_at.is_some_and(|at| at <= now)
+    fn is_confirmed(&self, now: Ms) -> bool {
+        self.confirmed_at.is_some_and(|at| at <= now)
     }
 
-    /// When it is known to its endpoint and its key has rested.
+    /// When its endpoint knows and the quiet period of its key is over.
     fn done_at(&self) -> Option<Ms> {
-        self.known_at.map(|at| at + self.rest)
+        self.confirmed_at.map(|at| at + self.quiet)
     }
 }
 
-/// A message whose key is free.
+/// A message whose key is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Freed {
     pub(super) no: CallNo,
     pub(super) key: Option<u64>,
 }
 
-/// The number that stands for the attempt which another process had out; only one can be.
+/// Stands for the attempt that another process had outstanding; there can be only one.
 const INHERITED: u32 = u32::MAX;
 
-/// All of them, by message and attempt.
+/// All such attempts, by message and attempt.
 #[derive(Debug, Default)]
-pub(super) struct Attempts(BTreeMap<(CallNo, u32), Unconfirmed>);
+pub(super) struct UnconfirmedAttempts(BTreeMap<(CallNo, u32), UnconfirmedAttempt>);
 
-impl Attempts {
-    /// An attempt was booked as ended; its wire will tell when its endpoint knows.
-    pub(super) fn insert(&mut self, no: CallNo, attempt: u32, unconfirmed: Unconfirmed) {
+impl UnconfirmedAttempts {
+    /// Adds an attempt that was booked as ended; its connection will report when the endpoint knows.
+    pub(super) fn insert(&mut self, no: CallNo, attempt: u32, unconfirmed: UnconfirmedAttempt) {
         self.0.insert((no, attempt), unconfirmed);
     }
 
-    /// A process that has ended had an attempt of this message out; its endpoint knows by then, and its key rests behind it.
-    pub(super) fn inherit(&mut self, no: CallNo, key: Option<u64>, known_at: Ms, rest: Ms) {
-        let known_at = Some(known_at);
-        self.0.insert((no, INHERITED), Unconfirmed { key, known_at, rest, ..Unconfirmed::default() });
+    /// Adds an attempt that an ended process had outstanding; its endpoint knows of the end at
+    /// `confirmed_at`, and the quiet period of its key follows.
+    pub(super) fn inherit(&mut self, no: CallNo, key: Option<u64>, confirmed_at: Ms, quiet: Ms) {
+        let confirmed_at = Some(confirmed_at);
+        self.0.insert(
+            (no, INHERITED),
+            UnconfirmedAttempt { key, confirmed_at, quiet, ..UnconfirmedAttempt::default() },
+        );
     }
 
-    /// The wire has told now, and the key rests for so long; none if it was to tell of no such attempt.
-    pub(super) fn confirm(&mut self, now: Ms, no: CallNo, attempt: u32, rest: Ms) -> Option<Unconfirmed> {
+    /// The connection reports now that the endpoint knows, and the quiet period begins; `None` if no such
+    /// attempt is kept here.
+    pub(super) fn confirm(
+        &mut self,
+        now: Ms,
+        no: CallNo,
+        attempt: u32,
+        quiet: Ms,
+    ) -> Option<UnconfirmedAttempt> {
         let unconfirmed = self.0.get_mut(&(no, attempt))?;
-        if unconfirmed.known_at.is_none() {
-            (unconfirmed.known_at, unconfirmed.rest) = (Some(now), rest);
+        if unconfirmed.confirmed_at.is_none() {
+            (unconfirmed.confirmed_at, unconfirmed.quiet) = (Some(now), quiet);
         }
         Some(unconfirmed.clone())
     }
 
-    /// Is there one of this message of which its endpoint may not know?
-    pub(super) fn is_of(&self, no: CallNo, now: Ms) -> bool {
-        self.0.range((no, 0)..=(no, u32::MAX)).any(|(_, unconfirmed)| !unconfirmed.is_known(now))
+    /// Whether the message has an attempt whose endpoint may not know of its end.
+    pub(super) fn has_unconfirmed(&self, no: CallNo, now: Ms) -> bool {
+        self.0.range((no, 0)..=(no, u32::MAX)).any(|(_, unconfirmed)| !unconfirmed.is_confirmed(now))
     }
 
-    /// Its message is held no more. True if the message's key is to wait all the same.
-    pub(super) fn is_over(&mut self, no: CallNo) -> bool {
+    /// Its message is not held any more. True if the key has to wait all the same.
+    pub(super) fn end_message(&mut self, no: CallNo) -> bool {
         let mut found = false;
         for (_, unconfirmed) in self.0.range_mut((no, 0)..=(no, u32::MAX)) {
-            unconfirmed.is_over = true;
+            unconfirmed.message_ended = true;
             found = true;
         }
         found
     }
 
-    /// Forgets what is known to its endpoints and has rested by now; the messages that are held no more and whose key is free.
-    pub(super) fn fade(&mut self, now: Ms) -> Vec<Freed> {
-        let is_done = |u: &Unconfirmed| u.done_at().is_some_and(|at| at <= now);
+    /// Forgets the attempts whose endpoint knows and whose quiet period is over; returns the messages that
+    /// are not held any more and whose key is released.
+    pub(super) fn remove_finished(&mut self, now: Ms) -> Vec<Freed> {
+        let is_done = |u: &UnconfirmedAttempt| u.done_at().is_some_and(|at| at <= now);
         let done: Vec<_> = self.0.iter().filter(|(_, u)| is_done(u)).map(|(name, _)| *name).collect();
         let mut freed = Vec::new();
         for (no, attempt) in done {
             let Some(unconfirmed) = self.0.remove(&(no, attempt)) else { continue };
             let is_last = self.0.range((no, 0)..=(no, u32::MAX)).next().is_none();
-            if unconfirmed.is_over && is_last {
+            if unconfirmed.message_ended && is_last {
                 freed.push(Freed { no, key: unconfirmed.key });
             }
         }
         freed
     }
 
-    /// When [`Attempts::fade`] has something to do.
+    /// When [`UnconfirmedAttempts::remove_finished`] next has something to do.
     pub(super) fn next_due(&self) -> Option<Ms> {
-        self.0.values().filter_map(Unconfirmed::done_at).min_by(f64::total_cmp)
+        self.0.values().filter_map(UnconfirmedAttempt::done_at).min_by(f64::total_cmp)
     }
 }
 
@@ -118,33 +130,46 @@
     use super::*;
 
     #[test]
-    fn a_message_has_one_until_its_wire_has_told_or_its_time_has_passed() {
-        let mut all = Attempts::default();
-        all.insert(5, 0, Unconfirmed::new(3, Some(9), String::new()));
+    fn a_message_is_unconfirmed_until_its_connection_reports_or_the_time_has_passed() {
+        let mut all = UnconfirmedAttempts::default();
+        all.insert(5, 0, UnconfirmedAttempt::new(3, Some(9), String::new()));
         all.inherit(6, Some(8), 40.0, 10.0);
-        assert!(all.is_of(5, 1e9) && all.is_of(6, 39.0) && !all.is_of(6, 40.0) && !all.is_of(7, 0.0));
+        assert!(
+            all.has_unconfirmed(5, 1e9)
+                && all.has_unconfirmed(6, 39.0)
+                && !all.has_unconfirmed(6, 40.0)
+                && !all.has_unconfirmed(7, 0.0)
+        );
         assert_eq!(all.next_due(), Some(50.0));
-        assert!(all.is_over(5) && all.is_over(6) && !all.is_over(7));
-        assert_eq!(all.fade(50.0), [Freed { no: 6, key: Some(8) }], "the wire has not told of the other");
+        assert!(all.end_message(5) && all.end_message(6) && !all.end_message(7));
+        assert_eq!(
+            all.remove_finished(50.0),
+            [Freed { no: 6, key: Some(8) }],
+            "the connection has not reported on the other"
+        );
         assert_eq!(all.confirm(60.0, 5, 0, 10.0).map(|u| (u.route, u.key)), Some((3, Some(9))));
         assert!(all.confirm(60.0, 5, 1, 10.0).is_none());
-        assert!(!all.is_of(5, 60.0), "its endpoint knows; its key rests");
+        assert!(!all.has_unconfirmed(5, 60.0), "its endpoint knows; its key is in its quiet period");
         all.confirm(65.0, 5, 0, 10.0);
-        assert_eq!((all.next_due(), all.fade(69.0)), (Some(70.0), vec![]), "the first word counts");
-        assert_eq!(all.fade(70.0), [Freed { no: 5, key: Some(9) }]);
+        assert_eq!(
+            (all.next_due(), all.remove_finished(69.0)),
+            (Some(70.0), vec![]),
+            "the first report counts"
+        );
+        assert_eq!(all.remove_finished(70.0), [Freed { no: 5, key: Some(9) }]);
         assert!(all.next_due().is_none());
     }
 
     #[test]
-    fn a_key_is_free_once_all_attempts_of_its_message_are_known() {
-        let mut all = Attempts::default();
-        let attempt = || Unconfirmed::new(3, Some(9), String::new());
+    fn a_key_is_released_once_all_attempts_of_its_message_are_confirmed() {
+        let mut all = UnconfirmedAttempts::default();
+        let attempt = || UnconfirmedAttempt::new(3, Some(9), String::new());
         all.insert(5, 0, attempt());
         all.insert(5, 1, attempt());
-        all.is_over(5);
+        all.end_message(5);
         all.confirm(10.0, 5, 0, 0.0);
-        assert_eq!(all.fade(10.0), []);
+        assert_eq!(all.remove_finished(10.0), []);
         all.confirm(20.0, 5, 1, 0.0);
-        assert_eq!(all.fade(20.0), [Freed { no: 5, key: Some(9) }]);
+        assert_eq!(all.remove_finished(20.0), [Freed { no: 5, key: Some(9) }]);
     }
 }
--- a/src/dispatch/waits.rs
+++ b/src/dispatch/waits.rs
@@ -1,54 +1,56 @@
-//! Waits that endpoints told this dispatcher, by whichever of its processes; no I/O, no clock.
+//! Retry-afters that endpoints asked this dispatcher for, through any of its processes; no I/O, no clock.
 //!
-//! During an upgrade two processes serve on one folder. A wait was told to the dispatcher, so it binds both: each writes the
-//! waits that it is told to its journal and reads those that the other one wrote. A restart ends all waits.
+//! During an upgrade two processes serve on one state folder. A retry-after concerns the dispatcher, so it
+//! binds both: each writes those that it receives to its journal and reads those that the other wrote. A
+//! restart ends all retry-afters.
 
 use super::Core;
 use crate::api::{Ms, RouteId};
 use crate::journal::Record;
 use std::collections::BTreeMap;
 
-/// A wait that ends this much later than the one that is known already is the same one, told again.
-const SAME: Ms = 1.0;
+/// A retry-after that ends at most this much later than the known one is a repeat of it.
+const SAME_WAIT_TOLERANCE: Ms = 1.0;
 
-/// A wait that is on.
+/// An active retry-after.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Wait {
-    /// When this process was told.
+    /// When this process learned of it.
     pub told: Ms,
-    /// Until when nothing may go there.
+    /// Until when nothing may be sent to the endpoint.
     pub until: Ms,
 }
 
-/// The wait of each endpoint, by its id.
+/// The retry-after of each endpoint, by endpoint id.
 #[derive(Debug, Clone, Default)]
-pub struct Waits {
+pub struct RetryAfters {
     waits: BTreeMap<String, Wait>,
-    /// Told to the other process by endpoints that this one's list does not name yet.
-    unknown: Vec<String>,
+    /// Endpoints with a retry-after that the sibling process received, and that this process's list does not
+    /// contain yet.
+    for_unlisted: Vec<String>,
 }
 
-impl Waits {
-    /// An endpoint told a wait; true if it ends later than what is known.
-    pub fn told(&mut self, now: Ms, worker: &str, until: Ms) -> bool {
-        if self.waits.get(worker).is_some_and(|known| until <= known.until + SAME) {
+impl RetryAfters {
+    /// Sets an endpoint's retry-after; true if it ends later than the known one.
+    pub fn set(&mut self, now: Ms, worker: &str, until: Ms) -> bool {
+        if self.waits.get(worker).is_some_and(|known| until <= known.until + SAME_WAIT_TOLERANCE) {
             return false;
         }
         self.waits.insert(worker.to_string(), Wait { told: now, until });
         true
     }
 
-    /// The wait of this endpoint, if it is on.
-    pub fn on(&self, now: Ms, worker: &str) -> Option<Wait> {
+    /// The endpoint's retry-after, if it is active.
+    pub fn active(&self, now: Ms, worker: &str) -> Option<Wait> {
         self.waits.get(worker).copied().filter(|wait| wait.until > now)
     }
 
-    /// Forgets those that are over.
-    pub fn fade(&mut self, now: Ms) {
+    /// Forgets retry-afters that are over.
+    pub fn expire(&mut self, now: Ms) {
         self.waits.retain(|_, wait| wait.until > now);
     }
 
-    /// Records of those that are on, for a journal that is written anew.
+    /// Records of the active retry-afters, for a compacted journal.
     pub fn records(&self, now: Ms) -> impl Iterator<Item = Record> + '_ {
         let on = self.waits.iter().filter(move |(_, wait)| wait.until > now);
         on.map(|(worker, wait)| Record::Wait { worker: worker.clone(), until: wait.until })
@@ -56,55 +58,58 @@
 }
 
 impl Core {
-    /// An endpoint told this process a wait: the other one, if there is one or comes one, is to keep it too.
-    pub(super) fn note_wait(&mut self, now: Ms, route: RouteId, wait: Ms) {
-        let Some(worker) = self.worker(route).map(|w| w.uid.clone()) else { return };
-        if wait > 0.0 && self.waits.told(now, &worker, now + wait) {
-            self.note(&Record::Wait { worker, until: now + wait });
+    /// Records a retry-after that this process received, so that a sibling process keeps it too, now or when
+    /// it starts.
+    pub(super) fn record_wait(&mut self, now: Ms, route: RouteId, wait: Ms) {
+        let Some(worker) = self.endpoint(route).map(|w| w.uid.clone()) else { return };
+        if wait > 0.0 && self.waits.set(now, &worker, now + wait) {
+            self.append_or_defer(&Record::Wait { worker, until: now + wait });
         }
     }
 
-    /// Waits that were told to the process beside this one, or to one that has ended and left its journal.
+    /// Applies retry-afters received by the sibling process, or by one that has ended and left its journal.
     pub fn apply_waits(&mut self, now: Ms, records: &[Record]) {
         for record in records {
             let Record::Wait { worker, until } = record else { continue };
-            if *until > now && self.waits.told(now, worker, *until) {
-                log::debug!(worker = worker.as_str(), wait_ms = until - now; "the process beside was told a wait");
+            if *until > now && self.waits.set(now, worker, *until) {
+                log::debug!(worker = worker.as_str(), wait_ms = until - now;
+                    "the sibling process recorded a retry-after");
                 self.apply_wait(now, worker.clone(), *until);
             }
         }
     }
 
-    /// The wait that is on at the route: its own, or one of what it shares its limit with.
-    pub(super) fn wait_on(&self, now: Ms, route: RouteId) -> Option<Wait> {
-        let w = self.worker(route)?;
+    /// The retry-after that is active for the endpoint: its own, or the longest among the endpoints that
+    /// share its limit.
+    pub(super) fn active_wait(&self, now: Ms, route: RouteId) -> Option<Wait> {
+        let w = self.endpoint(route)?;
         if self.settings.kind(w.kind).apart {
-            return self.waits.on(now, &w.uid);
+            return self.waits.active(now, &w.uid);
         }
-        let sharing = self.routes_of.get(&w.dest).into_iter().flatten().filter_map(|r| self.worker(*r));
-        sharing.filter_map(|w| self.waits.on(now, &w.uid)).max_by(|a, b| a.until.total_cmp(&b.until))
+        let sharing = self.endpoints_of.get(&w.dest).into_iter().flatten().filter_map(|r| self.endpoint(*r));
+        sharing.filter_map(|w| self.waits.active(now, &w.uid)).max_by(|a, b| a.until.total_cmp(&b.until))
     }
 
     fn apply_wait(&mut self, now: Ms, worker: String, until: Ms) {
-        match self.worker_of.get(&worker).copied() {
+        match self.endpoint_by_id.get(&worker).copied() {
             Some(route) => {
-                self.post_wait(route, until - now);
-                self.hold(route);
+                self.post_retry_after(route, until - now);
+                self.order_hold(route);
             }
-            None => self.waits.unknown.push(worker),
+            None => self.waits.for_unlisted.push(worker),
         }
     }
 
-    /// The list names endpoints that it did not name before.
+    /// Applies retry-afters of endpoints that have just appeared on the list.
     pub(super) fn apply_unknown_waits(&mut self, now: Ms) {
-        for worker in std::mem::take(&mut self.waits.unknown) {
-            if let Some(wait) = self.waits.on(now, &worker) {
+        for worker in std::mem::take(&mut self.waits.for_unlisted) {
+            if let Some(wait) = self.waits.active(now, &worker) {
                 self.apply_wait(now, worker, wait.until);
             }
         }
     }
 
-    /// Reads what the process beside this one was told since the last look.
+    /// Applies the retry-afters that the sibling process received since the last call.
     pub fn apply_waits_of_other_process(&mut self, now: Ms) {
         let records = self.journal.other_waits();
         self.apply_waits(now, &records);
@@ -116,14 +121,17 @@
     use super::*;
 
     #[test]
-    fn the_longest_wait_of_an_endpoint_counts_and_ends() {
-        let mut waits = Waits::default();
-        assert!(waits.told(1.0, "w", 500.0));
-        assert!(!waits.told(2.0, "w", 300.0) && !waits.told(2.0, "w", 500.5), "shorter, or told again");
-        assert!(waits.told(3.0, "w", 900.0));
-        assert_eq!((waits.on(3.0, "w"), waits.on(3.0, "x")), (Some(Wait { told: 3.0, until: 900.0 }), None));
+    fn the_longest_retry_after_of_an_endpoint_counts_and_ends() {
+        let mut waits = RetryAfters::default();
+        assert!(waits.set(1.0, "w", 500.0));
+        assert!(!waits.set(2.0, "w", 300.0) && !waits.set(2.0, "w", 500.5), "shorter, or a repeat");
+        assert!(waits.set(3.0, "w", 900.0));
+        assert_eq!(
+            (waits.active(3.0, "w"), waits.active(3.0, "x")),
+            (Some(Wait { told: 3.0, until: 900.0 }), None)
+        );
         assert_eq!(waits.records(899.0).count(), 1);
-        waits.fade(900.0);
-        assert_eq!((waits.on(0.0, "w"), waits.records(0.0).count()), (None, 0));
+        waits.expire(900.0);
+        assert_eq!((waits.active(0.0, "w"), waits.records(0.0).count()), (None, 0));
     }
 }
