--- a/src/dispatch/copying.rs
+++ b/src/dispatch/copying.rs
@@ -483,7 +483,7 @@
                 given_up.push((no, identity));
             }
         }
-        self.write_down(records.clone(), None);
+        self.write_taken_over(records.clone(), None);
         self.restore(now, records);
         for (no, identity) in given_up {
             self.replicate_ending(now, no, &identity, Ending::GivenUp);
--- a/src/dispatch/door.rs
+++ b/src/dispatch/door.rs
@@ -8,7 +8,7 @@
 /// The longest line in bytes, its end included. Guards against a client that sends without end.
 pub const LINE_MOST: usize = 512;
 /// The longest endpoint id, in bytes.
-pub const ID_MOST: usize = 256;
+pub const MAX_ID_BYTES: usize = 256;
 
 /// A command.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -80,8 +80,8 @@
 fn parse(text: &str) -> Line {
     let words: Vec<&str> = text.split_ascii_whitespace().collect();
     let one = |make: fn(String) -> Command| match words.as_slice() {
-        [_, id] if id.len() <= ID_MOST => Line::Asked(make((*id).to_string())),
-        [_, _] => bad(format!("an id is at most {ID_MOST} bytes")),
+        [_, id] if id.len() <= MAX_ID_BYTES => Line::Asked(make((*id).to_string())),
+        [_, _] => bad(format!("an id is at most {MAX_ID_BYTES} bytes")),
         [_] => bad(format!("'{}' needs the id of an endpoint", words[0])),
         _ => bad(format!("'{}' takes one id, not {}", words[0], words.len() - 1)),
     };
@@ -151,6 +151,6 @@
         assert!(bad(b"\n").contains("empty"));
         assert!(bad(b"vars \xff\n").contains("UTF-8"));
         assert!(bad(&[b'x'; LINE_MOST]).contains("longer"));
-        assert!(bad(format!("set-down {}\n", "i".repeat(ID_MOST + 1)).as_bytes()).contains("at most"));
+        assert!(bad(format!("set-down {}\n", "i".repeat(MAX_ID_BYTES + 1)).as_bytes()).contains("at most"));
     }
 }
--- a/src/dispatch/figures.rs
+++ b/src/dispatch/figures.rs
@@ -67,19 +67,19 @@
     }
 
     /// Counts a rejected message by its reason.
-    pub fn not_taken(&mut self, why: &'static str) {
+    pub fn count_rejection(&mut self, why: &'static str) {
         *self.not_taken.entry(why).or_default() += 1;
     }
 
     /// The number of messages of a class that ended in this way.
-    pub fn of(&self, class: &str, tally: ClientOutcome) -> u64 {
+    pub fn count_of(&self, class: &str, tally: ClientOutcome) -> u64 {
         self.classes.get(class).map_or(0, |c| c[tally as usize])
     }
 
     /// The metrics as one line of JSON. Every configured class appears, also if nothing was counted for it.
     pub fn json(&self, classes: &[String], now: Snapshot) -> String {
         let by = |tally: ClientOutcome| {
-            let all = classes.iter().map(|c| (c.clone(), serde_json::Value::from(self.of(c, tally))));
+            let all = classes.iter().map(|c| (c.clone(), serde_json::Value::from(self.count_of(c, tally))));
             serde_json::Value::Object(all.collect())
         };
         serde_json::json!({
--- a/src/dispatch/handover.rs
+++ b/src/dispatch/handover.rs
@@ -46,7 +46,7 @@
         all.extend(left.records.iter().cloned());
         self.restore(now, all);
         if !left.records.is_empty() {
-            self.write_down(left.records, Some(left.mark));
+            self.write_taken_over(left.records, Some(left.mark));
         }
         messages.len()
     }
@@ -62,13 +62,13 @@
         let messages = records.iter().filter(|r| matches!(r, Record::Taken(_))).count();
         self.restore(now, records.clone());
         self.apply_waits(now, &records);
-        self.write_down(records, Some(left.mark));
+        self.write_taken_over(records, Some(left.mark));
         messages
     }
 
     /// Writes records of messages that are held already, before any other record. Does not use
     /// `append_or_defer`: a compaction before all of them are written would leave out the rest.
-    pub(super) fn write_down(&mut self, mut records: Vec<Record>, mark: Option<FileMark>) {
+    pub(super) fn write_taken_over(&mut self, mut records: Vec<Record>, mark: Option<FileMark>) {
         records.extend(mark.map(Record::Adopted));
         self.adopted_file = mark.or(self.adopted_file);
         self.journal.defer(records.iter());
--- a/src/dispatch/relay.rs
+++ b/src/dispatch/relay.rs
@@ -211,8 +211,8 @@
 
     /// Releases the keys of ended messages once endpoints know of the end of all their attempts.
     pub(super) fn unconfirmed_turn(&mut self, now: Ms) {
-        for freed in self.unconfirmed.remove_finished(now) {
-            self.key_order.remove(freed.no, freed.key);
+        for released in self.unconfirmed.remove_finished(now) {
+            self.key_order.remove(released.no, released.key);
         }
     }
 }
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -151,7 +151,7 @@
         self.prune(now);
         self.index();
         self.recovery_list_changed(now, &routes, cached);
-        self.apply_unknown_waits(now);
+        self.apply_unlisted_waits(now);
     }
 
     /// Rebuilds the index of endpoints by destination, and has their capacity reported again.
@@ -185,7 +185,7 @@
     use crate::dispatch::{Submission, Verdict};
     use crate::journal::{Ending, Journal, Record, Sent, Taken};
 
-    fn worker(uid: &str, dest: DestId, listing: Listing) -> Worker {
+    fn endpoint(uid: &str, dest: DestId, listing: Listing) -> Worker {
         let address = "127.0.0.1:1".into();
         Worker { uid: uid.into(), address, zone: 0, kind: 0, dest, listing, weight: 1.0 }
     }
@@ -234,13 +234,13 @@
         let mut core = core("growth");
         for n in 0..1_000 {
             let now = Ms::from(n) * 1_000.0;
-            let old = worker(&format!("u{}", n - 1), 1, Listing::Gone);
-            update_list(&mut core, now, vec![old, worker(&format!("u{n}"), 1, Listing::Ready)]);
+            let old = endpoint(&format!("u{}", n - 1), 1, Listing::Gone);
+            update_list(&mut core, now, vec![old, endpoint(&format!("u{n}"), 1, Listing::Ready)]);
         }
         assert!(core.endpoints.len() < 40 && core.endpoint_by_id.len() < 40, "{}", core.endpoints.len());
         let number = core.endpoint_by_id["u999"];
-        update_list(&mut core, 1e6, vec![worker("u999", 1, Listing::Gone)]);
-        update_list(&mut core, 1e6 + 5_000.0, vec![worker("u999", 1, Listing::Ready)]);
+        update_list(&mut core, 1e6, vec![endpoint("u999", 1, Listing::Gone)]);
+        update_list(&mut core, 1e6 + 5_000.0, vec![endpoint("u999", 1, Listing::Ready)]);
         assert_eq!(core.endpoint_by_id["u999"], number);
     }
 
@@ -248,9 +248,9 @@
     #[test]
     fn an_id_that_changes_its_destination_is_another_endpoint() {
         let mut core = core("moved");
-        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
         let number = core.endpoint_by_id["u"];
-        update_list(&mut core, 1.0, vec![worker("u", 2, Listing::Ready)]);
+        update_list(&mut core, 1.0, vec![endpoint("u", 2, Listing::Ready)]);
         assert_ne!(core.endpoint_by_id["u"], number);
         assert_eq!(core.endpoint(number).map(|w| w.listing), Some(Listing::Gone));
         assert!(core.is_listed(2) && !core.is_listed(3));
@@ -328,7 +328,7 @@
     #[test]
     fn a_message_held_back_by_the_guard_costs_no_attempt_and_no_record() {
         let mut core = platform_core("kept-back");
-        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
         let class = "pay".to_string();
         core.submit(
             1.0,
@@ -361,7 +361,7 @@
         let former = Former { health: Health { rate: 0.0, away: Some(0.0) }, age: Some(10.0) };
         let former = [("u".to_string(), former)].into();
         core.begin_from(0.0, Past { recovery, former, ..Past::default() });
-        update_list(&mut core, 0.0, vec![worker("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
         // The capacity of one call is reported by now, and the time of the next one has passed when the
         // messages come.
         (1..=20).for_each(|n| drop(core.turn(Ms::from(n) * 50.0)));
--- a/src/dispatch/seats.rs
+++ b/src/dispatch/seats.rs
@@ -900,8 +900,8 @@
                 unreported_end: None,
             });
         }
-        // These records come before the one that settles the ownership: after a crash in between, messages
-        // that must not run again would otherwise be unknown here.
+        // These records come before the one that settles the ownership. In the reverse order, a crash in
+        // between would leave at-most-once messages unknown here that have run, and they could run again.
         for past in &contents.past {
             if let Err(e) = self.journal.append(&past_record(tenant, past)) {
                 log::error!(tenant = tenant, cause:% = e;
--- a/src/dispatch/send.rs
+++ b/src/dispatch/send.rs
@@ -205,7 +205,11 @@
         let message = self.guard_message(c);
         let written = guard::Written {
             write_by: guard::write_by(&message, &self.guard_process()),
-            wait_told: c.out.as_ref().and_then(|out| self.active_wait(now, out.route)).map(|wait| wait.told),
+            wait_told: c
+                .out
+                .as_ref()
+                .and_then(|out| self.active_wait(now, out.route))
+                .map(|wait| wait.learned_at),
             has_earlier: message.has_earlier,
             unconfirmed: message.unconfirmed,
         };
--- a/src/dispatch/take_in.rs
+++ b/src/dispatch/take_in.rs
@@ -192,7 +192,7 @@
 
     /// Rejects a message: answers its client, and logs and counts the reason.
     fn reject(&mut self, class: &str, id: &str, ticket: Ticket, why: RejectReason, verdict: Verdict) {
-        self.figures.not_taken(why.name());
+        self.figures.count_rejection(why.name());
         self.counters.busy += u64::from(matches!(verdict, Verdict::Busy(_) | Verdict::Elsewhere { .. }));
         self.counters.malformed += u64::from(why == RejectReason::Unreadable);
         match &verdict {
--- a/src/dispatch/unconfirmed.rs
+++ b/src/dispatch/unconfirmed.rs
@@ -44,7 +44,7 @@
 
 /// A message whose key is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Freed {
+pub(super) struct ReleasedKey {
     pub(super) no: CallNo,
     pub(super) key: Option<u64>,
 }
@@ -105,18 +105,18 @@
 
     /// Forgets the attempts whose endpoint knows and whose quiet period is over; returns the messages that
     /// are not held any more and whose key is released.
-    pub(super) fn remove_finished(&mut self, now: Ms) -> Vec<Freed> {
+    pub(super) fn remove_finished(&mut self, now: Ms) -> Vec<ReleasedKey> {
         let is_done = |u: &UnconfirmedAttempt| u.done_at().is_some_and(|at| at <= now);
         let done: Vec<_> = self.0.iter().filter(|(_, u)| is_done(u)).map(|(name, _)| *name).collect();
-        let mut freed = Vec::new();
+        let mut released = Vec::new();
         for (no, attempt) in done {
             let Some(unconfirmed) = self.0.remove(&(no, attempt)) else { continue };
             let is_last = self.0.range((no, 0)..=(no, u32::MAX)).next().is_none();
             if unconfirmed.message_ended && is_last {
-                freed.push(Freed { no, key: unconfirmed.key });
+                released.push(ReleasedKey { no, key: unconfirmed.key });
             }
         }
-        freed
+        released
     }
 
     /// When [`UnconfirmedAttempts::remove_finished`] next has something to do.
@@ -144,7 +144,7 @@
         assert!(all.end_message(5) && all.end_message(6) && !all.end_message(7));
         assert_eq!(
             all.remove_finished(50.0),
-            [Freed { no: 6, key: Some(8) }],
+            [ReleasedKey { no: 6, key: Some(8) }],
             "the connection has not reported on the other"
         );
         assert_eq!(all.confirm(60.0, 5, 0, 10.0).map(|u| (u.route, u.key)), Some((3, Some(9))));
@@ -156,7 +156,7 @@
             (Some(70.0), vec![]),
             "the first report counts"
         );
-        assert_eq!(all.remove_finished(70.0), [Freed { no: 5, key: Some(9) }]);
+        assert_eq!(all.remove_finished(70.0), [ReleasedKey { no: 5, key: Some(9) }]);
         assert!(all.next_due().is_none());
     }
 
@@ -170,6 +170,6 @@
         all.confirm(10.0, 5, 0, 0.0);
         assert_eq!(all.remove_finished(10.0), []);
         all.confirm(20.0, 5, 1, 0.0);
-        assert_eq!(all.remove_finished(20.0), [Freed { no: 5, key: Some(9) }]);
+        assert_eq!(all.remove_finished(20.0), [ReleasedKey { no: 5, key: Some(9) }]);
     }
 }
--- a/src/dispatch/waits.rs
+++ b/src/dispatch/waits.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Wait {
     /// When this process learned of it.
-    pub told: Ms,
+    pub learned_at: Ms,
     /// Until when nothing may be sent to the endpoint.
     pub until: Ms,
 }
@@ -36,7 +36,7 @@
         if self.waits.get(worker).is_some_and(|known| until <= known.until + SAME_WAIT_TOLERANCE) {
             return false;
         }
-        self.waits.insert(worker.to_string(), Wait { told: now, until });
+        self.waits.insert(worker.to_string(), Wait { learned_at: now, until });
         true
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Applies retry-afters of endpoints that have just appeared on the list.
-    pub(super) fn apply_unknown_waits(&mut self, now: Ms) {
+    pub(super) fn apply_unlisted_waits(&mut self, now: Ms) {
         for worker in std::mem::take(&mut self.waits.for_unlisted) {
             if let Some(wait) = self.waits.active(now, &worker) {
                 self.apply_wait(now, worker, wait.until);
@@ -128,7 +128,7 @@
         assert!(waits.set(3.0, "w", 900.0));
         assert_eq!(
             (waits.active(3.0, "w"), waits.active(3.0, "x")),
-            (Some(Wait { told: 3.0, until: 900.0 }), None)
+            (Some(Wait { learned_at: 3.0, until: 900.0 }), None)
         );
         assert_eq!(waits.records(899.0).count(), 1);
         waits.expire(900.0);
