--- a/crates/settings/benches/check.rs
+++ b/crates/settings/benches/check.rs
@@ -1,9 +1,9 @@
 //! Checking 500 applications against 100 agreements: read, checked together, rendered.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use lilacbank_settings::check::{check, Elsewhere};
+use lilacbank_settings::check::{check, AssumeUsable};
 use lilacbank_settings::render::render;
-use lilacbank_settings::set::Set;
+use lilacbank_settings::set::FileSet;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::hint::black_box;
@@ -52,8 +52,8 @@
     c.bench_function("500 applications, 100 agreements", |b| {
         b.iter(|| {
             let mut found = Vec::new();
-            let set = Set::load(&names, &read, &mut found);
-            found.extend(check(&set, &Elsewhere));
+            let set = FileSet::load(&names, &read, &mut found);
+            found.extend(check(&set, &AssumeUsable));
             assert!(found.is_empty(), "{found:?}");
             black_box(set.apps.iter().map(|a| render(&set, a)).collect::<Vec<_>>())
         });
--- a/crates/settings/src/agreement.rs
+++ b/crates/settings/src/agreement.rs
@@ -1,45 +1,45 @@
-//! The agreement of a member firm: what its endpoints take, from everybody together.
+//! The agreement of a destination: what its endpoints take from all clients together.
 
 use crate::units::{Limit, Name, Share, Span, Target};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a repeat of a message does at a member.
+/// The effect of a repeated message at a destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeats {
-    /// It takes effect once more: never send it again once it may have run.
+    /// A repeat takes effect again (at-most-once): a message is not attempted again once it may have run.
     Forbidden,
-    /// It is dropped, for a time and in a place.
+    /// A repeat is dropped (deduplicated), for a limited time and by certain endpoints.
     Dropped,
-    /// It does no harm.
+    /// A repeat has no further effect (idempotent).
     Harmless,
 }
 
-/// Where a repeat is dropped.
+/// Which endpoints drop a repeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Area {
-    /// By endpoints of the building of the first call only.
+    /// Only endpoints in the building of the first attempt.
     Building,
-    /// By all endpoints of the member.
+    /// All endpoints of the destination.
     Member,
 }
 
-/// What kind of member it is: what its limit counts.
+/// The kind of a destination: whether its limit applies to all endpoints together or to each of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberKind {
-    /// Its endpoints are one system behind one limit.
+    /// The endpoints are one system that shares one limit.
     #[default]
     HighVolume,
-    /// Each endpoint is a route of its own, with a limit, pace and outages of its own.
+    /// Each endpoint is independent, with its own limit, speed and outages.
     LowVolume,
 }
 
 impl MemberKind {
-    /// Its name.
+    /// The name of the kind in settings files.
     pub fn name(self) -> &'static str {
         match self {
             MemberKind::HighVolume => "high-volume",
@@ -48,63 +48,63 @@
     }
 }
 
-/// An endpoint.
+/// An endpoint of a destination.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Endpoint {
-    /// Its id, the same for everybody.
+    /// The id, which is the same in all files.
     pub id: Option<Name>,
-    /// Where it is reached.
+    /// The address: "ADDRESS:PORT" over HTTP, or "mqtt://ADDRESS:PORT/TOPIC".
     pub address: Option<Target>,
-    /// The building that it stands in.
+    /// The building in which the endpoint runs.
     pub building: Option<Name>,
-    /// Connections that it takes from everybody together, idle ones counted; without it, the agreement's.
+    /// The most connections from all clients together, idle ones included; without it, the agreement's value applies.
     pub connections: Option<u32>,
 }
 
-/// What the member says of a class of messages.
+/// The destination's terms for a class of messages.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Acceptance {
-    /// What a repeat does.
+    /// The effect of a repeat.
     pub repeats: Option<Repeats>,
-    /// Where a repeat is dropped, if it is.
+    /// Which endpoints drop a repeat, if repeats are dropped.
     pub dropped_in: Option<Area>,
-    /// How long a repeat is dropped, if it is.
+    /// How long repeats are dropped, if they are.
     pub dropped_for: Option<Span>,
 }
 
-/// The agreement of a member firm.
+/// The agreement of a destination.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Agreement {
-    /// The member's name.
+    /// The destination's name.
     pub member: Option<Name>,
-    /// The number by which messages name it as their destination.
+    /// The number by which messages refer to the destination.
     pub destination: Option<u64>,
-    /// What its limit counts.
+    /// The kind: whether the limit applies to all endpoints together or to each of them.
     pub kind: MemberKind,
-    /// Calls that it takes from everybody together; without it, there is no limit but its capacity.
+    /// The most calls from all clients together; without it, only the destination's capacity limits them.
     pub limit: Option<Limit>,
-    /// A call reaches it at most so long after its last byte was written.
+    /// The longest time from writing a call's last byte to its arrival.
     pub travel: Span,
-    /// Connections that each endpoint takes from everybody together, idle ones counted.
+    /// The most connections to each endpoint from all clients together, idle ones included.
     pub connections: Option<u32>,
-    /// New work to a draining endpoint ends within this.
+    /// The time within which new attempts at a draining endpoint stop (2s at most).
     pub drain: Span,
-    /// The longest wait that it tells.
+    /// The longest retry-after that the destination asks for.
     pub wait_most: Span,
-    /// After an outage it has all of its capacity again within this (0s to 10min).
+    /// The time after an outage until an endpoint has its full capacity again (0s to 10min).
     pub cold: Span,
-    /// Part of its capacity that it has when it comes back.
+    /// The part of its capacity that an endpoint has right after an outage.
     pub cold_from: Share,
-    /// Its endpoints may be probed; a probe counts as a call.
+    /// Whether endpoints may be probed; a probe counts as a call.
     pub probes: bool,
-    /// The buildings that its endpoints stand in.
+    /// The buildings in which the endpoints run.
     pub buildings: Vec<Name>,
-    /// Its endpoints.
+    /// The destination's endpoints.
     pub endpoints: Vec<Endpoint>,
-    /// The classes that it accepts.
+    /// The classes that the destination accepts, by name.
     pub classes: BTreeMap<Name, Acceptance>,
 }
 
--- a/crates/settings/src/application.rs
+++ b/crates/settings/src/application.rs
@@ -1,4 +1,4 @@
-//! An application's own file: the dispatcher that runs beside it, and what it promises to the members.
+//! The settings file of an application: its dispatcher, and the limits that it promises to keep at each destination.
 
 use crate::agreement::{Area, Repeats};
 use crate::units::{Address, Limit, Name, Share, Size, Span};
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where its clients connect.
+/// The addresses at which clients connect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Listen {
-    /// RESP2 clients.
+    /// The address for RESP2 clients.
     pub resp: Option<Address>,
-    /// MQTT 5 clients; without it that front is off.
+    /// The address for MQTT 5 clients; without it, the MQTT front end is off.
     pub mqtt: Option<Address>,
-    /// MQTT connections at once (1 to 512).
+    /// The most MQTT connections at once (1 to 512).
     pub mqtt_sessions: u32,
 }
 
@@ -24,57 +24,59 @@
     }
 }
 
-/// The form of the log.
+/// The format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Lines of text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged.
+/// The least severe level that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what is broken.
+    /// Errors only.
     Error,
-    /// And what somebody should look at.
+    /// Errors and warnings.
     Warn,
-    /// And what happens.
+    /// Also normal events.
     #[default]
     Info,
-    /// And every message.
+    /// Also details of each message.
     Debug,
 }
 
-/// The log, on standard error.
+/// Settings of the log, which is written to standard error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Log {
-    /// Its form.
+    /// The format of the log.
     pub format: LogFormat,
-    /// What is in it; the variable RUST_LOG wins.
+    /// The least severe level that is logged; the environment variable RUST_LOG overrides it.
     pub level: LogLevel,
 }
 
-/// A tenant.
+/// A tenant of the application.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Messages that are its share; those beyond it come last. Without it there is no bound.
+    /// The rate of messages that is the tenant's share; messages over it get the lowest priority. Without it, the share
+    /// is unlimited.
     pub share: Option<Limit>,
 }
 
-/// A cell: tenants that share a part of everything that can run out, and feel nothing of the others.
+/// A cell: tenants that share a part of every limited resource, and are isolated from the tenants of other cells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Cell {
-    /// Its part of slots, held messages, journal, time and promised calls beside those of the others (over 0, up to 1000).
+    /// The cell's weight when slots, held messages, journal, time and promised calls are divided among cells (over 0, up
+    /// to 1000).
     pub weight: f64,
-    /// Tenants that live in it; those whom no cell names are placed by their names.
+    /// Tenants assigned to the cell; tenants that no cell lists are placed by a hash of their names.
     pub tenants: Vec<Name>,
 }
 
@@ -88,24 +90,24 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Class {
-    /// What a repeat does; without it, what the agreements say, and the strictest of them.
+    /// The effect of a repeat; without it, the strictest of the agreements applies.
     pub repeats: Option<Repeats>,
-    /// Where a repeat is dropped, if it is.
+    /// Which endpoints drop a repeat, if repeats are dropped.
     pub dropped_in: Option<Area>,
-    /// How long a repeat is dropped, if it is.
+    /// How long repeats are dropped, if they are.
     pub dropped_for: Option<Span>,
-    /// Delivered within this span, a message is worth all of its worth (1ms to 1h).
+    /// The time within which a delivered message has its full worth (1ms to 1h).
     pub wanted: Span,
-    /// After this span it is given up (1ms to 1h).
+    /// The time after which a message is given up (1ms to 1h).
     pub deadline: Span,
-    /// Messages of one key go one at a time, in order.
+    /// Whether messages with the same ordering key are delivered one at a time, in order.
     pub ordered: bool,
-    /// What a message is worth beside those of other classes (over 0, up to 1000).
+    /// The worth of a message relative to messages of other classes (over 0, up to 1000).
     pub worth: f64,
-    /// Part of the worth that is left at the deadline (0 to 1).
+    /// The part of the worth that is left at the deadline (0 to 1).
     pub late_worth: f64,
-    /// Where repeats are forbidden: how long a message is remembered after its end, so that it is not sent again when it
-    /// is handed in once more.
+    /// Where repeats are forbidden: how long a message is remembered after its final answer, so that it is not delivered
+    /// again when a client submits it again.
     pub remembered: Span,
 }
 
@@ -125,21 +127,21 @@
     }
 }
 
-/// A member that the application uses, and what it promises to keep within there.
+/// A destination that the application uses, and the limits that the application promises to keep there.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Use {
-    /// The member's agreement, a file; its path is taken from the folder of this file.
+    /// The path of the destination's agreement, relative to the folder of this file.
     pub agreement: Option<String>,
-    /// Part of the member's limit; the parts of all applications together are at most the whole.
+    /// The application's share of the destination's limit; the shares of all applications add up to 100% at most.
     pub share: Option<Share>,
-    /// Connections to each endpoint, idle ones counted.
+    /// The most connections to each endpoint, idle ones included.
     pub connections: Option<u32>,
-    /// Only these endpoints, by id; without it, all of them.
+    /// The ids of the endpoints to use; without it, all of them.
     pub endpoints: Option<Vec<Name>>,
-    /// Only these tenants; without it, all of them.
+    /// The tenants that may use the destination; without it, all of them.
     pub tenants: Option<Vec<Name>>,
-    /// Only these classes; without it, all that the member accepts.
+    /// The classes to deliver there; without it, all that the destination accepts.
     pub classes: Option<Vec<Name>>,
 }
 
@@ -147,29 +149,29 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Mesh {
-    /// The map, a file; its path is taken from the folder of this file.
+    /// The path of the cell map, relative to the folder of this file.
     pub map: Option<String>,
-    /// Which of the map's dispatchers this one is.
+    /// The name of this dispatcher in the cell map.
     pub dispatcher: Option<Name>,
 }
 
-/// How much it works at once, and how patient it is.
+/// Concurrency limits, timeouts and probing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Work {
-    /// Calls out at once (1 to 100000).
+    /// The most concurrent calls (1 to 100000).
     pub slots: u32,
-    /// Messages held at once (1 to 1000000).
+    /// The most messages held at once (1 to 1000000).
     pub held: u32,
-    /// Size of a usual message, by which memory and disk are reckoned (64KiB at most).
+    /// The size of a typical message, used to estimate memory and disk (1B to 64KiB).
     pub message: Size,
-    /// Attempts for one message (1 to 8).
+    /// The most attempts for one message (1 to 8).
     pub attempts: u32,
-    /// A connection that is not up by then is given up (1ms to 1min).
+    /// The timeout for connecting (1ms to 1min).
     pub connect_timeout: Span,
-    /// An idle connection is closed after this (1ms to 1h).
+    /// The time after which an idle connection is closed (1ms to 1h).
     pub keep_alive: Span,
-    /// Endpoints that are out are probed before a message is risked; a probe counts as a call.
+    /// Whether endpoints in an outage are probed before a message is attempted there; a probe counts as a call.
     pub probes: bool,
 }
 
@@ -187,15 +189,15 @@
     }
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Process {
-    /// File descriptors.
+    /// The most open file descriptors.
     pub descriptors: u32,
-    /// Memory.
+    /// The most memory.
     pub memory: Size,
-    /// Disk, in the state folder.
+    /// The most disk space in the state folder.
     pub disk: Size,
 }
 
@@ -205,37 +207,37 @@
     }
 }
 
-/// An application's file.
+/// The settings file of an application.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Application {
-    /// Its name; each on a machine has another.
+    /// The application's name, unique on its machine.
     pub application: Option<Name>,
-    /// The folder that outlasts the process.
+    /// The folder for the state that outlasts the process.
     pub state: Option<String>,
-    /// The building that it stands in.
+    /// The building in which the application runs.
     pub building: Option<Name>,
-    /// The registry; without it the endpoints of the agreements are all there are.
+    /// The address of the registry; without it, only the endpoints in the agreements are used.
     pub discovery: Option<Address>,
-    /// Where RESP2 clients hear of messages that were taken on and not delivered: an address that takes the platform's
-    /// notices, or "log". Without it, discovery's.
+    /// The receiver of notices to RESP2 clients about accepted messages that were not delivered: the address of a service
+    /// that accepts the platform's notices, or "log". Without it, the address in 'discovery' is used.
     pub notices: Option<String>,
-    /// Where its clients connect.
+    /// The addresses at which clients connect.
     pub listen: Listen,
-    /// The log.
+    /// Settings of the log.
     pub log: Log,
-    /// The tenants, by name.
+    /// The application's tenants, by name.
     pub tenants: BTreeMap<Name, Tenant>,
-    /// The cells that its tenants live in; without any it is undivided.
+    /// The cells inside the dispatcher, by name; without any, the dispatcher is undivided.
     pub cells: BTreeMap<Name, Cell>,
-    /// The other dispatchers that it shares its tenants with; without it there are none.
+    /// The cell map that distributes tenants over several dispatchers; without it, there are no peers.
     pub mesh: Option<Mesh>,
-    /// The classes of messages, by name.
+    /// The message classes, by name.
     pub classes: BTreeMap<Name, Class>,
-    /// The members that it uses.
+    /// The destinations that the application uses.
     pub uses: Vec<Use>,
-    /// How much it works at once.
+    /// Concurrency limits, timeouts and probing.
     pub work: Work,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub process: Process,
 }
--- a/crates/settings/src/compose.rs
+++ b/crates/settings/src/compose.rs
@@ -1,61 +1,67 @@
-//! Writes an application's first file from agreements: commented, complete, and good as it stands.
+//! Composes the first settings file of an application from agreements. The file is complete, has comments, and passes the
+//! check without changes.
 
 use crate::agreement::{Agreement, Area, Repeats};
-use crate::check::word;
+use crate::check::repeats_name;
 use crate::units::{Address, Name, Share, Span};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Slots where nothing else bounds them.
-const SLOTS: u32 = 32;
+/// The number of slots where no limit on connections bounds it, and the most that are written.
+const DEFAULT_SLOTS: u32 = 32;
 
-/// What is asked for.
+/// The values for a new application.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct NewApplication {
     /// The application's name.
     pub name: Name,
-    /// Where RESP2 clients connect.
+    /// The address for RESP2 clients.
     pub resp: Address,
-    /// Where MQTT clients connect.
+    /// The address for MQTT clients; none if the MQTT front end is off.
     pub mqtt: Option<Address>,
-    /// The folder that outlasts the process.
+    /// The state folder.
     pub state: String,
-    /// The part of each member's limit, and of the connections to its endpoints.
+    /// The share of each destination's limit, and of the connections that its endpoints take.
     pub share: Share,
-    /// Its building; without it, the first of the first member.
+    /// The application's building; without it, the first building of the first agreement.
     pub building: Option<Name>,
-    /// The registry.
+    /// The address of the registry.
     pub discovery: Option<Address>,
-    /// Where ends are told; without it, the registry or the log.
+    /// The receiver of notices; without it, the registry, or the log if there is no registry.
     pub notices: Option<String>,
-    /// Its tenants.
+    /// The application's tenants.
     pub tenants: Vec<Name>,
 }
 
-/// The text of the file. The agreements come with their paths as seen from it.
-pub fn compose(w: &Wanted, agreements: &[(String, &Agreement)]) -> String {
+/// Returns the text of the file. The paths of the agreements are relative to the folder of the new file.
+pub fn compose(w: &NewApplication, agreements: &[(String, &Agreement)]) -> String {
     let mut t = String::new();
     let quoted = |text: &str| toml::Value::String(text.into()).to_string();
     let first = agreements.first().and_then(|a| a.1.buildings.first());
     let building = w.building.as_ref().or(first).map_or("building", |n| n);
-    let _ = writeln!(t, "# The dispatcher beside '{}'. Check it by: lilacbank app check FILE", w.name);
-    let _ = writeln!(t, "# Every key and its default: lilacbank schema application");
+    let _ =
+        writeln!(t, "# Settings of the dispatcher for '{}'. To check them: lilacbank app check FILE", w.name);
+    let _ = writeln!(t, "# To list all keys and their defaults: lilacbank schema application");
     let _ = writeln!(t, "application = \"{}\"", w.name);
-    let _ = writeln!(t, "# What it has taken on outlasts its process here.\nstate = {}", quoted(&w.state));
+    let _ = writeln!(
+        t,
+        "# Folder for accepted messages, which outlast the process.\nstate = {}",
+        quoted(&w.state)
+    );
     let _ =
-        writeln!(t, "# Where it stands; calls to other buildings may cost more.\nbuilding = \"{building}\"");
+        writeln!(t, "# The building in which the dispatcher runs; calls to other buildings may cost more.\nbuilding = \"{building}\"");
     match &w.discovery {
         Some(d) => {
             let _ =
-                writeln!(t, "# The registry: its list replaces that of the agreements.\ndiscovery = \"{d}\"");
+                writeln!(t, "# The registry; its endpoint list replaces the endpoints in the agreements.\ndiscovery = \"{d}\"");
         }
-        None => t += "# Without 'discovery' the endpoints of the agreements are all there are.\n",
+        None => t += "# Without 'discovery', only the endpoints in the agreements are used.\n",
     }
     if w.discovery.is_none() || w.notices.is_some() {
         let to = w.notices.as_deref().unwrap_or("log");
         let _ = writeln!(
             t,
-            "# Where RESP2 clients hear of messages that were taken on and not delivered.\nnotices = {}",
+            "# Receiver of notices about accepted messages of RESP2 clients that were not delivered.\nnotices = {}",
             quoted(to)
         );
     }
@@ -70,47 +76,49 @@
     for tenant in &w.tenants {
         let _ = writeln!(
             t,
-            "\n[tenants.{}]\n# Messages beyond this come last.\n# share = \"20/s\"",
+            "\n[tenants.{}]\n# Messages over this share get the lowest priority.\n# share = \"20/s\"",
             toml_key(tenant)
         );
     }
-    classes(&mut t, agreements);
+    write_classes(&mut t, agreements);
     for (path, a) in agreements {
         let _ = writeln!(t, "\n# {}", a.member.as_ref().map_or("", |m| m));
         let _ = writeln!(t, "[[uses]]\nagreement = {}", quoted(path));
         if let Some(limit) = a.limit {
-            let n = w.share.of(limit.calls);
+            let n = w.share.of_calls(limit.calls);
             let _ = writeln!(
                 t,
-                "# {n} calls of {limit}; all applications together may promise the whole.\nshare = \"{}\"",
+                "# {n} calls of the limit of {limit}; the shares of all applications add up to 100% at most.\nshare = \"{}\"",
                 w.share
             );
         }
         let fewest = a.endpoints.iter().filter_map(|e| e.connections.or(a.connections)).min();
         if let Some(takes) = fewest {
-            let n = w.share.of(takes).max(1);
+            let n = w.share.of_calls(takes).max(1);
             let _ = writeln!(
                 t,
-                "# To each endpoint, idle ones counted; it takes {takes} from everybody.\nconnections = {n}"
+                "# For each endpoint, idle connections included; an endpoint takes {takes} from all applications together.\nconnections = {n}"
             );
         }
     }
-    let links = agreements.iter().map(|(_, a)| {
+    let connections = agreements.iter().map(|(_, a)| {
         let fewest = a.endpoints.iter().filter_map(|e| e.connections.or(a.connections)).min();
-        fewest.map(|takes| w.share.of(takes).max(1) * a.endpoints.len() as u32)
+        fewest.map(|takes| w.share.of_calls(takes).max(1) * a.endpoints.len() as u32)
+    });
+    // More slots than promised connections could never be used. The upper bound leaves file descriptors for clients:
+    // each slot counts twice in the check.
+    let slots = connections.sum::<Option<u32>>().unwrap_or(DEFAULT_SLOTS).clamp(1, DEFAULT_SLOTS);
+    let _ = writeln!(t, "\n[work]\n# The most concurrent calls, and the most messages held at once.\nslots = {slots}\nheld = 500");
+    let probes = agreements.iter().all(|(_, a)| {
+        a.limit.is_none_or(|l| (l.span.0 / 500.0).ceil() < f64::from(w.share.of_calls(l.calls)))
     });
-    // No more slots than connections that are promised; half the descriptors are for clients.
-    let slots = links.sum::<Option<u32>>().unwrap_or(SLOTS).clamp(1, SLOTS);
-    let _ = writeln!(t, "\n[work]\n# Calls out at once, messages held at once.\nslots = {slots}\nheld = 500");
-    let probes = agreements
-        .iter()
-        .all(|(_, a)| a.limit.is_none_or(|l| (l.span.0 / 500.0).ceil() < f64::from(w.share.of(l.calls))));
     if !probes {
-        t += "# A probe counts as a call, and the share is too small for them.\nprobes = false\n";
+        t += "# A probe counts as a call, and probes would use up the share.\nprobes = false\n";
     }
     t
 }
 
+/// Quotes a name that is not a bare TOML key.
 fn toml_key(name: &Name) -> String {
     if name.0.contains('.') {
         format!("\"{name}\"")
@@ -119,8 +127,8 @@
     }
 }
 
-/// All classes of all agreements, each as strict as the strictest.
-fn classes(t: &mut String, agreements: &[(String, &Agreement)]) {
+/// Writes all classes of all agreements, each with the strictest terms that an agreement sets for it.
+fn write_classes(t: &mut String, agreements: &[(String, &Agreement)]) {
     let mut all: BTreeMap<&Name, (Repeats, Area, Option<Span>)> = BTreeMap::new();
     for (name, c) in agreements.iter().flat_map(|(_, a)| &a.classes) {
         let theirs =
@@ -138,9 +146,9 @@
     for (name, (repeats, area, span)) in all {
         let _ = writeln!(
             t,
-            "\n[classes.{}]\n# What the members say of it.\nrepeats = \"{}\"",
+            "\n[classes.{}]\n# The strictest of the agreements.\nrepeats = \"{}\"",
             toml_key(name),
-            word(repeats)
+            repeats_name(repeats)
         );
         let mut deadline = Span(20_000.0);
         if repeats == Repeats::Dropped {
@@ -150,7 +158,7 @@
             deadline = Span(deadline.0.min(span.0));
         }
         let wanted = Span(3_000f64.min(deadline.0));
-        let _ = writeln!(t, "# Worth all within 'wanted', less and less up to 'deadline', then given up.\nwanted = \"{wanted}\"\ndeadline = \"{deadline}\"");
+        let _ = writeln!(t, "# Full worth within 'wanted', declining until 'deadline'; after that a message is given up.\nwanted = \"{wanted}\"\ndeadline = \"{deadline}\"");
         t.push_str("worth = 1.0\nlate-worth = 0.5\n");
     }
 }
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,65 +1,65 @@
-//! What a check found: one record for each fault, and how it is shown.
+//! Findings of a check, and their rendering as text.
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// How bad it is.
+/// The severity of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// It may be what was meant; nothing is refused for it.
+    /// It may be intended; the files are accepted.
     Warning,
-    /// Nothing is written and nothing starts with it.
+    /// The files are rejected: no output is written, and a dispatcher does not start.
     Error,
 }
 
 /// A place in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Place {
-    /// The file, as it was named.
+    /// The path of the file, as given.
     pub file: String,
-    /// Its line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// Its column in characters, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// The key, with those above it: `uses[0].share`.
+    /// The path of the key, such as `uses[0].share`.
     pub key: String,
-    /// What this place has to do with it; empty for the place of the fault itself.
+    /// How this place is related to the finding; empty for the finding's own place.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub says: String,
-    /// Bytes of the file.
+    /// The byte range in the file.
     #[serde(skip)]
     pub span: Range<usize>,
 }
 
-/// One fault.
+/// One error or warning about a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Its code, which stays.
+    /// The code, such as `LB0001`; its meaning never changes.
     pub code: &'static str,
-    /// How bad it is.
+    /// The severity.
     pub severity: Severity,
-    /// Where.
+    /// The place of the error or warning.
     #[serde(flatten)]
     pub place: Place,
-    /// What is wrong.
+    /// The description of the problem.
     pub wrong: String,
-    /// How to mend it.
+    /// How to correct it.
     pub mend: String,
-    /// Other places that have to do with it.
+    /// Related places.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub with: Vec<Place>,
 }
 
-/// Is there anything that refuses the files?
+/// Whether any finding is an error, so that the files are rejected.
 pub fn refused(findings: &[Finding]) -> bool {
     findings.iter().any(|f| f.severity == Severity::Error)
 }
 
-/// The findings as a text for people; `texts` are the files by name.
-pub fn show(findings: &[Finding], texts: &BTreeMap<String, String>, color: bool) -> String {
+/// Renders findings as text for people, with excerpts of the files; `texts` has the files' texts by path.
+pub fn render_findings(findings: &[Finding], texts: &BTreeMap<String, String>, color: bool) -> String {
     let renderer = if color { Renderer::styled() } else { Renderer::plain() };
     let mut out = String::new();
     for f in findings {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,16 @@
-//! The operators' files of a sidecar: what they may say, how they are read, and what is wrong with them.
+//! Settings files of a sidecar, which operators write: their types, and how they are read and checked.
 //!
-//! There are two kinds, both TOML. An [`agreement::Agreement`] tells what a member firm takes from everybody together; an
-//! [`application::Application`] sets up the dispatcher beside one application and promises which part of that it keeps
-//! within. Their meaning is that of CUE: the agreement constrains, the application fills in, and a conflict names both
-//! places. [`set::Set::load`] reads files, [`check::check`] finds what is wrong with them together,
-//! [`render::render`] makes the JSON that a dispatcher reads, and [`explain::explain`] tells every value in force and
-//! where it comes from. Every fault has a code that stays; `docs/operators/sidecar.md` lists them.
+//! The main kinds, both TOML, are agreements and applications. An [`agreement::Agreement`] states what a destination
+//! takes from all its clients together. An [`application::Application`] configures the dispatcher that runs beside one
+//! application, and promises which share of those limits it keeps to. They combine as in CUE: the agreement constrains,
+//! the application supplies values, and a conflict names both places. A [`cellmap::CellMap`] is shared by several
+//! dispatchers.
 //!
-//! Nothing here opens a file or a socket.
+//! [`set::FileSet::load`] reads files, [`check::check`] checks them together, [`render::render`] makes the JSON that a
+//! dispatcher reads, and [`explain::explain`] lists every value in force with its origin. Each finding has a code whose
+//! meaning never changes; `docs/operators/sidecar.md` lists the codes.
+//!
+//! The crate opens neither files nor sockets.
 #![forbid(unsafe_code)]
 
 pub mod agreement;
--- a/crates/settings/src/render.rs
+++ b/crates/settings/src/render.rs
@@ -1,14 +1,15 @@
-//! From an application and its agreements to the JSON that its dispatcher reads.
+//! Renders an application and its agreements as the JSON that its dispatcher reads.
 
-use crate::agreement::{Area as Reach, MemberKind, Repeats};
+use crate::agreement::{Area as DropArea, MemberKind, Repeats};
 use crate::application::{LogFormat, LogLevel};
-use crate::check::effective;
+use crate::check::effective_repeats;
 use crate::served::*;
-use crate::set::{AppFile, Set, Used};
-use crate::units::{Name, Span, WHOLE};
+use crate::set::{ApplicationFile, FileSet, ResolvedUse};
+use crate::units::{Name, Span, WHOLE_MILLIONTHS};
 use std::collections::BTreeMap;
 
-fn effect(r: Repeats) -> String {
+/// The value of `effect` in the JSON.
+fn effect_name(r: Repeats) -> String {
     match r {
         Repeats::Forbidden => "at_most_once",
         Repeats::Dropped => "deduplicated",
@@ -17,54 +18,54 @@
     .into()
 }
 
-/// The member's endpoints that the application uses; several uses of one member are one promise.
-fn target(u: &Used, i: usize) -> Option<Target> {
+/// The endpoint at index `i` of the agreement, as an entry of the endpoint list; none if a required key is missing.
+fn listed_endpoint(u: &ResolvedUse, i: usize) -> Option<ListedEndpoint> {
     let e = &u.agreement.endpoints[i];
     let id = e.id.as_ref()?;
-    Some(Target {
+    Some(ListedEndpoint {
         uid: id.0.clone(),
         endpoint: e.address.as_ref()?.to_string(),
         az: e.building.as_ref()?.0.clone(),
         model: u.agreement.kind.name().into(),
         pod_group: u.agreement.destination?,
         state: "in_service".into(),
-        ..Target::default()
+        ..ListedEndpoint::default()
     })
 }
 
-/// What the application promised of a member, over all uses of it.
-pub fn member(all: &[Used]) -> Member {
+/// The limits that the application promises to keep at a destination, summed over all its uses of the destination.
+pub fn promised_limits(all: &[ResolvedUse]) -> Member {
     let (u, a) = (&all[0], all[0].agreement);
-    // Each use is rounded down by itself, as the check has reckoned.
-    let calls = a.limit.map(|l| all.iter().filter_map(|u| u.used.share).map(|s| s.of(l.calls)).sum());
+    // The share of each use is rounded down by itself, as in the check.
+    let calls = a.limit.map(|l| all.iter().filter_map(|u| u.entry.share).map(|s| s.of_calls(l.calls)).sum());
     let accepts = a.classes.iter().map(|(name, c)| {
         let window = c.dropped_for.map(|s| s.0);
-        (name.0.clone(), Accepts { effect: effect(c.repeats.unwrap_or(Repeats::Forbidden)), window })
+        (name.0.clone(), Accepts { effect: effect_name(c.repeats.unwrap_or(Repeats::Forbidden)), window })
     });
     Member {
-        name: u.member().into(),
+        name: u.destination_name().into(),
         dest: a.destination.unwrap_or(0),
         calls,
         span: a.limit.map_or(0.0, |l| l.span.0),
         travel: a.travel.0,
         each: a.kind == MemberKind::LowVolume,
-        connections: all.iter().map(|u| u.used.connections).sum(),
+        connections: all.iter().map(|u| u.entry.connections).sum(),
         accepts: accepts.collect(),
     }
 }
 
-/// The map as the dispatcher serves under it.
-fn mesh(app: &AppFile) -> Option<Mesh> {
+/// The cell map in the form that the dispatcher reads.
+fn mesh(app: &ApplicationFile) -> Option<Mesh> {
     let (own, map) = (app.record.mesh.as_ref()?, &app.map.as_ref()?.map);
     let text = |a: &Option<crate::units::Address>| a.as_ref().map(|a| a.to_string());
-    let peer = |(name, d): (&Name, &crate::cellmap::Dispatcher)| Peer {
+    let peer = |(name, d): (&Name, &crate::cellmap::Dispatcher)| MapDispatcher {
         name: name.0.clone(),
         peer: text(&d.peer).unwrap_or_default(),
         resp: text(&d.resp),
         mqtt: text(&d.mqtt),
     };
     let names = |all: &[Name]| all.iter().map(|n| n.0.clone()).collect();
-    let area = |(name, c): (&Name, &crate::cellmap::Cell)| Area {
+    let area = |(name, c): (&Name, &crate::cellmap::Cell)| MapCell {
         name: name.0.clone(),
         weight: c.weight,
         dispatchers: names(&c.dispatchers),
@@ -80,17 +81,17 @@
 }
 
 /// The JSON for an application whose files have passed the check.
-pub fn render(set: &Set, app: &AppFile) -> Served {
+pub fn render(set: &FileSet, app: &ApplicationFile) -> Served {
     let a = &app.record;
-    let mut by_member: BTreeMap<&str, Vec<Used>> = BTreeMap::new();
+    let mut by_member: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
     let mut order: Vec<&str> = Vec::new();
-    for u in set.uses(app) {
-        if !by_member.contains_key(u.terms.file.as_str()) {
-            order.push(&u.terms.file);
+    for u in set.resolved_uses(app) {
+        if !by_member.contains_key(u.agreement_source.file.as_str()) {
+            order.push(&u.agreement_source.file);
         }
-        by_member.entry(&u.terms.file).or_default().push(u);
+        by_member.entry(&u.agreement_source.file).or_default().push(u);
     }
-    let groups: Vec<&Vec<Used>> = order.iter().map(|f| &by_member[f]).collect();
+    let groups: Vec<&Vec<ResolvedUse>> = order.iter().map(|f| &by_member[f]).collect();
     let mut zones: Vec<String> = a.building.iter().map(|b| b.0.clone()).collect();
     let mut kinds: Vec<MemberKind> = Vec::new();
     let mut targets = Vec::new();
@@ -103,21 +104,21 @@
             kinds.push(terms.kind);
         }
         for (i, e) in terms.endpoints.iter().enumerate() {
-            let used = |u: &&Used| e.id.as_ref().is_some_and(|id| u.takes(id));
-            targets.extend(all.iter().find(used).and_then(|u| target(u, i)));
+            let used = |u: &&ResolvedUse| e.id.as_ref().is_some_and(|id| u.uses_endpoint(id));
+            targets.extend(all.iter().find(used).and_then(|u| listed_endpoint(u, i)));
         }
     }
     let mut once = Vec::new();
     let mut classes = Vec::new();
     for (name, c) in &a.classes {
-        let e = effective(set, app, name, c);
+        let e = effective_repeats(set, app, name, c);
         if e.repeats == Repeats::Forbidden {
-            once.push(Once { class: name.0.clone(), remembered: c.remembered.0 });
+            once.push(AtMostOnceClass { class: name.0.clone(), remembered: c.remembered.0 });
         }
         classes.push(Class {
             name: name.0.clone(),
-            effect: effect(e.repeats),
-            group: if e.area == Reach::Building { "zone" } else { "all" }.into(),
+            effect: effect_name(e.repeats),
+            group: if e.area == DropArea::Building { "zone" } else { "all" }.into(),
             promise: Some(c.wanted.0),
             deadline: c.deadline.0,
             window: if e.repeats == Repeats::Dropped { e.span.0 } else { 0.0 },
@@ -127,13 +128,17 @@
             aim_stretch: None,
         });
     }
-    let least = |f: fn(&Used) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(f64::MAX, f64::min);
-    let most = |f: fn(&Used) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(0.0, f64::max);
+    let shortest = |f: fn(&ResolvedUse) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(f64::MAX, f64::min);
+    let longest = |f: fn(&ResolvedUse) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(0.0, f64::max);
     let probes = a.work.probes && groups.iter().all(|g| g[0].agreement.probes);
-    // Others hold the rest of the shares: the module is told how many senders of this size there may be.
-    let parts = groups.iter().flat_map(|g| g.iter()).filter_map(|u| u.used.share);
-    let senders =
-        parts.map(|s| f64::from(WHOLE) / f64::from(s.0.max(1))).fold(1.0, f64::max).round().min(64.0);
+    // Other applications have the remaining shares. The decision module gets the number of dispatchers of this size that
+    // the limit has room for, 64 at most.
+    let parts = groups.iter().flat_map(|g| g.iter()).filter_map(|u| u.entry.share);
+    let dispatchers = parts
+        .map(|s| f64::from(WHOLE_MILLIONTHS) / f64::from(s.0.max(1)))
+        .fold(1.0, f64::max)
+        .round()
+        .min(64.0);
     let tenant = |(name, t): (&Name, &crate::application::Tenant)| Tenant {
         name: name.0.clone(),
         quota_per_s: t.share.map_or(1e6, |l| l.per_second()),
@@ -166,13 +171,13 @@
             disk_mb: a.process.disk.0 as f64 / 1e6,
             memory_mb: a.process.memory.0 as f64 / 1e6,
         },
-        known: Known { rev: 0, all: true, targets },
+        known: EndpointList { rev: 0, all: true, targets },
         settings: Settings {
-            balancers: senders,
+            balancers: dispatchers,
             classes,
             ceilings: Ceilings {
                 probes,
-                max_retry_after: most(|u| u.agreement.wait_most).max(1_000.0),
+                max_retry_after: longest(|u| u.agreement.wait_most).max(1_000.0),
                 connect_timeout: a.work.connect_timeout.0,
                 keepalive: a.work.keep_alive.0,
                 max_open: a.work.held,
@@ -180,14 +185,14 @@
                 ..Ceilings::default()
             },
             guarantees: Guarantees {
-                drain_grace: least(|u| u.agreement.drain).min(2_000.0),
-                cold: most(|u| u.agreement.cold),
-                // The most careful of all members: the module knows one figure.
+                drain_grace: shortest(|u| u.agreement.drain).min(2_000.0),
+                cold: longest(|u| u.agreement.cold),
+                // The decision module has one value for all destinations, so the lowest one is used.
                 cold_from: groups
                     .iter()
                     .map(|g| g[0].agreement.cold_from.0)
                     .min()
-                    .map_or(0.22, |c| f64::from(c) / f64::from(WHOLE)),
+                    .map_or(0.22, |c| f64::from(c) / f64::from(WHOLE_MILLIONTHS)),
                 ..Guarantees::default()
             },
             family_info: Family {
@@ -203,7 +208,7 @@
             ..Settings::default()
         },
         sidecar: Some(Sidecar {
-            members: groups.iter().map(|g| member(g)).collect(),
+            members: groups.iter().map(|g| promised_limits(g)).collect(),
             once,
             cells: a.cells.iter().map(cell).collect(),
             mesh: mesh(app),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,4 +1,4 @@
-//! The records as schemas: JSON Schema, and CUE.
+//! Schemas of the settings files, as JSON Schema and as CUE definitions.
 
 use crate::agreement::Agreement;
 use crate::application::Application;
@@ -7,53 +7,53 @@
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// The record of an agreement, as JSON Schema.
+/// The JSON Schema of an agreement.
 pub fn agreement() -> Schema {
     schemars::schema_for!(Agreement)
 }
 
-/// The record of an application, as JSON Schema.
+/// The JSON Schema of an application.
 pub fn application() -> Schema {
     schemars::schema_for!(Application)
 }
 
-/// The record of a cell map, as JSON Schema.
+/// The JSON Schema of a cell map.
 pub fn cells() -> Schema {
     schemars::schema_for!(CellMap)
 }
 
-/// The same as CUE definitions: each record is closed, each key that may be left out is marked with `?`.
+/// Converts a JSON Schema to CUE definitions. Each definition is closed, and each optional key is marked with `?`.
 pub fn cue(schema: &Schema) -> String {
     let root = schema.as_value();
     let mut out = String::from("package lilacbank\n");
     let name = root.get("title").and_then(Value::as_str).unwrap_or("Record");
-    definition(name, root, &mut out);
+    write_definition(name, root, &mut out);
     let more = root.get("$defs").and_then(Value::as_object);
     for (name, schema) in more.into_iter().flatten() {
-        definition(name, schema, &mut out);
+        write_definition(name, schema, &mut out);
     }
     out
 }
 
-fn comment(schema: &Value, indent: &str, out: &mut String) {
+fn write_comment(schema: &Value, indent: &str, out: &mut String) {
     for line in schema.get("description").and_then(Value::as_str).unwrap_or("").lines() {
         let _ = writeln!(out, "{indent}// {line}");
     }
 }
 
-fn definition(name: &str, schema: &Value, out: &mut String) {
+fn write_definition(name: &str, schema: &Value, out: &mut String) {
     out.push('\n');
-    comment(schema, "", out);
-    let _ = writeln!(out, "#{name}: {}", shape(schema, ""));
+    write_comment(schema, "", out);
+    let _ = writeln!(out, "#{name}: {}", cue_type(schema, ""));
 }
 
-fn shape(schema: &Value, indent: &str) -> String {
+fn cue_type(schema: &Value, indent: &str) -> String {
     if let Some(name) = schema.get("$ref").and_then(Value::as_str).and_then(|r| r.rsplit('/').next()) {
         return format!("#{name}");
     }
     for key in ["anyOf", "oneOf"] {
         if let Some(all) = schema.get(key).and_then(Value::as_array) {
-            let all: Vec<String> = all.iter().filter(|s| !is_null(s)).map(|s| shape(s, indent)).collect();
+            let all: Vec<String> = all.iter().filter(|s| !is_null(s)).map(|s| cue_type(s, indent)).collect();
             return all.join(" | ");
         }
     }
@@ -69,8 +69,8 @@
         _ => "_",
     };
     match kind {
-        "object" => object(schema, indent),
-        "array" => format!("[...{}]", schema.get("items").map_or("_".into(), |s| shape(s, indent))),
+        "object" => cue_record(schema, indent),
+        "array" => format!("[...{}]", schema.get("items").map_or("_".into(), |s| cue_type(s, indent))),
         "string" => match schema.get("pattern").and_then(Value::as_str) {
             Some(p) => format!("=~#\"{p}\"#"),
             None => "string".into(),
@@ -89,22 +89,22 @@
     schema.get("type").and_then(Value::as_str) == Some("null")
 }
 
-fn object(schema: &Value, indent: &str) -> String {
+fn cue_record(schema: &Value, indent: &str) -> String {
     let Some(keys) = schema.get("properties").and_then(Value::as_object) else {
         let by_pattern = schema.get("patternProperties").and_then(Value::as_object);
         let of = by_pattern.and_then(|p| p.values().next()).or(schema.get("additionalProperties"));
-        return format!("{{[string]: {}}}", of.map_or("_".into(), |s| shape(s, indent)));
+        return format!("{{[string]: {}}}", of.map_or("_".into(), |s| cue_type(s, indent)));
     };
     let inner = format!("{indent}\t");
     let mut out = String::from("{\n");
     for (key, schema) in keys {
-        comment(schema, &inner, &mut out);
-        // A default holds where the key is left out.
+        write_comment(schema, &inner, &mut out);
+        // CUE marks the value that applies where the key is missing with `*`.
         let default = schema.get("default").filter(|d| !d.is_null() && !d.is_object() && !d.is_array());
-        let shape = shape(schema, &inner);
+        let cue_type = cue_type(schema, &inner);
         let value = match default {
-            Some(d) => format!("*{d} | {shape}"),
-            None => shape,
+            Some(d) => format!("*{d} | {cue_type}"),
+            None => cue_type,
         };
         let key = if key.contains('-') { format!("\"{key}\"") } else { key.clone() };
         let _ = writeln!(out, "{inner}{key}?: {value}");
@@ -116,9 +116,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a schema that says less than the reader: closed records, units, defaults.
+    /// Guards against schemas that accept more than the parser, or lack units or defaults.
     #[test]
-    fn schemas_tell_units_defaults_and_closed_records() {
+    fn schemas_have_units_defaults_and_closed_records() {
         let json = serde_json::to_string(&agreement()).unwrap();
         assert!(json.contains(r#""additionalProperties":false"#) && json.contains("2.4/s"), "{json}");
         let text = cue(&agreement());
--- a/crates/settings/src/served.rs
+++ b/crates/settings/src/served.rs
@@ -1,22 +1,25 @@
-//! The JSON that a dispatcher reads, as one type: what is rendered, and what is checked when somebody edits it.
+//! The JSON configuration that a dispatcher reads, as one type: rendered from settings files, and checked after manual
+//! edits.
+//!
+//! Field names are the keys of the file. Times are in milliseconds unless a field says otherwise.
 
-use crate::check::{self, between, needed, twice, with, Folders};
+use crate::check::{self, check_duplicates, check_range, check_required, with_related, Folders};
 use crate::finding::Finding;
 use crate::source::Source;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bounds of the process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Part of a core.
+    /// CPU time, in cores; may be a fraction.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cores: Option<f64>,
     /// File descriptors.
     pub sockets: u32,
-    /// Disk in the state folder, in megabytes.
+    /// Disk space in the state folder, in megabytes.
     pub disk_mb: f64,
     /// Memory, in megabytes.
     pub memory_mb: f64,
@@ -28,65 +31,65 @@
     }
 }
 
-/// A worker of the list.
+/// An endpoint of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Target {
-    /// Its id.
+pub struct ListedEndpoint {
+    /// The endpoint's id.
     pub uid: String,
-    /// Where it is reached.
+    /// The address: `ADDRESS:PORT` or `mqtt://ADDRESS:PORT/TOPIC`.
     pub endpoint: String,
-    /// Its zone.
+    /// The endpoint's zone.
     pub az: String,
-    /// Its destination's kind.
+    /// The kind of its destination.
     pub model: String,
-    /// Its destination.
+    /// The number of its destination.
     pub pod_group: u64,
     /// `in_service`, `terminating` or `terminated`.
     pub state: String,
-    /// What it takes, as a hint.
+    /// A hint about its capacity, used as a weight.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub capacity_hint: Option<f64>,
-    /// When it started.
+    /// The time at which it started, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub boot_ms: Option<f64>,
 }
 
-/// The list of workers.
+/// The endpoint list.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Known {
-    /// Its version.
+pub struct EndpointList {
+    /// The revision of the list.
     pub rev: u64,
-    /// It is the whole list.
+    /// Whether the list is complete.
     pub all: bool,
-    /// The workers.
-    pub targets: Vec<Target>,
+    /// The endpoints.
+    pub targets: Vec<ListedEndpoint>,
 }
 
-/// A class of messages; times in milliseconds.
+/// A class of messages; times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Class {
-    /// Its name.
+    /// The class's name.
     pub name: String,
-    /// `idempotent`, `deduplicated` or `at_most_once`.
+    /// The effect of a repeat: `idempotent`, `deduplicated` or `at_most_once`.
     pub effect: String,
-    /// Repeats are dropped by the same `zone` or by `all`.
+    /// Which endpoints drop repeats: those of the same `zone`, or `all`.
     pub group: String,
-    /// Wanted within.
+    /// The time within which a message has its full worth.
     pub promise: Option<f64>,
-    /// Given up after.
+    /// The time after which a message is given up.
     pub deadline: f64,
-    /// Repeats are dropped for.
+    /// How long repeats are dropped.
     pub window: f64,
-    /// Messages of a key go in order.
+    /// Whether messages with the same ordering key are delivered in order.
     pub in_order: bool,
-    /// Worth of a message.
+    /// The worth of a message.
     pub worth: f64,
-    /// Part of it that is left at the deadline.
+    /// The part of the worth that is left at the deadline (0 to 1).
     pub late_worth: f64,
-    /// The promise grows by so many times the work.
+    /// By how many times the work of a message its promise grows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub aim_stretch: Option<f64>,
 }
@@ -108,25 +111,25 @@
     }
 }
 
-/// What the dispatcher may do.
+/// What the dispatcher is permitted to do, and its upper bounds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Ceilings {
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Workers may be probed.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Clients heed waits,
+    /// Whether clients respect a retry-after.
     pub retry_after: bool,
-    /// up to so many milliseconds.
+    /// The longest retry-after that clients respect, in milliseconds.
     pub max_retry_after: f64,
-    /// A connection that is not up by then is given up.
+    /// The timeout for connecting, in milliseconds.
     pub connect_timeout: f64,
-    /// Idle connections are closed after this.
+    /// The time after which an idle connection is closed, in milliseconds; 0 for never.
     pub keepalive: f64,
-    /// Messages held at once.
+    /// The most messages held at once.
     pub max_open: u32,
-    /// Attempts for a message.
+    /// The most attempts for one message.
     pub most_tries: u32,
 }
 
@@ -145,25 +148,25 @@
     }
 }
 
-/// The rules' figures.
+/// The figures that the rules of the platform guarantee; times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Guarantees {
-    /// A final answer may be this late.
+    /// How late a final answer may be.
     pub answer_slack: f64,
-    /// Sends to a draining worker have ended after this.
+    /// The time after which attempts at a draining endpoint have ended.
     pub drain_grace: f64,
-    /// Rest of a key.
+    /// The quiet period of an ordering key.
     pub key_quiet: f64,
-    /// A cold worker falls over above so many times what it can take,
+    /// A cold endpoint fails under a load of more than this many times its capacity.
     pub overload_factor: f64,
-    /// held for this.
+    /// How long such a load must last until the endpoint fails.
     pub overload_for: f64,
-    /// Part of its capacity that a worker has after an outage.
+    /// The part of its capacity that an endpoint has right after an outage.
     pub cold_from: f64,
-    /// It has all of it after this.
+    /// The time after which it has its full capacity again.
     pub cold: f64,
-    /// A list that was asked for counts as known after this.
+    /// The time after which a requested endpoint list counts as known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub ask_within: Option<f64>,
 }
@@ -183,24 +186,24 @@
     }
 }
 
-/// What the destinations are like.
+/// Properties of the destinations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Family {
-    /// Calls out at once.
+    /// The most concurrent calls.
     pub slots: u32,
-    /// By kind: workers are routes apart.
+    /// For each kind: whether its endpoints are separate routes.
     pub kind_apart: Vec<bool>,
-    /// By kind: messages in one call.
+    /// For each kind: the number of messages in one call.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub batch_by_kind: Vec<f64>,
-    /// By zone: fee of a route.
+    /// For each zone: the fee of a route.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub route_fee: Vec<f64>,
-    /// Price of a refusal.
+    /// The price of a refused attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub turned_away_price: Option<f64>,
-    /// How worth falls.
+    /// How the worth of a message declines over time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub decay: Option<String>,
 }
@@ -222,67 +225,67 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// Its share, in messages a second.
+    /// Its share, in messages per second.
     pub quota_per_s: f64,
 }
 
-/// Prices, in shares of a mean message.
+/// Prices, as fractions of the worth of an average message.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Of a call across zones.
+    /// The price of a call to another zone.
     pub cross_zone: f64,
-    /// Of a new connection.
+    /// The price of a new connection.
     pub handshake: f64,
 }
 
-/// What clients do.
+/// What is known about the behavior of clients.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Callers {
-    /// They mark what they hand in again.
+    /// Whether clients mark messages that they submit again.
     pub marks_retry: bool,
 }
 
-/// The settings of the decision module.
+/// Settings of the module that decides which attempts to make.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Dispatchers that share the work.
+    /// The number of dispatchers that share the work.
     pub balancers: f64,
-    /// Least span between two batches of events.
+    /// The shortest time between two batches of events, in milliseconds.
     pub round: f64,
-    /// The classes.
+    /// The message classes.
     pub classes: Vec<Class>,
-    /// What it may do.
+    /// Permissions and upper bounds.
     pub ceilings: Ceilings,
-    /// The rules' figures.
+    /// Guaranteed figures.
     pub guarantees: Guarantees,
-    /// What the destinations are like.
+    /// Properties of the destinations.
     pub family_info: Family,
-    /// The kinds of destination.
+    /// The kinds of destinations.
     pub kinds: Vec<String>,
     /// The zones.
     pub zones: Vec<String>,
-    /// The own zone.
+    /// The zone in which the dispatcher runs.
     pub zone: String,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Part of its worth that a message beyond a tenant's share keeps.
+    /// The part of its worth that a message over its tenant's share keeps (0 to 1).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub over_share_worth: Option<f64>,
-    /// Prices.
+    /// Prices of calls and connections.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prices: Option<Prices>,
-    /// What clients do.
+    /// Behavior of clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub callers: Option<Callers>,
-    /// How the list comes.
+    /// How the endpoint list is obtained.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<String>,
-    /// What the weights of the list mean.
+    /// The meaning of the weights in the endpoint list.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weights: Option<String>,
 }
@@ -309,256 +312,290 @@
     }
 }
 
-/// What a member says of a class.
+/// A destination's terms for a class.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Accepts {
-    /// The most that the member allows: `idempotent`, `deduplicated` or `at_most_once`.
+    /// The most permissive effect that the destination allows: `idempotent`, `deduplicated` or `at_most_once`.
     pub effect: String,
-    /// How long it drops repeats, in milliseconds.
+    /// How long the destination drops repeats, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub window: Option<f64>,
 }
 
-/// What is promised of a member.
+/// What the application promises to keep to at a destination.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Member {
-    /// Its name.
+    /// The destination's name.
     pub name: String,
-    /// Its destination.
+    /// The destination's number.
     pub dest: u64,
-    /// Calls in any span; none: no limit.
+    /// The most calls in any period of length `span`; none for no limit.
     pub calls: Option<u32>,
-    /// The span, in milliseconds.
+    /// The length of the period, in milliseconds.
     pub span: f64,
-    /// A call arrives at most so long after its last byte was written, in milliseconds.
+    /// The longest time from writing a call's last byte to its arrival, in milliseconds.
     pub travel: f64,
-    /// Each endpoint has a limit of its own.
+    /// Whether each endpoint has a limit of its own.
     pub each: bool,
-    /// Connections to each endpoint.
+    /// The most connections to each endpoint.
     pub connections: Option<u32>,
-    /// What it says of the classes that it accepts.
+    /// The terms for the classes that the destination accepts, by class.
     pub accepts: BTreeMap<String, Accepts>,
 }
 
-/// A class that is never repeated.
+/// A class whose messages must not be repeated.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Once {
-    /// Its name.
+pub struct AtMostOnceClass {
+    /// The name of the class.
     pub class: String,
-    /// How long after its end a message is remembered, in milliseconds.
+    /// How long a message is remembered after its final answer, in milliseconds.
     pub remembered: f64,
 }
 
-/// A cell.
+/// A cell inside the dispatcher.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cell {
-    /// Its name.
+    /// The cell's name.
     pub name: String,
-    /// Its part beside those of the others.
+    /// Its weight relative to the other cells.
     pub weight: f64,
-    /// The tenants that live in it.
+    /// The tenants assigned to the cell.
     pub tenants: Vec<String>,
 }
 
-/// The MQTT front.
+/// The MQTT front end.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mqtt {
-    /// Where it listens.
+    /// The address at which it listens.
     pub listen: String,
-    /// Connections at once.
+    /// The most connections at once.
     pub sessions: u32,
 }
 
-/// The log.
+/// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
     /// `text` or `json`.
     pub format: String,
-    /// What is logged.
+    /// The least severe level that is logged.
     pub level: String,
 }
 
-/// A dispatcher of the map.
+/// A dispatcher in the cell map.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Peer {
-    /// Its name.
+pub struct MapDispatcher {
+    /// The dispatcher's name.
     pub name: String,
-    /// Where other dispatchers reach it.
+    /// The address for peers.
     pub peer: String,
-    /// Where its RESP2 clients connect.
+    /// The address for RESP2 clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub resp: Option<String>,
-    /// Where its MQTT clients connect.
+    /// The address for MQTT clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub mqtt: Option<String>,
 }
 
-/// A cell of the map.
+/// A cell in the cell map.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Area {
-    /// Its name.
+pub struct MapCell {
+    /// The cell's name.
     pub name: String,
-    /// Its part of the tenants that no cell names.
+    /// Its weight in the placement of tenants that no cell names.
     pub weight: f64,
-    /// Its dispatchers.
+    /// The dispatchers of the cell.
     pub dispatchers: Vec<String>,
-    /// The tenants that live in it.
+    /// The tenants assigned to the cell.
     pub tenants: Vec<String>,
 }
 
-/// The cell map that it shares with other dispatchers.
+/// The cell map that the dispatcher shares with its peers.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mesh {
-    /// Which of the dispatchers this one is.
+    /// The name of this dispatcher in the map.
     pub dispatcher: String,
-    /// The map's name.
+    /// The name of the map.
     pub map: String,
-    /// The map's version.
+    /// The version of the map.
     pub version: u64,
-    /// The dispatchers.
-    pub dispatchers: Vec<Peer>,
-    /// The cells.
-    pub cells: Vec<Area>,
+    /// All dispatchers in the map.
+    pub dispatchers: Vec<MapDispatcher>,
+    /// All cells in the map.
+    pub cells: Vec<MapCell>,
 }
 
-/// What makes a dispatcher a sidecar: none of it is there on the platform.
+/// Settings that exist only where the dispatcher runs as a sidecar; a platform's configuration has none of them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sidecar {
-    /// What is promised, member by member.
+    /// What the application promises, for each destination.
     pub members: Vec<Member>,
-    /// Classes that are never repeated.
-    pub once: Vec<Once>,
-    /// The cells that share it; none: it is undivided.
+    /// Classes whose messages must not be repeated.
+    pub once: Vec<AtMostOnceClass>,
+    /// The cells that divide the dispatcher; empty if it is undivided.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub cells: Vec<Cell>,
-    /// The map that it shares with other dispatchers.
+    /// The cell map that it shares with its peers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub mesh: Option<Mesh>,
-    /// The MQTT front.
+    /// The MQTT front end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub mqtt: Option<Mqtt>,
-    /// The log.
+    /// Settings of the log.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub log: Option<Log>,
 }
 
-/// The whole file.
+/// The complete configuration file of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Served {
-    /// Its name.
+    /// The dispatcher's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for RESP2 clients.
     pub listen: Option<String>,
-    /// The registry; none: the list in this file is all.
+    /// The registry's address; without it, the endpoint list in this file is used.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<String>,
-    /// Where notices go, if not to the registry: an address, or `log`.
+    /// The receiver of notices, if not the registry: an address, or `log`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub notices: Option<String>,
-    /// Seed of all randomness.
+    /// The seed of all random numbers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<String>,
-    /// The folder that outlasts the process.
+    /// The state folder.
     pub state: Option<String>,
-    /// Bounds of the process.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The list of workers.
-    pub known: Known,
-    /// The settings.
+    /// The endpoint list at startup.
+    pub known: EndpointList,
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// What makes it a sidecar.
+    /// Settings of a sidecar; none on a platform.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sidecar: Option<Sidecar>,
 }
 
+/// The values of `effect`, from the strictest to the most permissive.
 const EFFECTS: [&str; 3] = ["at_most_once", "deduplicated", "idempotent"];
 
-/// How much an effect allows; unknown ones allow nothing.
-fn allows(effect: &str) -> usize {
+/// How permissive an effect is, as its index in [`EFFECTS`]; an unknown one counts as the strictest.
+fn effect_rank(effect: &str) -> usize {
     EFFECTS.iter().position(|e| *e == effect).unwrap_or(0)
 }
 
 impl Served {
-    /// The JSON text.
-    pub fn text(&self) -> String {
+    /// Formats the configuration as JSON text.
+    pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
-    /// Reads a file and reports all that is wrong with it.
-    pub fn read(file: &str, text: &str, folders: &dyn Folders, found: &mut Vec<Finding>) -> (Source, Served) {
-        let mut source = Source::json(file, text, found);
-        let broken = !found.is_empty() && source.tree.as_object().is_none_or(|o| o.is_empty());
-        let served: Served = source.read(found);
+    /// Reads a file and adds a finding for everything that is wrong with it.
+    pub fn read(
+        file: &str,
+        text: &str,
+        folders: &dyn Folders,
+        findings: &mut Vec<Finding>,
+    ) -> (Source, Served) {
+        let mut source = Source::json(file, text, findings);
+        let broken = !findings.is_empty() && source.tree.as_object().is_none_or(|o| o.is_empty());
+        let served: Served = source.read(findings);
         if !broken {
-            served.check(&source, folders, found);
+            served.check(&source, folders, findings);
         }
         (source, served)
     }
 
-    fn check(&self, s: &Source, folders: &dyn Folders, found: &mut Vec<Finding>) {
-        needed(s, "listen", &self.listen, "say where clients connect", found);
-        needed(s, "state", &self.state, "name a folder that outlasts the process", found);
-        self.addresses(s, found);
+    fn check(&self, s: &Source, folders: &dyn Folders, findings: &mut Vec<Finding>) {
+        check_required(
+            s,
+            "listen",
+            &self.listen,
+            "set the address for RESP2 clients: \"listen\": \"127.0.0.1:6379\"",
+            findings,
+        );
+        check_required(
+            s,
+            "state",
+            &self.state,
+            "set a folder for the state that outlasts the process",
+            findings,
+        );
+        self.addresses(s, findings);
         if let Some(path) = &self.state {
-            check::folder(s, path, &self.name, folders, found);
+            check::check_state_folder(s, path, &self.name, folders, findings);
         }
-        let (set, tries) = (&self.settings, &self.settings.ceilings);
-        if set.classes.is_empty() && !s.is_spoilt("settings.classes") {
-            found.push(s.fault("LB0006", "settings.classes", "there is no class of messages", "add one"));
+        let (set, ceilings) = (&self.settings, &self.settings.ceilings);
+        if set.classes.is_empty() && !s.is_unreadable("settings.classes") {
+            findings.push(s.finding("LB0006", "settings.classes", "no message class is defined", "add one"));
         }
         let key = |i: usize, key: &str| format!("settings.classes[{i}].{key}");
         let names = set.classes.iter().enumerate().map(|(i, c)| (key(i, "name"), &c.name));
-        twice(s, "LB0101", "class", names, found);
+        check_duplicates(s, "LB0101", "class", names, findings);
         let tenants =
             set.tenants.iter().enumerate().map(|(i, t)| (format!("settings.tenants[{i}].name"), &t.name));
-        twice(s, "LB0101", "tenant", tenants, found);
+        check_duplicates(s, "LB0101", "tenant", tenants, findings);
         for (i, c) in set.classes.iter().enumerate() {
-            self.class(s, i, c, found);
+            self.class(s, i, c, findings);
         }
         let hour = 3_600_000.0;
-        between(s, "settings.ceilings.max_open", tries.max_open, 1, 1_000_000, found);
-        between(s, "settings.ceilings.most_tries", tries.most_tries, 1, 8, found);
-        between(s, "settings.ceilings.connect_timeout", tries.connect_timeout, 1.0, 60_000.0, found);
-        between(s, "settings.ceilings.keepalive", tries.keepalive, 0.0, hour, found);
-        between(s, "settings.ceilings.max_retry_after", tries.max_retry_after, 0.0, hour, found);
-        between(s, "settings.family_info.slots", set.family_info.slots, 1, 100_000, found);
-        between(s, "limits.disk_mb", self.limits.disk_mb, 0.01, 1e6, found);
-        between(s, "limits.memory_mb", self.limits.memory_mb, 8.0, 1e6, found);
-        if set.guarantees.drain_grace > check::DRAIN_MOST.0 {
-            let wrong =
-                format!("the drain time of {} ms is over {}", set.guarantees.drain_grace, check::DRAIN_MOST);
-            found.push(s.fault("LB0302", "settings.guarantees.drain_grace", wrong, "write 2000 or less"));
+        check_range(s, "settings.ceilings.max_open", ceilings.max_open, 1, 1_000_000, findings);
+        check_range(s, "settings.ceilings.most_tries", ceilings.most_tries, 1, 8, findings);
+        check_range(
+            s,
+            "settings.ceilings.connect_timeout",
+            ceilings.connect_timeout,
+            1.0,
+            60_000.0,
+            findings,
+        );
+        check_range(s, "settings.ceilings.keepalive", ceilings.keepalive, 0.0, hour, findings);
+        check_range(s, "settings.ceilings.max_retry_after", ceilings.max_retry_after, 0.0, hour, findings);
+        check_range(s, "settings.family_info.slots", set.family_info.slots, 1, 100_000, findings);
+        check_range(s, "limits.disk_mb", self.limits.disk_mb, 0.01, 1e6, findings);
+        check_range(s, "limits.memory_mb", self.limits.memory_mb, 8.0, 1e6, findings);
+        if set.guarantees.drain_grace > check::MAX_DRAIN_TIME.0 {
+            let wrong = format!(
+                "the drain time of {} ms is longer than {}",
+                set.guarantees.drain_grace,
+                check::MAX_DRAIN_TIME
+            );
+            findings.push(s.finding(
+                "LB0302",
+                "settings.guarantees.drain_grace",
+                wrong,
+                "set it to 2000 or less",
+            ));
         }
-        if tries.keepalive > 0.0 && tries.keepalive <= check::IDLE_MARGIN.0 {
-            let wrong = format!("idle connections are closed {} early, so none is kept", check::IDLE_MARGIN);
-            found.push(s.fault(
+        if ceilings.keepalive > 0.0 && ceilings.keepalive <= check::IDLE_CLOSE_MARGIN.0 {
+            let wrong =
+                format!("idle connections are closed {} early, so none is kept", check::IDLE_CLOSE_MARGIN);
+            findings.push(s.finding(
                 "LB0502",
                 "settings.ceilings.keepalive",
                 wrong,
-                "write 2000 or more, or 0 for no end",
+                "set it to 2000 or more, or to 0 to keep idle connections open",
             ));
         }
         let sessions = self.sidecar.as_ref().and_then(|c| c.mqtt.as_ref()).map_or(0, |m| m.sessions);
         let slots = ("settings.family_info.slots", set.family_info.slots);
-        check::descriptors(s, slots, sessions, ("limits.sockets", self.limits.sockets), found);
-        self.targets(s, found);
+        check::check_descriptors(s, slots, sessions, ("limits.sockets", self.limits.sockets), findings);
+        self.targets(s, findings);
         if let Some(c) = &self.sidecar {
-            self.sidecar(s, c, found);
+            self.sidecar(s, c, findings);
         }
     }
 
-    fn addresses(&self, s: &Source, found: &mut Vec<Finding>) {
+    fn addresses(&self, s: &Source, findings: &mut Vec<Finding>) {
         let notices = self.notices.as_ref().filter(|n| *n != "log");
         let mqtt = self.sidecar.as_ref().and_then(|c| c.mqtt.as_ref()).map(|m| &m.listen);
         let all = [
@@ -571,203 +608,210 @@
         for (key, text) in all.into_iter().filter_map(|(k, v)| Some((k, v?))) {
             let Ok(address) = text.parse::<SocketAddr>() else {
                 let wrong = format!("'{text}' is not an address with a port");
-                found.push(s.fault(
+                findings.push(s.finding(
                     "LB0005",
                     key,
                     wrong,
-                    "write an IP address with a port: \"127.0.0.1:6379\"",
+                    "use an IP address with a port, such as \"127.0.0.1:6379\"",
                 ));
                 continue;
             };
             if let Some((other, _)) = known.iter().find(|k| k.1 == address && address.port() != 0) {
                 let both = [*other, key] == ["discovery", "notices"];
                 if !both {
-                    let f = s.fault(
+                    let f = s.finding(
                         "LB0103",
                         key,
-                        format!("'{key}' is {address}, and so is '{other}'"),
-                        "give each an address of its own",
+                        format!("'{key}' and '{other}' are both {address}"),
+                        "use a separate address for each",
                     );
-                    found.push(with(f, s.place(other), "the same address"));
+                    findings.push(with_related(f, s.place(other), "the same address"));
                 }
             }
             known.push((key, address));
         }
-        if self.discovery.is_none() && !s.is_spoilt("discovery") {
-            if self.known.targets.is_empty() && !s.is_spoilt("known") {
-                let mend = "name the registry, or list the workers under 'known'";
-                found.push(s.fault(
+        if self.discovery.is_none() && !s.is_unreadable("discovery") {
+            if self.known.targets.is_empty() && !s.is_unreadable("known") {
+                let mend = "set the registry's address, or list the endpoints under 'known'";
+                findings.push(s.finding(
                     "LB0702",
                     "discovery",
-                    "there is neither a registry nor a list of workers",
+                    "there is neither a registry nor an endpoint list",
                     mend,
                 ));
-            } else if self.notices.is_none() && !s.is_spoilt("notices") {
-                let wrong = "nobody would hear of a message that was taken on and not delivered";
-                found.push(s.fault(
+            } else if self.notices.is_none() && !s.is_unreadable("notices") {
+                let wrong = "no notice would be sent for a message that was accepted and not delivered";
+                findings.push(s.finding(
                     "LB0701",
                     "notices",
                     wrong,
-                    "write \"notices\": \"log\", or an address that takes notices",
+                    "set \"notices\": \"log\", or an address that receives notices",
                 ));
             }
         }
     }
 
-    fn class(&self, s: &Source, i: usize, c: &Class, found: &mut Vec<Finding>) {
+    fn class(&self, s: &Source, i: usize, c: &Class, findings: &mut Vec<Finding>) {
         let key = |key: &str| format!("settings.classes[{i}].{key}");
         let name = &c.name;
-        if name.is_empty() && !s.is_spoilt(&key("name")) {
-            found.push(s.fault("LB0006", &key("name"), "the class has no name", "give it one"));
+        if name.is_empty() && !s.is_unreadable(&key("name")) {
+            findings.push(s.finding("LB0006", &key("name"), "the class has no name", "set its name"));
         }
         if !EFFECTS.contains(&c.effect.as_str()) {
-            let wrong = format!("'{}' is no effect", c.effect);
-            found.push(s.fault(
+            let wrong = format!("'{}' is not an effect", c.effect);
+            findings.push(s.finding(
                 "LB0005",
                 &key("effect"),
                 wrong,
-                format!("one of {} is meant", EFFECTS.join(", ")),
+                format!("use one of: {}", EFFECTS.join(", ")),
             ));
         }
         if !["zone", "all"].contains(&c.group.as_str()) {
-            found.push(s.fault(
+            findings.push(s.finding(
                 "LB0005",
                 &key("group"),
-                format!("'{}' is no group", c.group),
-                "write \"zone\" or \"all\"",
+                format!("'{}' is not a group", c.group),
+                "use \"zone\" or \"all\"",
             ));
         }
         let hour = 3_600_000.0;
-        if !s.is_spoilt(&key("deadline")) {
-            between(s, &key("deadline"), c.deadline, 1.0, hour, found);
+        if !s.is_unreadable(&key("deadline")) {
+            check_range(s, &key("deadline"), c.deadline, 1.0, hour, findings);
         }
-        between(s, &key("worth"), c.worth, 0.0, 1_000.0, found);
-        between(s, &key("late_worth"), c.late_worth, 0.0, 1.0, found);
+        check_range(s, &key("worth"), c.worth, 0.0, 1_000.0, findings);
+        check_range(s, &key("late_worth"), c.late_worth, 0.0, 1.0, findings);
         if c.promise.is_some_and(|p| p > c.deadline || p < 0.0) {
-            let f = s.fault(
+            let f = s.finding(
                 "LB0306",
                 &key("promise"),
-                format!("'{name}' is wanted after it is given up"),
-                "let 'deadline' be as long as 'promise' or longer",
+                format!("'promise' of '{name}' is negative or longer than its 'deadline'"),
+                "set 'deadline' to at least 'promise'",
             );
-            found.push(with(f, s.place(&key("deadline")), "the deadline"));
+            findings.push(with_related(f, s.place(&key("deadline")), "the deadline"));
         }
         if c.effect == "deduplicated" && c.window < c.deadline {
             let wrong = format!(
-                "repeats of '{name}' are dropped for {} ms and it may be sent for {} ms",
+                "repeats of '{name}' are dropped for {} ms, but attempts may be made for {} ms",
                 c.window, c.deadline
             );
-            let f =
-                s.fault("LB0303", &key("window"), wrong, "let 'window' be as long as 'deadline' or longer");
-            found.push(with(f, s.place(&key("deadline")), "the deadline"));
+            let f = s.finding("LB0303", &key("window"), wrong, "set 'window' to at least 'deadline'");
+            findings.push(with_related(f, s.place(&key("deadline")), "the deadline"));
         }
         if c.effect == "idempotent" && c.in_order {
-            let wrong = format!(
-                "'{name}' is ordered and may be repeated: a late repeat would undo the message after it"
-            );
-            found.push(s.fault("LB0305", &key("in_order"), wrong, "write false, or another effect"));
+            let wrong =
+                format!("'{name}' is ordered and may be repeated: a late repeat would undo the next message");
+            findings.push(s.finding(
+                "LB0305",
+                &key("in_order"),
+                wrong,
+                "set it to false, or use another effect",
+            ));
         }
         let connect = self.settings.ceilings.connect_timeout;
         if connect >= c.deadline && c.deadline > 0.0 {
-            let wrong = format!(
-                "a connection may take {connect} ms, and '{name}' is given up after {} ms",
-                c.deadline
-            );
-            let f = s.fault(
+            let wrong =
+                format!("connecting may take {connect} ms, but '{name}' is given up after {} ms", c.deadline);
+            let f = s.finding(
                 "LB0501",
                 "settings.ceilings.connect_timeout",
                 wrong,
                 "make it shorter than every deadline",
             );
-            found.push(with(f, s.place(&key("deadline")), "the deadline"));
+            findings.push(with_related(f, s.place(&key("deadline")), "the deadline"));
         }
     }
 
-    fn targets(&self, s: &Source, found: &mut Vec<Finding>) {
+    fn targets(&self, s: &Source, findings: &mut Vec<Finding>) {
         let key = |i: usize, key: &str| format!("known.targets[{i}].{key}");
         let all = || self.known.targets.iter().enumerate();
-        twice(s, "LB0101", "worker", all().map(|(i, t)| (key(i, "uid"), &t.uid)), found);
-        twice(s, "LB0102", "address", all().map(|(i, t)| (key(i, "endpoint"), &t.endpoint)), found);
+        check_duplicates(s, "LB0101", "worker", all().map(|(i, t)| (key(i, "uid"), &t.uid)), findings);
+        check_duplicates(
+            s,
+            "LB0102",
+            "address",
+            all().map(|(i, t)| (key(i, "endpoint"), &t.endpoint)),
+            findings,
+        );
         for (i, t) in all() {
             if t.uid.is_empty() {
-                found.push(s.fault("LB0006", &key(i, "uid"), "the worker has no id", "give it one"));
+                findings.push(s.finding("LB0006", &key(i, "uid"), "the endpoint has no id", "set its id"));
             }
             if let Err(e) = t.endpoint.parse::<crate::units::Target>() {
-                found.push(s.fault(
+                findings.push(s.finding(
                     "LB0005",
                     &key(i, "endpoint"),
                     e,
-                    "write \"ADDRESS:PORT\" or \"mqtt://ADDRESS:PORT/TOPIC\"",
+                    "use \"ADDRESS:PORT\" or \"mqtt://ADDRESS:PORT/TOPIC\"",
                 ));
             }
             if Some(&t.endpoint) == self.listen.as_ref() {
-                let f = s.fault(
+                let f = s.finding(
                     "LB0107",
                     &key(i, "endpoint"),
-                    "the worker is at the address where the dispatcher listens",
-                    "correct either",
+                    "the endpoint has the address at which the dispatcher listens",
+                    "correct one of the addresses",
                 );
-                found.push(with(f, s.place("listen"), "the listener"));
+                findings.push(with_related(f, s.place("listen"), "the listener"));
             }
             if !self.settings.zones.contains(&t.az) {
-                let wrong = format!("the zone '{}' is not one of the settings'", t.az);
-                found.push(s.fault(
+                let wrong = format!("the zone '{}' is not in 'settings.zones'", t.az);
+                findings.push(s.finding(
                     "LB0201",
                     &key(i, "az"),
                     wrong,
-                    "add it to 'settings.zones', or correct it",
+                    "add it to 'settings.zones', or correct its name",
                 ));
             }
             if !self.settings.kinds.contains(&t.model) {
-                let wrong = format!("the kind '{}' is not one of the settings'", t.model);
-                found.push(s.fault(
+                let wrong = format!("the kind '{}' is not in 'settings.kinds'", t.model);
+                findings.push(s.finding(
                     "LB0202",
                     &key(i, "model"),
                     wrong,
-                    "add it to 'settings.kinds', or correct it",
+                    "add it to 'settings.kinds', or correct its name",
                 ));
             }
             if !["in_service", "terminating", "terminated", ""].contains(&t.state.as_str()) {
-                let wrong = format!("'{}' is no state", t.state);
-                found.push(s.fault(
+                let wrong = format!("'{}' is not a state", t.state);
+                findings.push(s.finding(
                     "LB0005",
                     &key(i, "state"),
                     wrong,
-                    "write \"in_service\" or \"terminating\"",
+                    "use \"in_service\" or \"terminating\"",
                 ));
             }
         }
     }
 
-    fn sidecar(&self, s: &Source, c: &Sidecar, found: &mut Vec<Finding>) {
+    fn sidecar(&self, s: &Source, c: &Sidecar, findings: &mut Vec<Finding>) {
         let class = |name: &str| self.settings.classes.iter().position(|c| c.name == name);
         for (i, m) in c.members.iter().enumerate() {
             let key = |key: &str| format!("sidecar.members[{i}].{key}");
             if m.calls == Some(0) || m.connections == Some(0) {
                 let path = key(if m.calls == Some(0) { "calls" } else { "connections" });
-                found.push(s.fault(
+                findings.push(s.finding(
                     "LB0403",
                     &path,
-                    "nothing is allowed",
-                    "write 1 or more, or null for no limit",
+                    "the limit is 0, so nothing could be delivered",
+                    "set it to 1 or more, or to null for no limit",
                 ));
             }
             if m.calls.is_some() {
-                between(s, &key("span"), m.span, 10.0, 7.0 * 86_400_000.0, found);
-                between(s, &key("travel"), m.travel, 0.0, 10_000.0, found);
+                check_range(s, &key("span"), m.span, 10.0, 7.0 * 86_400_000.0, findings);
+                check_range(s, &key("travel"), m.travel, 0.0, 10_000.0, findings);
             }
             for (name, terms) in &m.accepts {
                 let Some(at) = class(name) else { continue };
                 let ours = &self.settings.classes[at];
                 let path = |key: &str| format!("settings.classes[{at}].{key}");
-                let said = s.place(&key(&format!("accepts.{name}")));
-                if allows(&ours.effect) > allows(&terms.effect) {
+                let agreed_at = s.place(&key(&format!("accepts.{name}")));
+                if effect_rank(&ours.effect) > effect_rank(&terms.effect) {
                     let wrong = format!(
-                        "'{name}' is {}, and '{}' allows {} at most",
+                        "'{name}' is {}, but '{}' allows {} at most",
                         ours.effect, m.name, terms.effect
                     );
-                    let f = s.fault("LB0301", &path("effect"), wrong, format!("write \"{}\"", terms.effect));
-                    found.push(with(f, said, "the member's word"));
+                    let f = s.finding("LB0301", &path("effect"), wrong, format!("use \"{}\"", terms.effect));
+                    findings.push(with_related(f, agreed_at, "the destination's terms"));
                 } else if let Some(span) =
                     terms.window.filter(|w| ours.effect == "deduplicated" && ours.window > *w)
                 {
@@ -775,35 +819,34 @@
                         "'{}' drops repeats of '{name}' for {span} ms, not for {} ms",
                         m.name, ours.window
                     );
-                    let f = s.fault("LB0304", &path("window"), wrong, format!("write {span} or less"));
-                    found.push(with(f, said, "the member's word"));
+                    let f = s.finding("LB0304", &path("window"), wrong, format!("set it to {span} or less"));
+                    findings.push(with_related(f, agreed_at, "the destination's terms"));
                 }
             }
         }
         let names =
             c.members.iter().enumerate().map(|(i, m)| (format!("sidecar.members[{i}].dest"), &m.dest));
-        twice(s, "LB0106", "destination", names, found);
+        check_duplicates(s, "LB0106", "destination", names, findings);
         for (i, o) in c.once.iter().enumerate() {
             let path = format!("sidecar.once[{i}].class");
             match class(&o.class).map(|at| &self.settings.classes[at]) {
-                None => found.push(s.fault(
+                None => findings.push(s.finding(
                     "LB0203",
                     &path,
-                    format!("there is no class '{}'", o.class),
+                    format!("no class '{}' is defined", o.class),
                     "correct its name",
                 )),
                 Some(c) if c.effect != "at_most_once" => {
-                    let wrong =
-                        format!("'{}' is never to be repeated, and its effect is {}", c.name, c.effect);
-                    found.push(s.fault("LB0301", &path, wrong, "let its effect be at_most_once"));
+                    let wrong = format!("'{}' must not be repeated, but its effect is {}", c.name, c.effect);
+                    findings.push(s.finding("LB0301", &path, wrong, "set its effect to at_most_once"));
                 }
                 Some(c) if o.remembered < c.deadline => {
                     let path = format!("sidecar.once[{i}].remembered");
-                    found.push(s.fault(
+                    findings.push(s.finding(
                         "LB0308",
                         &path,
-                        "it is forgotten before its deadline",
-                        "let it be as long as the deadline",
+                        "messages of the class are forgotten before their deadline",
+                        "set it to at least the class's deadline",
                     ));
                 }
                 Some(_) => {}
@@ -814,51 +857,63 @@
             let path = move |n| format!("sidecar.cells[{i}].tenants[{n}]");
             c.tenants.iter().enumerate().map(move |(n, t)| (path(n), t))
         });
-        twice(s, "LB0801", "tenant", tenants.clone(), found);
+        check_duplicates(s, "LB0801", "tenant", tenants.clone(), findings);
         for (path, t) in tenants.filter(|(_, t)| !self.settings.tenants.iter().any(|k| k.name == **t)) {
-            found.push(s.fault("LB0204", &path, format!("there is no tenant '{t}'"), "correct its name"));
+            findings.push(s.finding(
+                "LB0204",
+                &path,
+                format!("no tenant '{t}' is defined"),
+                "correct its name",
+            ));
         }
-        twice(
+        check_duplicates(
             s,
             "LB0101",
             "cell",
             cells().map(|(i, c)| (format!("sidecar.cells[{i}].name"), &c.name)),
-            found,
+            findings,
         );
         if let Some(m) = &c.mesh {
-            mesh(s, m, found);
+            check_mesh(s, m, findings);
         }
         for (i, cell) in cells() {
-            between(s, &format!("sidecar.cells[{i}].weight"), cell.weight, 0.001, 1_000.0, found);
+            check_range(s, &format!("sidecar.cells[{i}].weight"), cell.weight, 0.001, 1_000.0, findings);
         }
         if let Some(l) = &c.log {
             if !["text", "json"].contains(&l.format.as_str()) {
-                found.push(s.fault(
+                findings.push(s.finding(
                     "LB0005",
                     "sidecar.log.format",
-                    format!("'{}' is no form", l.format),
-                    "write \"text\" or \"json\"",
+                    format!("'{}' is not a log format", l.format),
+                    "use \"text\" or \"json\"",
                 ));
             }
         }
     }
 }
 
-/// A map in the JSON: the tool has checked the file that it comes from; here it must make sense by itself.
-fn mesh(s: &Source, m: &Mesh, found: &mut Vec<Finding>) {
+/// Checks the cell map in the JSON for consistency with itself. The tool has checked the file that it comes from.
+fn check_mesh(s: &Source, m: &Mesh, findings: &mut Vec<Finding>) {
     let known = |name: &str| m.dispatchers.iter().any(|d| d.name == name);
     if !known(&m.dispatcher) {
-        let wrong = format!("the map has no dispatcher '{}'", m.dispatcher);
-        found.push(s.fault("LB0810", "sidecar.mesh.dispatcher", wrong, "name one of 'dispatchers'"));
+        let wrong = format!("the cell map has no dispatcher '{}'", m.dispatcher);
+        findings.push(s.finding(
+            "LB0810",
+            "sidecar.mesh.dispatcher",
+            wrong,
+            "use the name of one in 'dispatchers'",
+        ));
     }
     for (i, d) in m.dispatchers.iter().enumerate() {
         let own = [("peer", Some(&d.peer)), ("resp", d.resp.as_ref()), ("mqtt", d.mqtt.as_ref())];
         for (key, text) in own.into_iter().filter_map(|(k, t)| Some((k, t?))) {
             if text.parse::<SocketAddr>().is_err() {
-                let (key, wrong) =
-                    (format!("sidecar.mesh.dispatchers[{i}].{key}"), format!("'{text}' is no address"));
-                let mend = "write an IP address with a port: \"127.0.0.1:7301\"";
-                found.push(s.fault("LB0005", &key, wrong, mend));
+                let (key, wrong) = (
+                    format!("sidecar.mesh.dispatchers[{i}].{key}"),
+                    format!("'{text}' is not an address with a port"),
+                );
+                let mend = "use an IP address with a port, such as \"127.0.0.1:7301\"";
+                findings.push(s.finding("LB0005", &key, wrong, mend));
             }
         }
     }
@@ -866,12 +921,12 @@
         let path = move |n| format!("sidecar.mesh.cells[{i}].tenants[{n}]");
         c.tenants.iter().enumerate().map(move |(n, t)| (path(n), t))
     });
-    twice(s, "LB0801", "tenant", tenants, found);
+    check_duplicates(s, "LB0801", "tenant", tenants, findings);
     for (i, c) in m.cells.iter().enumerate() {
-        between(s, &format!("sidecar.mesh.cells[{i}].weight"), c.weight, 0.0, 1_000.0, found);
+        check_range(s, &format!("sidecar.mesh.cells[{i}].weight"), c.weight, 0.0, 1_000.0, findings);
         for (n, d) in c.dispatchers.iter().enumerate().filter(|(_, d)| !known(d)) {
-            let wrong = format!("there is no dispatcher '{d}'");
-            found.push(s.fault(
+            let wrong = format!("no dispatcher '{d}' is defined");
+            findings.push(s.finding(
                 "LB0806",
                 &format!("sidecar.mesh.cells[{i}].dispatchers[{n}]"),
                 wrong,
--- a/crates/settings/src/set.rs
+++ b/crates/settings/src/set.rs
@@ -1,4 +1,4 @@
-//! Files that are checked together: applications, and the agreements that they use.
+//! Loads files that are checked together: applications, and the agreements and cell maps that they name.
 
 use crate::agreement::Agreement;
 use crate::application::{Application, Use};
@@ -7,116 +7,127 @@
 use std::collections::BTreeMap;
 use std::path::{Component, Path, PathBuf};
 
-/// Reads a file's text; the host does it, so that nothing here opens any.
+/// Reads the text of a file. The caller supplies it, because this crate does no I/O.
 pub type ReadFile<'a> = &'a dyn Fn(&str) -> std::io::Result<String>;
 
-/// An application's file.
+/// An application's settings file.
 #[derive(Debug, Clone)]
-pub struct AppFile {
-    /// Its name.
+pub struct ApplicationFile {
+    /// The path of the file.
     pub file: String,
-    /// What stands in it.
+    /// The content of the file.
     pub record: Application,
-    /// For each of its uses the file of the agreement, if it could be read.
+    /// For each of its uses, the path of the agreement, if it could be read.
     pub agreements: Vec<Option<String>>,
-    /// The cell map that it names, if it could be read.
-    pub map: Option<crate::cellmap::Read>,
+    /// The cell map that the application names, if it could be read.
+    pub map: Option<crate::cellmap::LoadedMap>,
 }
 
-/// Files that were read together.
+/// Files that were loaded together.
 #[derive(Debug, Default)]
-pub struct Set {
-    /// All of them, by name.
+pub struct FileSet {
+    /// All files except cell maps, by path.
     pub sources: BTreeMap<String, Source>,
-    /// The applications, in the order in which they were given.
-    pub apps: Vec<AppFile>,
-    /// The agreements, by file.
+    /// The applications, in the order given.
+    pub apps: Vec<ApplicationFile>,
+    /// The agreements, by path.
     pub agreements: BTreeMap<String, Agreement>,
 }
 
-/// A use of a member by an application, with all that belongs to it.
+/// An application's use of a destination, together with the agreement that it names.
 #[derive(Debug, Clone, Copy)]
-pub struct Used<'a> {
-    /// The application's file.
-    pub app: &'a AppFile,
-    /// Its source.
+pub struct ResolvedUse<'a> {
+    /// The application.
+    pub app: &'a ApplicationFile,
+    /// The source of the application's file.
     pub source: &'a Source,
-    /// Which of its uses.
-    pub at: usize,
-    /// The use.
-    pub used: &'a Use,
-    /// The agreement's source.
-    pub terms: &'a Source,
+    /// The index in the application's `uses`.
+    pub index: usize,
+    /// The entry in the application's `uses`.
+    pub entry: &'a Use,
+    /// The source of the agreement's file.
+    pub agreement_source: &'a Source,
     /// The agreement.
     pub agreement: &'a Agreement,
 }
 
-impl Used<'_> {
-    /// The path of a key of this use.
-    pub fn key(&self, key: &str) -> String {
-        format!("uses[{}].{key}", self.at)
+impl ResolvedUse<'_> {
+    /// The path of a key of this use, such as `uses[0].share`.
+    pub fn key_path(&self, key: &str) -> String {
+        format!("uses[{}].{key}", self.index)
     }
 
-    /// Its application's name.
-    pub fn name(&self) -> &str {
+    /// The application's name; its file's path if it has none.
+    pub fn application_name(&self) -> &str {
         self.app.record.application.as_ref().map_or(self.app.file.as_str(), |n| n)
     }
 
-    /// Its member's name.
-    pub fn member(&self) -> &str {
-        self.agreement.member.as_ref().map_or(self.terms.file.as_str(), |n| n)
+    /// The destination's name; its agreement's path if it has none.
+    pub fn destination_name(&self) -> &str {
+        self.agreement.member.as_ref().map_or(self.agreement_source.file.as_str(), |n| n)
     }
 
-    /// Is the endpoint among those used?
-    pub fn takes(&self, id: &str) -> bool {
-        self.used.endpoints.as_ref().is_none_or(|e| e.iter().any(|n| n.0 == id))
+    /// Whether the application uses the endpoint with this id.
+    pub fn uses_endpoint(&self, id: &str) -> bool {
+        self.entry.endpoints.as_ref().is_none_or(|e| e.iter().any(|n| n.0 == id))
     }
 }
 
-impl Set {
-    /// The uses of an application whose agreement could be read.
-    pub fn uses<'a>(&'a self, app: &'a AppFile) -> impl Iterator<Item = Used<'a>> + 'a {
+impl FileSet {
+    /// The uses of an application, without those whose agreement could not be read.
+    pub fn resolved_uses<'a>(
+        &'a self,
+        app: &'a ApplicationFile,
+    ) -> impl Iterator<Item = ResolvedUse<'a>> + 'a {
         let source = &self.sources[&app.file];
-        app.agreements.iter().enumerate().filter_map(move |(at, file)| {
+        app.agreements.iter().enumerate().filter_map(move |(index, file)| {
             let file = file.as_ref()?;
             let agreement = self.agreements.get(file)?;
-            Some(Used { app, source, at, used: &app.record.uses[at], terms: &self.sources[file], agreement })
+            Some(ResolvedUse {
+                app,
+                source,
+                index,
+                entry: &app.record.uses[index],
+                agreement_source: &self.sources[file],
+                agreement,
+            })
         })
     }
 
-    /// The texts, for showing findings.
+    /// The texts of all files by path, for rendering findings.
     pub fn texts(&self) -> BTreeMap<String, String> {
         let own = self.sources.iter().map(|(file, s)| (file.clone(), s.text.clone()));
         let maps = self.apps.iter().filter_map(|a| a.map.as_ref()).flat_map(|m| m.texts());
         maps.chain(own).collect()
     }
 
-    /// Reads files and the agreements that they name. All faults of form go to `found`.
-    pub fn load(files: &[String], read: ReadFile, found: &mut Vec<Finding>) -> Set {
-        let mut set = Set::default();
+    /// Reads files, and the agreements and cell maps that they name. Syntax errors, unknown keys and unreadable values
+    /// are added to `findings`.
+    pub fn load(files: &[String], read: ReadFile, findings: &mut Vec<Finding>) -> FileSet {
+        let mut set = FileSet::default();
         for file in files {
             if set.sources.contains_key(file) {
                 continue;
             }
-            let Some(mut source) = open(file, read, found, None) else { continue };
+            let Some(mut source) = open_source(file, read, findings, None) else { continue };
             let has = |key: &str| source.tree.get(key).is_some();
-            // Either names itself; where that line is what is missing, the other keys tell.
+            // A file is an application or an agreement; the keys beside the name decide where the name is missing.
             if has("application") || has("uses") || has("listen") {
-                let record: Application = source.read(found);
+                let record: Application = source.read(findings);
                 let agreements = vec![None; record.uses.len()];
-                set.apps.push(AppFile { file: file.clone(), record, agreements, map: None });
+                set.apps.push(ApplicationFile { file: file.clone(), record, agreements, map: None });
             } else if has("member") || has("endpoints") || has("limit") {
-                let record = source.read(found);
+                let record = source.read(findings);
                 set.agreements.insert(file.clone(), record);
-            } else if source.tree.as_object().is_some_and(|t| t.is_empty()) && !found.is_empty() {
-                // That it could not be read was said already.
+            } else if source.tree.as_object().is_some_and(|t| t.is_empty()) && !findings.is_empty() {
+                // The file could not be read, and has a finding for it already.
             } else {
                 let mend =
-                    "an application begins with application = \"NAME\", an agreement with member = \"NAME\"";
-                found.push(source.fault(
+                    "start an application with application = \"NAME\", or an agreement with member = \"NAME\"";
+                findings.push(source.finding(
                     "LB0003",
                     "",
-                    "this is neither an application nor an agreement",
+                    "the file is neither an application nor an agreement",
                     mend,
                 ));
             }
@@ -124,59 +135,59 @@
         }
         let mut apps = std::mem::take(&mut set.apps);
         for app in &mut apps {
-            for at in 0..app.record.uses.len() {
-                app.agreements[at] = set.agreement_of(app, at, read, found);
+            for index in 0..app.record.uses.len() {
+                app.agreements[index] = set.load_agreement(app, index, read, findings);
             }
-            app.map = set.map_of(app, read, found);
+            app.map = set.load_map(app, read, findings);
         }
         set.apps = apps;
         set
     }
 
-    fn map_of(
+    fn load_map(
         &self,
-        app: &AppFile,
+        app: &ApplicationFile,
         read: ReadFile,
-        found: &mut Vec<Finding>,
-    ) -> Option<crate::cellmap::Read> {
+        findings: &mut Vec<Finding>,
+    ) -> Option<crate::cellmap::LoadedMap> {
         let named = app.record.mesh.as_ref()?.map.as_ref()?;
-        let file = beside(&app.file, named);
-        match crate::cellmap::Read::load(&file, read, found) {
+        let file = resolve_path(&app.file, named);
+        match crate::cellmap::LoadedMap::load(&file, read, findings) {
             Ok(map) => Some(map),
             Err(e) => {
                 let wrong = format!("'{file}' cannot be read: {e}");
                 let mend =
-                    "name a file that is there; paths are taken from the folder of the file that names them";
-                found.push(self.sources[&app.file].fault("LB0001", "mesh.map", wrong, mend));
+                    "name a file that exists; paths are relative to the folder of the file that names them";
+                findings.push(self.sources[&app.file].finding("LB0001", "mesh.map", wrong, mend));
                 None
             }
         }
     }
 
-    fn agreement_of(
+    fn load_agreement(
         &mut self,
-        app: &AppFile,
-        at: usize,
+        app: &ApplicationFile,
+        index: usize,
         read: ReadFile,
-        found: &mut Vec<Finding>,
+        findings: &mut Vec<Finding>,
     ) -> Option<String> {
-        let named = app.record.uses[at].agreement.as_ref()?;
-        let file = beside(&app.file, named);
+        let named = app.record.uses[index].agreement.as_ref()?;
+        let file = resolve_path(&app.file, named);
         if !self.sources.contains_key(&file) {
-            let place = self.sources[&app.file].place(&format!("uses[{at}].agreement"));
-            let mut source = open(&file, read, found, Some(place))?;
-            let record = source.read(found);
+            let place = self.sources[&app.file].place(&format!("uses[{index}].agreement"));
+            let mut source = open_source(&file, read, findings, Some(place))?;
+            let record = source.read(findings);
             self.agreements.insert(file.clone(), record);
             self.sources.insert(file.clone(), source);
         }
         if !self.agreements.contains_key(&file) {
             let source = &self.sources[&app.file];
             let wrong = format!("'{file}' is not an agreement");
-            found.push(source.fault(
+            findings.push(source.finding(
                 "LB0003",
-                &format!("uses[{at}].agreement"),
+                &format!("uses[{index}].agreement"),
                 wrong,
-                "name the member's file",
+                "set the path of a destination's agreement",
             ));
             return None;
         }
@@ -184,27 +195,32 @@
     }
 }
 
-/// A file's path, as seen from the folder of another file.
-pub fn beside(file: &str, named: &str) -> String {
+/// Resolves the path `named` relative to the folder of `file`, without access to the disk.
+pub fn resolve_path(file: &str, named: &str) -> String {
     let folder = Path::new(file).parent().unwrap_or(Path::new(""));
-    let mut clean = PathBuf::new();
+    let mut resolved = PathBuf::new();
     for part in folder.join(named).components() {
         match part {
             Component::CurDir => {}
-            Component::ParentDir if clean.file_name().is_some() => {
-                clean.pop();
+            Component::ParentDir if resolved.file_name().is_some() => {
+                resolved.pop();
             }
-            other => clean.push(other),
+            other => resolved.push(other),
         }
     }
-    clean.display().to_string()
+    resolved.display().to_string()
 }
 
-fn open(file: &str, read: ReadFile, found: &mut Vec<Finding>, named: Option<Place>) -> Option<Source> {
+fn open_source(
+    file: &str,
+    read: ReadFile,
+    findings: &mut Vec<Finding>,
+    named: Option<Place>,
+) -> Option<Source> {
     match read(file) {
-        Ok(text) => Some(Source::toml(file, &text, found)),
+        Ok(text) => Some(Source::toml(file, &text, findings)),
         Err(e) => {
-            let nowhere = Place {
+            let start_of_file = Place {
                 file: file.into(),
                 line: 1,
                 column: 1,
@@ -212,14 +228,13 @@
                 says: String::new(),
                 span: 0..0,
             };
-            found.push(Finding {
+            findings.push(Finding {
                 code: "LB0001",
                 severity: Severity::Error,
-                place: named.unwrap_or(nowhere),
+                place: named.unwrap_or(start_of_file),
                 wrong: format!("'{file}' cannot be read: {e}"),
-                mend:
-                    "name a file that is there; paths are taken from the folder of the file that names them"
-                        .into(),
+                mend: "name a file that exists; paths are relative to the folder of the file that names them"
+                    .into(),
                 with: Vec::new(),
             });
             None
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,7 +1,8 @@
-//! A file as it was read: its values as a tree, and where each of them stands.
+//! A parsed file: its values as a tree, and the position of each key and value.
 //!
-//! TOML and JSON files become the same tree, so that one path reads and checks both. [`Source::read`] reads a record out
-//! of the tree and does not stop at the first fault: what cannot be read is reported, taken out, and the rest read.
+//! TOML and JSON files become the same tree, so that the same code reads and checks both. [`Source::read`] deserializes
+//! a record from the tree and does not stop at the first error: a value that cannot be read is reported and removed, and
+//! the remaining values are read.
 
 use crate::finding::{Finding, Place, Severity};
 use jsonc_parser::ast;
@@ -12,27 +13,28 @@
 use std::ops::Range;
 use toml::de::{DeTable, DeValue};
 
-/// More faults than this in one file are not looked for: the file is something else.
-const FAULTS_MOST: usize = 200;
+/// The most unreadable values that are reported for one file. A file with more of them is probably of another kind.
+const MAX_FAULTS: usize = 200;
 
-/// A file that was read.
+/// A parsed file with the positions of its keys and values.
 #[derive(Debug, Clone)]
 pub struct Source {
-    /// Its name, for those who read.
+    /// The path of the file, as shown in findings.
     pub file: String,
-    /// Its text.
+    /// The text of the file.
     pub text: String,
-    /// Its values.
+    /// The values of the file.
     pub tree: Value,
-    /// Where the keys are, by path.
-    keys: BTreeMap<String, Range<usize>>,
-    /// Where the values are, by path.
-    values: BTreeMap<String, Range<usize>>,
-    /// Paths at which something could not be read: they are not missing, too.
-    spoilt: BTreeSet<String>,
+    /// The byte ranges of keys, by path.
+    key_spans: BTreeMap<String, Range<usize>>,
+    /// The byte ranges of values, by path.
+    value_spans: BTreeMap<String, Range<usize>>,
+    /// Paths of values that could not be read; these are not also reported as missing.
+    unreadable_paths: BTreeSet<String>,
 }
 
-fn below(path: &str, key: &str) -> String {
+/// The path of a key inside the value at `path`.
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_string()
     } else {
@@ -46,29 +48,29 @@
             file: file.into(),
             text: text.into(),
             tree: Value::Object(Map::new()),
-            keys: BTreeMap::new(),
-            values: BTreeMap::new(),
-            spoilt: BTreeSet::new(),
+            key_spans: BTreeMap::new(),
+            value_spans: BTreeMap::new(),
+            unreadable_paths: BTreeSet::new(),
         }
     }
 
-    /// Reads TOML.
-    pub fn toml(file: &str, text: &str, found: &mut Vec<Finding>) -> Source {
+    /// Parses TOML; syntax errors are added to `findings`.
+    pub fn toml(file: &str, text: &str, findings: &mut Vec<Finding>) -> Source {
         let mut s = Source::empty(file, text);
         let (table, errors) = DeTable::parse_recoverable(text);
         for e in &errors {
             let span = e.span().unwrap_or(0..0);
-            let double = e.message().contains("duplicate key");
-            let mend = match double {
-                true => "leave one of the two out",
-                false => "write it as TOML: key = value, texts in quotes",
+            let duplicate_key = e.message().contains("duplicate key");
+            let mend = match duplicate_key {
+                true => "remove one of the two",
+                false => "use TOML: key = value, with strings in quotes",
             };
-            let place = s.at(span, "");
-            found.push(Finding {
+            let place = s.place_at(span, "");
+            findings.push(Finding {
                 code: "LB0002",
                 severity: Severity::Error,
                 place,
-                wrong: format!("this is not TOML: {}", e.message().trim()),
+                wrong: format!("invalid TOML: {}", e.message().trim()),
                 mend: mend.into(),
                 with: Vec::new(),
             });
@@ -80,9 +82,9 @@
     fn toml_table(&mut self, path: &str, table: &DeTable) -> Value {
         let mut map = Map::new();
         for (key, value) in table {
-            let at = below(path, key.get_ref());
-            self.keys.insert(at.clone(), key.span());
-            self.values.insert(at.clone(), value.span());
+            let at = join_path(path, key.get_ref());
+            self.key_spans.insert(at.clone(), key.span());
+            self.value_spans.insert(at.clone(), value.span());
             map.insert(key.get_ref().to_string(), self.toml_value(&at, value.get_ref()));
         }
         Value::Object(map)
@@ -106,7 +108,7 @@
                 let mut all = Vec::new();
                 for (i, item) in items.iter().enumerate() {
                     let at = format!("{path}[{i}]");
-                    self.values.insert(at.clone(), item.span());
+                    self.value_spans.insert(at.clone(), item.span());
                     all.push(self.toml_value(&at, item.get_ref()));
                 }
                 Value::Array(all)
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Reads JSON.
-    pub fn json(file: &str, text: &str, found: &mut Vec<Finding>) -> Source {
+    /// Parses JSON; syntax errors and duplicate keys are added to `findings`.
+    pub fn json(file: &str, text: &str, findings: &mut Vec<Finding>) -> Source {
         let mut s = Source::empty(file, text);
         let strict = jsonc_parser::ParseOptions {
             allow_comments: false,
@@ -126,26 +128,26 @@
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &strict);
         let (span, wrong) = match parsed.map(|p| p.value) {
             Ok(Some(value @ ast::Value::Object(_))) => {
-                s.tree = s.json_value("", &value, found);
+                s.tree = s.json_value("", &value, findings);
                 return s;
             }
             Ok(Some(value)) => (value.start()..value.end(), "an object was expected".to_string()),
-            Ok(None) => (0..0, "it is empty".to_string()),
+            Ok(None) => (0..0, "the file is empty".to_string()),
             Err(e) => (e.range().start..e.range().end, e.kind().to_string()),
         };
-        let place = s.at(span, "");
-        found.push(Finding {
+        let place = s.place_at(span, "");
+        findings.push(Finding {
             code: "LB0002",
             severity: Severity::Error,
             place,
-            wrong: format!("this is not the JSON of a dispatcher: {wrong}"),
-            mend: "write it anew by 'lilacbank app render'".into(),
+            wrong: format!("invalid JSON for a dispatcher: {wrong}"),
+            mend: "write it again with 'lilacbank app render'".into(),
             with: Vec::new(),
         });
         s
     }
 
-    fn json_value(&mut self, path: &str, value: &ast::Value, found: &mut Vec<Finding>) -> Value {
+    fn json_value(&mut self, path: &str, value: &ast::Value, findings: &mut Vec<Finding>) -> Value {
         match value {
             ast::Value::StringLit(s) => Value::String(s.value.to_string()),
             ast::Value::NumberLit(n) => serde_json::from_str(n.value).unwrap_or(Value::Null),
@@ -155,38 +157,39 @@
                 let mut all = Vec::new();
                 for (i, item) in a.elements.iter().enumerate() {
                     let at = format!("{path}[{i}]");
-                    self.values.insert(at.clone(), item.start()..item.end());
-                    all.push(self.json_value(&at, item, found));
+                    self.value_spans.insert(at.clone(), item.start()..item.end());
+                    all.push(self.json_value(&at, item, findings));
                 }
                 Value::Array(all)
             }
             ast::Value::Object(o) => {
                 let mut map = Map::new();
                 for p in &o.properties {
-                    let at = below(path, p.name.as_str());
+                    let at = join_path(path, p.name.as_str());
                     let key = p.name.start()..p.name.end();
-                    if let Some(first) = self.keys.get(&at).cloned() {
-                        let with = vec![Place { says: "first here".into(), ..self.at(first, &at) }];
-                        found.push(Finding {
+                    if let Some(first) = self.key_spans.get(&at).cloned() {
+                        let with =
+                            vec![Place { says: "first defined here".into(), ..self.place_at(first, &at) }];
+                        findings.push(Finding {
                             code: "LB0002",
                             severity: Severity::Error,
-                            place: self.at(key.clone(), &at),
-                            wrong: format!("the key '{at}' is there twice"),
-                            mend: "leave one of the two out".into(),
+                            place: self.place_at(key.clone(), &at),
+                            wrong: format!("the key '{at}' is defined more than once"),
+                            mend: "remove one of the two".into(),
                             with,
                         });
                     }
-                    self.keys.insert(at.clone(), key);
-                    self.values.insert(at.clone(), p.value.start()..p.value.end());
-                    map.insert(p.name.as_str().to_string(), self.json_value(&at, &p.value, found));
+                    self.key_spans.insert(at.clone(), key);
+                    self.value_spans.insert(at.clone(), p.value.start()..p.value.end());
+                    map.insert(p.name.as_str().to_string(), self.json_value(&at, &p.value, findings));
                 }
                 Value::Object(map)
             }
         }
     }
 
-    /// A place by bytes.
-    fn at(&self, span: Range<usize>, key: &str) -> Place {
+    /// The place of a byte range.
+    fn place_at(&self, span: Range<usize>, key: &str) -> Place {
         let start = span.start.min(self.text.len());
         let before = self.text.get(..start).unwrap_or("");
         let line = before.matches('\n').count() + 1;
@@ -194,19 +197,19 @@
         Place { file: self.file.clone(), line, column, key: key.into(), says: String::new(), span }
     }
 
-    /// Where a value stands; where there is none, the nearest that is above it.
+    /// The place of the value at `path`, or of its nearest ancestor if there is none.
     pub fn place(&self, path: &str) -> Place {
         let mut at = path.to_string();
         loop {
-            if let Some(span) = self.values.get(&at) {
-                // Tables reach over many lines: their key is the place.
+            if let Some(span) = self.value_spans.get(&at) {
+                // A value of several lines, such as a table, is marked at its key.
                 let wide = self.text.get(span.clone()).is_some_and(|t| t.contains('\n'));
-                let span = if wide { self.keys.get(&at).unwrap_or(span) } else { span };
-                return self.at(span.clone(), path);
+                let span = if wide { self.key_spans.get(&at).unwrap_or(span) } else { span };
+                return self.place_at(span.clone(), path);
             }
             match at.rfind(['.', '[']) {
                 Some(cut) => at.truncate(cut),
-                None => return self.at(0..self.first_line(), path),
+                None => return self.place_at(0..self.first_line(), path),
             }
         }
     }
@@ -215,21 +218,21 @@
         self.text.find('\n').unwrap_or(self.text.len())
     }
 
-    /// Was the key written, readable or not?
+    /// Whether the file has the key, with a readable value or not.
     pub fn has(&self, path: &str) -> bool {
-        self.values.contains_key(path)
+        self.value_spans.contains_key(path)
     }
 
-    /// Could something at, above or below the path not be read? Then its absence says nothing.
-    pub fn is_spoilt(&self, path: &str) -> bool {
-        let under = |a: &str, b: &str| {
+    /// Whether a value at, above or below the path could not be read. Its absence is no error of its own then.
+    pub fn is_unreadable(&self, path: &str) -> bool {
+        let is_within = |a: &str, b: &str| {
             a.strip_prefix(b).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
         };
-        self.spoilt.iter().any(|s| under(path, s) || under(s, path))
+        self.unreadable_paths.iter().any(|s| is_within(path, s) || is_within(s, path))
     }
 
-    /// A fault at a path.
-    pub fn fault(
+    /// Makes a finding of severity error at a path.
+    pub fn finding(
         &self,
         code: &'static str,
         path: &str,
@@ -241,10 +244,10 @@
         Finding { code, severity: Severity::Error, place, wrong, mend, with: Vec::new() }
     }
 
-    /// Reads a record; each part that cannot be read is reported and left out.
-    pub fn read<T: DeserializeOwned + Default>(&mut self, found: &mut Vec<Finding>) -> T {
+    /// Deserializes a record; each value that cannot be read is reported and left at its default.
+    pub fn read<T: DeserializeOwned + Default>(&mut self, findings: &mut Vec<Finding>) -> T {
         let mut tree = self.tree.clone();
-        for _ in 0..FAULTS_MOST {
+        for _ in 0..MAX_FAULTS {
             let error = match serde_path_to_error::deserialize::<_, T>(&tree) {
                 Ok(record) => return record,
                 Err(e) => e,
@@ -252,18 +255,18 @@
             let path = error.path().to_string();
             let path = if path == "." { String::new() } else { path };
             let message = error.into_inner().to_string();
-            // An unknown key's own name is in the message where the path ends above it.
+            // For an unknown key the path may end at its parent; the message has the name of the key.
             let unknown = message.strip_prefix("unknown field `").and_then(|m| m.split('`').next());
             let path = match unknown {
-                Some(key) if !path.ends_with(key) || !has_path(&tree, &path) => below(&path, key),
+                Some(key) if !path.ends_with(key) || !has_path(&tree, &path) => join_path(&path, key),
                 _ => path,
             };
-            found.push(match unknown {
+            findings.push(match unknown {
                 Some(key) => self.unknown_key(&path, key, &message),
-                None => self.unreadable(&path, &message),
+                None => self.unreadable_value(&path, &message),
             });
-            self.spoilt.insert(path.clone());
-            if path.is_empty() || !take_out(&mut tree, &path) {
+            self.unreadable_paths.insert(path.clone());
+            if path.is_empty() || !remove_value(&mut tree, &path) {
                 break;
             }
         }
@@ -272,38 +275,40 @@
 
     fn unknown_key(&self, path: &str, key: &str, message: &str) -> Finding {
         let known: Vec<&str> = message.split('`').skip(3).step_by(2).collect();
-        let near = known.iter().map(|k| (distance(key, k), *k)).min().filter(|n| n.0 <= 2 + key.len() / 4);
+        let near =
+            known.iter().map(|k| (edit_distance(key, k), *k)).min().filter(|n| n.0 <= 2 + key.len() / 4);
         let mend = match near {
             Some((_, k)) => format!("did you mean '{k}'?"),
-            None if known.is_empty() => "leave it out".into(),
-            None => format!("known here are: {}", known.join(", ")),
+            None if known.is_empty() => "remove it".into(),
+            None => format!("use one of: {}", known.join(", ")),
         };
-        let span = self.keys.get(path).cloned();
-        let place = span.map_or_else(|| self.place(path), |s| self.at(s, path));
-        let wrong = format!("the key '{key}' is not known here");
+        let span = self.key_spans.get(path).cloned();
+        let place = span.map_or_else(|| self.place(path), |s| self.place_at(s, path));
+        let wrong = format!("unknown key '{key}'");
         Finding { code: "LB0004", severity: Severity::Error, place, wrong, mend, with: Vec::new() }
     }
 
-    fn unreadable(&self, path: &str, message: &str) -> Finding {
+    fn unreadable_value(&self, path: &str, message: &str) -> Finding {
         let kind = path.ends_with("kind") && message.starts_with("unknown variant");
         let (code, mend) = match message.strip_prefix("unknown variant `") {
             Some(rest) => {
                 let known: Vec<&str> = rest.split('`').skip(2).step_by(2).collect();
-                (if kind { "LB0202" } else { "LB0005" }, format!("one of {} is meant", known.join(", ")))
+                (if kind { "LB0202" } else { "LB0005" }, format!("use one of: {}", known.join(", ")))
             }
-            None => ("LB0005", "write a value of the kind that 'lilacbank schema' tells for this key".into()),
+            None => ("LB0005", "use a value of the type that 'lilacbank schema' prints for this key".into()),
         };
         let what = if path.is_empty() { "the file".to_string() } else { format!("'{path}'") };
-        self.fault(code, path, format!("{what} cannot be read: {message}"), mend)
+        self.finding(code, path, format!("{what} cannot be read: {message}"), mend)
     }
 }
 
-/// The steps of a path: keys and numbers.
-fn steps(path: &str) -> Vec<&str> {
+/// Splits a path into its keys and indices.
+fn path_steps(path: &str) -> Vec<&str> {
     path.split(['.', '[']).map(|s| s.trim_end_matches(']')).filter(|s| !s.is_empty()).collect()
 }
 
-fn step<'a>(value: &'a mut Value, name: &str) -> Option<&'a mut Value> {
+/// The value at a key of an object, or at an index of an array.
+fn child_mut<'a>(value: &'a mut Value, name: &str) -> Option<&'a mut Value> {
     match value {
         Value::Object(map) => map.get_mut(name),
         Value::Array(items) => items.get_mut(name.parse::<usize>().ok()?),
@@ -311,9 +316,10 @@
     }
 }
 
+/// Whether the tree has a value at the path.
 fn has_path(tree: &Value, path: &str) -> bool {
     let mut at = tree;
-    for name in steps(path) {
+    for name in path_steps(path) {
         let next = match at {
             Value::Object(map) => map.get(name),
             Value::Array(items) => name.parse::<usize>().ok().and_then(|i| items.get(i)),
@@ -327,16 +333,16 @@
     true
 }
 
-/// Takes a value out of the tree. An item of a list becomes null, so that those behind it keep their places; a null
-/// that cannot be read either takes the whole list with it.
-fn take_out(tree: &mut Value, path: &str) -> bool {
-    let all = steps(path);
+/// Removes a value from the tree. An array item that is an object becomes an empty object, so that later items keep
+/// their indices; for any other item the whole array is removed.
+fn remove_value(tree: &mut Value, path: &str) -> bool {
+    let all = path_steps(path);
     let Some((last, above)) = all.split_last() else { return false };
     let mut at = &mut *tree;
     for name in above {
-        match step(at, name) {
+        match child_mut(at, name) {
             Some(next) => at = next,
-            None => return take_out(tree, &path[..path.rfind(['.', '[']).unwrap_or(0)]),
+            None => return remove_value(tree, &path[..path.rfind(['.', '[']).unwrap_or(0)]),
         }
     }
     match at {
@@ -346,15 +352,15 @@
                 *item = Value::Object(Map::new());
                 true
             }
-            Some(_) => take_out(tree, &path[..path.rfind('[').unwrap_or(0)]),
+            Some(_) => remove_value(tree, &path[..path.rfind('[').unwrap_or(0)]),
             None => false,
         },
-        _ => take_out(tree, &path[..path.rfind(['.', '[']).unwrap_or(0)]),
+        _ => remove_value(tree, &path[..path.rfind(['.', '[']).unwrap_or(0)]),
     }
 }
 
-/// Letters to change, add or leave out between two words.
-fn distance(a: &str, b: &str) -> usize {
+/// The edit distance of two words: how many characters to replace, insert or delete.
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -1,4 +1,4 @@
-//! Values that bear their unit. Each is written as one text, read by one function and shown the same way.
+//! Values with units. Each type is written as one string; parsing and formatting are inverse to each other.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{Deserialize, Serialize};
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Makes a type read from and written as a text; the pattern is what its schema tells.
-macro_rules! textual {
+/// Implements conversion from and to strings, and a schema with the given pattern and description.
+macro_rules! string_type {
     ($type:ident, $pattern:expr, $about:expr) => {
         impl TryFrom<String> for $type {
             type Error = String;
@@ -32,16 +32,16 @@
     };
 }
 
-/// Splits a number from the unit behind it.
-fn split(text: &str) -> Result<(f64, &str), String> {
+/// Splits a string into a number and the unit that follows it.
+fn split_unit(text: &str) -> Result<(f64, &str), String> {
     let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (digits, unit) = text.split_at(at);
     let number = digits.parse::<f64>().map_err(|_| format!("'{text}' does not begin with a number"))?;
     Ok((number, unit.trim()))
 }
 
-/// A number without needless digits.
-fn plain(n: f64) -> String {
+/// Formats a number with up to 6 decimals, without trailing zeros.
+fn format_number(n: f64) -> String {
     let text = format!("{n:.6}");
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
@@ -51,20 +51,21 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Span(pub f64);
 
-const SPANS: [(&str, f64); 5] =
+/// Units of time and their lengths in milliseconds, the longest first.
+const SPAN_UNITS_MS: [(&str, f64); 5] =
     [("d", 86_400_000.0), ("h", 3_600_000.0), ("min", 60_000.0), ("s", 1_000.0), ("ms", 1.0)];
-/// A span is at most a year: longer ones are slips of the pen.
-const SPAN_MOST: f64 = 366.0 * 86_400_000.0;
+/// The longest span, in milliseconds: 366 days. A longer one is assumed to be a typing error.
+const MAX_SPAN_MS: f64 = 366.0 * 86_400_000.0;
 
 impl FromStr for Span {
     type Err = String;
     fn from_str(text: &str) -> Result<Span, String> {
-        let (n, unit) = split(text)?;
-        let scale = SPANS.iter().find(|s| s.0 == unit).map(|s| s.1);
-        let scale =
-            scale.ok_or_else(|| format!("'{text}' has no unit of time; write it as \"1500ms\" or \"2s\""))?;
+        let (n, unit) = split_unit(text)?;
+        let scale = SPAN_UNITS_MS.iter().find(|s| s.0 == unit).map(|s| s.1);
+        let scale = scale
+            .ok_or_else(|| format!("'{text}' has no unit of time; write it like \"1500ms\" or \"2s\""))?;
         let ms = n * scale;
-        if ms > SPAN_MOST {
+        if ms > MAX_SPAN_MS {
             return Err(format!("'{text}' is longer than a year"));
         }
         Ok(Span(ms))
@@ -74,19 +75,20 @@
 impl fmt::Display for Span {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let whole = |scale: f64| self.0 >= scale && (self.0 / scale).fract() == 0.0;
-        let (unit, scale) = SPANS.into_iter().find(|s| whole(s.1)).unwrap_or(("ms", 1.0));
-        write!(f, "{}{unit}", plain(self.0 / scale))
+        let (unit, scale) = SPAN_UNITS_MS.into_iter().find(|s| whole(s.1)).unwrap_or(("ms", 1.0));
+        write!(f, "{}{unit}", format_number(self.0 / scale))
     }
 }
 
-textual!(Span, r"^[0-9]+(\.[0-9]+)?(ms|s|min|h|d)$", "a span of time, such as \"1500ms\" or \"2s\"");
+string_type!(Span, r"^[0-9]+(\.[0-9]+)?(ms|s|min|h|d)$", "a span of time, such as \"1500ms\" or \"2s\"");
 
-/// An amount of bytes.
+/// A size, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Size(pub u64);
 
-const SIZES: [(&str, f64); 7] = [
+/// Units of size and their bytes, the largest first.
+const SIZE_UNITS_BYTES: [(&str, f64); 7] = [
     ("GiB", 1_073_741_824.0),
     ("GB", 1e9),
     ("MiB", 1_048_576.0),
@@ -99,11 +101,12 @@
 impl FromStr for Size {
     type Err = String;
     fn from_str(text: &str) -> Result<Size, String> {
-        let (n, unit) = split(text)?;
-        let scale = SIZES.iter().find(|s| s.0 == unit).map(|s| s.1);
-        let scale = scale.ok_or_else(|| format!("'{text}' has no unit; write it as \"64KiB\" or \"3MB\""))?;
+        let (n, unit) = split_unit(text)?;
+        let scale = SIZE_UNITS_BYTES.iter().find(|s| s.0 == unit).map(|s| s.1);
+        let scale = scale
+            .ok_or_else(|| format!("'{text}' has no unit of size; write it like \"64KiB\" or \"3MB\""))?;
         if n * scale > 1e15 {
-            return Err(format!("'{text}' is more than any machine has"));
+            return Err(format!("'{text}' is larger than 1000 TB"));
         }
         Ok(Size((n * scale) as u64))
     }
@@ -113,32 +116,33 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let n = self.0 as f64;
         let whole = |scale: f64| n >= scale && (n / scale).fract() == 0.0;
-        let (unit, scale) = SIZES.into_iter().find(|s| whole(s.1)).unwrap_or(("B", 1.0));
-        write!(f, "{}{unit}", plain(n / scale))
+        let (unit, scale) = SIZE_UNITS_BYTES.into_iter().find(|s| whole(s.1)).unwrap_or(("B", 1.0));
+        write!(f, "{}{unit}", format_number(n / scale))
     }
 }
 
-textual!(Size, r"^[0-9]+(\.[0-9]+)?(B|kB|KiB|MB|MiB|GB|GiB)$", "an amount of bytes, such as \"64KiB\"");
+string_type!(Size, r"^[0-9]+(\.[0-9]+)?(B|kB|KiB|MB|MiB|GB|GiB)$", "a size, such as \"64KiB\"");
 
-/// A limit: at most so many calls in any span. A rate is the same with the smallest whole number of calls.
+/// A limit: the most calls in any period of a given length. A rate is converted to a whole number of calls, in the
+/// shortest period for which the number is whole.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Limit {
-    /// Calls.
+    /// The most calls in the period.
     pub calls: u32,
-    /// In any span so long.
+    /// The length of the period.
     pub span: Span,
 }
 
 impl Limit {
-    /// Calls a second in the long run.
+    /// The average rate that the limit allows, in calls per second.
     pub fn per_second(&self) -> f64 {
         f64::from(self.calls) * 1_000.0 / self.span.0
     }
 }
 
-/// The digits behind the point of a rate that are read.
-const RATE_DIGITS: u32 = 3;
+/// The most decimals of a rate.
+const MAX_RATE_DECIMALS: u32 = 3;
 
 impl FromStr for Limit {
     type Err = String;
@@ -151,12 +155,10 @@
             let (rate, unit) = text.split_once('/').ok_or_else(form)?;
             let rate: f64 = rate.trim().parse().map_err(|_| form())?;
             let one: Span = format!("1{}", unit.trim()).parse().map_err(|_| form())?;
-            let scale = 10u64.pow(RATE_DIGITS);
+            let scale = 10u64.pow(MAX_RATE_DECIMALS);
             let parts = (rate * scale as f64).round();
             if !(0.0..=4e9).contains(&parts) || (parts / scale as f64 - rate).abs() > 1e-9 {
-                return Err(format!(
-                    "'{text}' has more than {RATE_DIGITS} digits behind the point, or is too much"
-                ));
+                return Err(format!("'{text}' has more than {MAX_RATE_DECIMALS} decimals, or is too large"));
             }
             let (mut a, mut b) = (parts as u64, scale);
             while b > 0 {
@@ -167,7 +169,7 @@
             Limit { calls, span: Span(one.0 * (scale / divisor) as f64) }
         };
         if limit.calls == 0 || limit.span.0 < 1.0 {
-            return Err(format!("'{text}' allows nothing"));
+            return Err(format!("'{text}' allows no calls"));
         }
         Ok(limit)
     }
@@ -179,54 +181,54 @@
     }
 }
 
-textual!(
+string_type!(
     Limit,
     r"^([0-9]+ in [0-9]+(\.[0-9]+)?(ms|s|min|h|d)|[0-9]+(\.[0-9]{1,3})?/(s|min|h|d))$",
     "a count in any span, such as \"24 in 2s\", or a rate, such as \"2.4/s\""
 );
 
-/// A part of a whole, in millionths, so that parts add up exactly.
+/// A fraction of a whole, in millionths, so that fractions add up exactly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Share(pub u32);
 
-/// All of it.
-pub const WHOLE: u32 = 1_000_000;
+/// The whole, in millionths.
+pub const WHOLE_MILLIONTHS: u32 = 1_000_000;
 
 impl Share {
-    /// So many whole calls of that count; rounded down, so that the parts of all never exceed the count.
-    pub fn of(&self, calls: u32) -> u32 {
-        (u64::from(calls) * u64::from(self.0) / u64::from(WHOLE)) as u32
+    /// The number of calls in this share of `calls`, rounded down, so that shares never add up to more than `calls`.
+    pub fn of_calls(&self, calls: u32) -> u32 {
+        (u64::from(calls) * u64::from(self.0) / u64::from(WHOLE_MILLIONTHS)) as u32
     }
 }
 
 impl FromStr for Share {
     type Err = String;
     fn from_str(text: &str) -> Result<Share, String> {
-        let form = || format!("'{text}' is not a share; write it as \"40%\"");
+        let form = || format!("'{text}' is not a share; write it like \"40%\"");
         let digits = text.strip_suffix('%').ok_or_else(form)?.trim();
         let (whole, part) = digits.split_once('.').unwrap_or((digits, ""));
         if part.len() > 4 {
-            return Err(format!("'{text}' has more than 4 digits behind the point"));
+            return Err(format!("'{text}' has more than 4 decimals"));
         }
         let number = |t: &str| if t.is_empty() { Ok(0) } else { t.parse::<u32>().map_err(|_| form()) };
         let (whole, part) = (number(whole)?, number(&format!("{part:0<4}"))?);
         match whole.checked_mul(10_000).and_then(|w| w.checked_add(part)) {
-            Some(n) if n <= WHOLE => Ok(Share(n)),
-            _ => Err(format!("'{text}' is more than all of it")),
+            Some(n) if n <= WHOLE_MILLIONTHS => Ok(Share(n)),
+            _ => Err(format!("'{text}' is more than 100%")),
         }
     }
 }
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}%", plain(f64::from(self.0) / 10_000.0))
+        write!(f, "{}%", format_number(f64::from(self.0) / 10_000.0))
     }
 }
 
-textual!(Share, r"^[0-9]{1,3}(\.[0-9]{1,4})?%$", "a part of the whole, such as \"40%\"");
+string_type!(Share, r"^[0-9]{1,3}(\.[0-9]{1,4})?%$", "a percentage of the whole, such as \"40%\"");
 
-/// A name: small letters, digits and `-`, `_`, `.`; up to 64 of them, a letter or digit first.
+/// A name of lowercase letters, digits, `-`, `_` and `.`; 64 characters at most, starting with a letter or digit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(pub String);
@@ -238,7 +240,7 @@
         let rest = text.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b));
         match first && rest && text.len() <= 64 {
             true => Ok(Name(text.to_string())),
-            false => Err(format!("'{text}' is not a name; use small letters, digits and - _ . (64 at most)")),
+            false => Err(format!("'{text}' is not a name; use lowercase letters, digits and - _ . (64 characters at most, a letter or digit first)")),
         }
     }
 }
@@ -256,9 +258,9 @@
     }
 }
 
-textual!(Name, r"^[a-z0-9][a-z0-9._-]{0,63}$", "a name of small letters, digits and - _ .");
+string_type!(Name, r"^[a-z0-9][a-z0-9._-]{0,63}$", "a name of lowercase letters, digits and - _ .");
 
-/// Where something listens.
+/// An IP address with a port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Address(pub SocketAddr);
@@ -268,7 +270,7 @@
     fn from_str(text: &str) -> Result<Address, String> {
         let why = || {
             format!(
-                "'{text}' is not an address with a port; names are not looked up, write \"127.0.0.1:6379\""
+                "'{text}' is not an address with a port; host names are not resolved, so write it like \"127.0.0.1:6379\""
             )
         };
         text.parse().map(Address).map_err(|_| why())
@@ -281,15 +283,15 @@
     }
 }
 
-textual!(Address, r"^.+:[0-9]+$", "an IP address with a port, such as \"127.0.0.1:6379\"");
+string_type!(Address, r"^.+:[0-9]+$", "an IP address with a port, such as \"127.0.0.1:6379\"");
 
-/// Where an endpoint is reached: over HTTP, or behind an MQTT broker.
+/// The address of an endpoint: over HTTP, or a topic at an MQTT broker.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Target {
-    /// An address that speaks HTTP.
+    /// The address of an HTTP server.
     Http(SocketAddr),
-    /// A broker's address and the topic.
+    /// The address of an MQTT broker, and the topic to publish to.
     Mqtt(SocketAddr, String),
 }
 
@@ -310,9 +312,9 @@
         };
         let (address, topic) = rest
             .split_once('/')
-            .ok_or_else(|| format!("'{text}' names no topic; write \"mqtt://ADDRESS:PORT/TOPIC\""))?;
+            .ok_or_else(|| format!("'{text}' has no topic; write it like \"mqtt://ADDRESS:PORT/TOPIC\""))?;
         if topic.is_empty() || topic.contains(['+', '#', '\0']) {
-            return Err(format!("'{topic}' is not a topic that can be published to"));
+            return Err(format!("'{topic}' is not a topic that messages can be published to"));
         }
         address.parse::<Address>().map(|a| Target::Mqtt(a.0, topic.into()))
     }
@@ -327,7 +329,7 @@
     }
 }
 
-textual!(
+string_type!(
     Target,
     r"^(mqtt://.+:[0-9]+/.+|.+:[0-9]+)$",
     "\"ADDRESS:PORT\" over HTTP, or \"mqtt://ADDRESS:PORT/TOPIC\""
@@ -337,9 +339,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a unit that is guessed, lost or shown as another one.
+    /// Guards against a unit that is guessed when missing, dropped, or changed by formatting.
     #[test]
-    fn values_keep_their_unit_both_ways() {
+    fn units_survive_parsing_and_formatting() {
         let span = |t: &str| t.parse::<Span>().map(|s| (s.0, s.to_string()));
         assert_eq!(span("1500ms"), Ok((1_500.0, "1500ms".into())));
         assert_eq!(span("2.5s"), Ok((2_500.0, "2500ms".into())));
@@ -357,13 +359,16 @@
         assert_eq!("12/s".parse::<Limit>().unwrap().to_string(), "12 in 1s");
     }
 
-    /// Guards against thirds that add up to more or less than the whole.
+    /// Guards against rounding that makes three thirds add up to more or less than the whole.
     #[test]
     fn shares_add_up_exactly() {
         let share = |t: &str| t.parse::<Share>();
         let thirds: u32 = ["33.3333%", "33.3333%", "33.3334%"].iter().map(|t| share(t).unwrap().0).sum();
-        assert_eq!(thirds, WHOLE);
-        assert_eq!((share("40%").unwrap().of(24), share("40%").unwrap().to_string()), (9, "40%".into()));
+        assert_eq!(thirds, WHOLE_MILLIONTHS);
+        assert_eq!(
+            (share("40%").unwrap().of_calls(24), share("40%").unwrap().to_string()),
+            (9, "40%".into())
+        );
         assert!(
             ["101%", "40", "33.33333%", "-1%", "%%"].iter().all(|t| share(t).is_err()),
             "{:?}",
@@ -372,7 +377,7 @@
     }
 
     #[test]
-    fn names_and_addresses() {
+    fn names_and_addresses_are_validated() {
         assert!(["a", "0-x_y.z"].iter().all(|t| t.parse::<Name>().is_ok()));
         assert!(["", "A", "-a", "a b"].iter().all(|t| t.parse::<Name>().is_err()));
         let target = |t: &str| t.parse::<Target>().map(|t| t.to_string());
--- a/crates/settings/tests/cellmap.rs
+++ b/crates/settings/tests/cellmap.rs
@@ -1,7 +1,7 @@
 //! Cell maps that are wrong, each with its code at its line; and those that may follow one another.
 
-use lilacbank_settings::cellmap::Read;
-use lilacbank_settings::finding::show;
+use lilacbank_settings::cellmap::LoadedMap;
+use lilacbank_settings::finding::render_findings;
 use std::path::Path;
 
 fn example() -> (String, String) {
@@ -15,12 +15,12 @@
     let load = |text: &str| {
         let mut found = Vec::new();
         let read = |f: &str| if f == file { Ok(text.to_string()) } else { std::fs::read_to_string(f) };
-        (Read::load(&file, &read, &mut found).unwrap(), found)
+        (LoadedMap::load(&file, &read, &mut found).unwrap(), found)
     };
     let (new, mut found) = load(text);
     let old = force.map(|f| load(f).0);
     found.extend(new.check(old.as_ref()));
-    println!("{}", show(&found, &new.texts(), false));
+    println!("{}", render_findings(&found, &new.texts(), false));
     found.iter().map(|f| (f.code.to_string(), f.place.line)).collect()
 }
 
--- a/crates/settings/tests/samples.rs
+++ b/crates/settings/tests/samples.rs
@@ -4,8 +4,8 @@
 //! (`# with: FILE ...`) and how its folder looks (`# folder: readonly`).
 
 use lilacbank_settings::check::{check, Folder, Folders};
-use lilacbank_settings::finding::{refused, show, Finding, Severity};
-use lilacbank_settings::set::{beside, Set};
+use lilacbank_settings::finding::{refused, render_findings, Finding, Severity};
+use lilacbank_settings::set::{resolve_path, FileSet};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -32,16 +32,16 @@
     line.unwrap_or("").to_string()
 }
 
-fn run(files: &[String], folder: String) -> (Set, Vec<Finding>) {
+fn run(files: &[String], folder: String) -> (FileSet, Vec<Finding>) {
     let mut found = Vec::new();
-    let set = Set::load(files, &|f| std::fs::read_to_string(f), &mut found);
+    let set = FileSet::load(files, &|f| std::fs::read_to_string(f), &mut found);
     found.extend(check(&set, &Look(folder)));
     (set, found)
 }
 
 type Marks = BTreeSet<(String, usize, String)>;
 
-fn marks(set: &Set) -> Marks {
+fn marks(set: &FileSet) -> Marks {
     let mut all = Marks::new();
     for (file, s) in &set.sources {
         for (n, line) in s.text.lines().enumerate() {
@@ -61,8 +61,9 @@
     for path in files.iter().filter(|p| !p.file_name().unwrap().to_str().unwrap().starts_with('_')) {
         let (file, text) = (path.display().to_string(), std::fs::read_to_string(path).unwrap());
         let with = head(&text, "with");
-        let all: Vec<String> =
-            std::iter::once(file.clone()).chain(with.split_whitespace().map(|w| beside(&file, w))).collect();
+        let all: Vec<String> = std::iter::once(file.clone())
+            .chain(with.split_whitespace().map(|w| resolve_path(&file, w)))
+            .collect();
         let (set, found) = run(&all, head(&text, "folder"));
         let wanted = marks(&set);
         let got: Marks =
@@ -70,7 +71,7 @@
         if wanted != got || wanted.is_empty() || got.len() != found.len() {
             bad += &format!(
                 "{file}\n wanted {wanted:#?}\n got {got:#?}\n{}\n",
-                show(&found, &set.texts(), false)
+                render_findings(&found, &set.texts(), false)
             );
         }
         for f in &found {
@@ -101,7 +102,7 @@
         ["n1", "n2"].map(|n| here(&format!("../../deploy/examples/mesh/{n}.toml")).display().to_string());
     for group in [&files[..], &files[..1], &files[1..], &mesh[..], &mesh[..1]] {
         let (set, found) = run(group, String::new());
-        assert!(found.is_empty(), "{}", show(&found, &set.texts(), false));
+        assert!(found.is_empty(), "{}", render_findings(&found, &set.texts(), false));
         assert_eq!(set.apps.len(), group.len());
     }
 }
@@ -120,14 +121,14 @@
     let agreement = agreement.replace("drain = \"2s\"", "drain = \"9s\"\nrest = 1");
     let read = |f: &str| Ok(if f.ends_with("bad.toml") { bad.clone() } else { agreement.clone() });
     let mut found = Vec::new();
-    let set = Set::load(&["bad.toml".into()], &read, &mut found);
+    let set = FileSet::load(&["bad.toml".into()], &read, &mut found);
     found.extend(check(&set, &Look(String::new())));
     let codes: Vec<&str> = found.iter().map(|f| f.code).collect();
     let mut sorted = codes.clone();
     sorted.sort();
     assert_eq!(sorted, ["LB0004", "LB0004", "LB0005", "LB0005", "LB0005", "LB0302", "LB0402"], "{codes:?}");
     assert!(refused(&found) && found.iter().all(|f| f.severity == Severity::Error));
-    let text = show(&found, &set.texts(), false);
+    let text = render_findings(&found, &set.texts(), false);
     for part in ["did you mean 'wanted'?", "error[LB0302]", "bad.toml:", "| "] {
         assert!(text.contains(part), "{part} is not in:\n{text}");
     }
@@ -139,8 +140,9 @@
     let path = here("tests/broken/LB0401-three-shares.toml").display().to_string();
     let text = std::fs::read_to_string(&path).unwrap();
     let with = head(&text, "with");
-    let files: Vec<String> =
-        std::iter::once(path.clone()).chain(with.split_whitespace().map(|w| beside(&path, w))).collect();
+    let files: Vec<String> = std::iter::once(path.clone())
+        .chain(with.split_whitespace().map(|w| resolve_path(&path, w)))
+        .collect();
     let (_, found) = run(&files, String::new());
     let f = found.iter().find(|f| f.code == "LB0401").unwrap();
     for part in ["110%", "24 in 2s", "app 40%", "second 40%", "third 30%"] {
--- a/src/tool/cell.rs
+++ b/src/tool/cell.rs
@@ -1,20 +1,20 @@
 //! `lilacbank cell`: checks a cell map, and tells who lives where.
 
-use super::cli::{Cell, Format, How};
-use super::{moves, read, report, Done, ToolError};
+use super::cli::{Cell, Format, ReportOptions};
+use super::{moves, read, report, ToolError, ToolResult};
 use lilacbank_cells::placement::{lives, Area};
-use lilacbank_settings::cellmap::{CellMap, Dispatcher, Read};
+use lilacbank_settings::cellmap::{CellMap, Dispatcher, LoadedMap};
 use lilacbank_settings::units::Name;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
 /// Runs a command.
-pub(super) fn run(command: Cell) -> Done {
+pub(super) fn run(command: Cell) -> ToolResult {
     match command {
         Cell::Check { file, in_force, format } => {
-            let force = in_force.map(|f| load(&f, format)).transpose()?;
-            let map = check(&file, force.as_ref(), format)?;
+            let in_force = in_force.map(|f| load(&f, format)).transpose()?;
+            let map = check(&file, in_force.as_ref(), format)?;
             if format == Format::Text {
                 println!("good: {} cells, {} dispatchers", map.cells.len(), map.dispatchers.len());
             }
@@ -23,19 +23,19 @@
         Cell::Place { file, tenants } => {
             let map = check(&file, None, Format::Text)?;
             let areas = areas(&map);
-            for tenant in names(&tenants)? {
+            for tenant in read_tenants(&tenants)? {
                 let (cell, at) = home_of(&areas, &tenant);
                 println!("{tenant} {cell} {at}");
             }
             Ok(())
         }
         Cell::Plan { old, new, tenants } => {
-            let force = load(&old, Format::Text)?;
-            let new = check(&new, Some(&force), Format::Text)?;
-            let (mut moved, all) = (0, names(&tenants)?);
-            let (force, new) = (areas(&force.map), areas(&new));
+            let in_force = load(&old, Format::Text)?;
+            let new = check(&new, Some(&in_force), Format::Text)?;
+            let (mut moved, all) = (0, read_tenants(&tenants)?);
+            let (in_force, new) = (areas(&in_force.map), areas(&new));
             for tenant in &all {
-                let (a, b) = (home_of(&force, tenant), home_of(&new, tenant));
+                let (a, b) = (home_of(&in_force, tenant), home_of(&new, tenant));
                 if a != b {
                     moved += 1;
                     println!("{tenant} {} {} -> {} {}", a.0, a.1, b.0, b.1);
@@ -62,25 +62,25 @@
     Ok(map.dispatchers.iter().filter_map(at).collect())
 }
 
-fn load(file: &str, format: Format) -> Result<Read, ToolError> {
+fn load(file: &str, format: Format) -> Result<LoadedMap, ToolError> {
     let mut found = Vec::new();
-    let map = Read::load(file, &|f| std::fs::read_to_string(f), &mut found);
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    report(&found, &map.texts(), How { format, ..How::default() })?;
+    report(&found, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map)
 }
 
-fn check(file: &str, force: Option<&Read>, format: Format) -> Result<CellMap, ToolError> {
+fn check(file: &str, in_force: Option<&LoadedMap>, format: Format) -> Result<CellMap, ToolError> {
     let mut found = Vec::new();
-    let map = Read::load(file, &|f| std::fs::read_to_string(f), &mut found);
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    found.extend(map.check(force));
-    report(&found, &map.texts(), How { format, ..How::default() })?;
+    found.extend(map.check(in_force));
+    report(&found, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map.map)
 }
 
 /// Tenants as they were given; @FILE names one in each line.
-fn names(given: &[String]) -> Result<Vec<String>, ToolError> {
+fn read_tenants(given: &[String]) -> Result<Vec<String>, ToolError> {
     let mut all = Vec::new();
     for name in given {
         match name.strip_prefix('@') {
--- a/src/tool/cli.rs
+++ b/src/tool/cli.rs
@@ -119,7 +119,7 @@
 #[derive(Debug, Subcommand)]
 pub enum App {
     /// Write a commented application from agreements; it passes the check as it stands.
-    New(Box<New>),
+    New(Box<NewApplicationArgs>),
     /// Check files together: applications of one machine or member, and agreements.
     #[command(
         after_help = "Codes and remedies: docs/operators/sidecar.md. Exit status: 0 good, 1 faults, 2 could not."
@@ -130,7 +130,7 @@
         files: Vec<String>,
         /// How it is checked and reported on.
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Write the JSON that `serve` reads, once the file passes the check.
     Render {
@@ -141,7 +141,7 @@
         output: Option<PathBuf>,
         /// How it is checked and reported on.
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Tell every value in force and where it comes from.
     Explain {
@@ -149,7 +149,7 @@
         file: String,
         /// How it is checked and reported on.
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
 }
 
@@ -243,7 +243,7 @@
 
 /// How files are checked and reported on.
 #[derive(Debug, Clone, Copy, Default, Args)]
-pub struct How {
+pub struct ReportOptions {
     /// The form of the report.
     #[arg(long, value_enum, default_value_t)]
     pub format: Format,
@@ -254,7 +254,7 @@
 
 /// A new application.
 #[derive(Debug, Args)]
-pub struct New {
+pub struct NewApplicationArgs {
     /// The agreements of the members that it uses.
     #[arg(required = true)]
     pub agreements: Vec<String>,
@@ -294,7 +294,7 @@
 #[derive(Debug, Subcommand)]
 pub enum Config {
     /// Write one without agreements.
-    Write(Wanted),
+    Write(ConfigOverrides),
     /// Check one, more strictly than a platform's start does.
     Check {
         /// The JSON file.
@@ -304,7 +304,7 @@
         mqtt: Option<PathBuf>,
         /// How it is checked and reported on.
         #[command(flatten)]
-        how: How,
+        how: ReportOptions,
     },
     /// Make one of HAProxy's; what has no counterpart is reported with its line.
     ImportHaproxy {
@@ -312,13 +312,13 @@
         file: PathBuf,
         /// What wins over what is imported.
         #[command(flatten)]
-        wanted: Wanted,
+        wanted: ConfigOverrides,
     },
 }
 
 /// What is written, or wins over what is imported.
 #[derive(Debug, Default, Args)]
-pub struct Wanted {
+pub struct ConfigOverrides {
     /// The dispatcher's name.
     #[arg(long)]
     pub name: Option<String>,
@@ -333,7 +333,7 @@
     pub state: Option<String>,
     /// A class: NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]; EFFECT is idempotent, deduplicated or at_most_once,
     /// times are milliseconds; may be given several times.
-    #[arg(long = "class", value_name = "CLASS", value_parser = super::class)]
+    #[arg(long = "class", value_name = "CLASS", value_parser = super::parse_class)]
     pub classes: Vec<lilacbank_settings::served::Class>,
     /// The zones, the own one first.
     #[arg(long, value_delimiter = ',', value_name = "A,B")]
--- a/src/tool/haproxy.rs
+++ b/src/tool/haproxy.rs
@@ -2,11 +2,11 @@
 //! destinations, their servers workers, and timeouts, limits of connections, retries and health checks become
 //! settings. Every other directive is reported with its line; nothing is dropped in silence.
 
-use lilacbank_settings::served::{Served, Target};
+use lilacbank_settings::served::{ListedEndpoint, Served};
 
 /// A directive that was not mapped.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Skipped {
+pub struct SkippedDirective {
     /// Its line, from 1.
     pub line: usize,
     /// What it is and why.
@@ -73,9 +73,9 @@
 
 /// A setting that is one for the whole dispatcher: the first value holds, another one is reported.
 #[derive(Debug, Default)]
-struct Once(Option<f64>);
+struct SharedSetting(Option<f64>);
 
-impl Once {
+impl SharedSetting {
     fn set(&mut self, value: f64) -> Result<(), String> {
         match self.0 {
             Some(old) if old != value => {
@@ -91,16 +91,16 @@
 
 #[derive(Debug, Default)]
 struct Import {
-    connect: Once,
-    server: Once,
-    keepalive: Once,
-    retries: Once,
-    max_open: Once,
+    connect: SharedSetting,
+    server: SharedSetting,
+    keepalive: SharedSetting,
+    retries: SharedSetting,
+    max_open: SharedSetting,
     listen: Option<String>,
     probes: bool,
     dest: u32,
     backends: Vec<String>,
-    workers: Vec<Target>,
+    workers: Vec<ListedEndpoint>,
     slots: u32,
     /// Limit of servers that have none of their own, in this section and in `defaults`.
     server_limit: Option<u32>,
@@ -108,7 +108,7 @@
 }
 
 /// Reads HAProxy's format.
-pub fn import(text: &str) -> (Served, Vec<Skipped>) {
+pub fn import(text: &str) -> (Served, Vec<SkippedDirective>) {
     let mut skipped = Vec::new();
     let mut i = Import::default();
     let mut section = Section::None;
@@ -121,7 +121,7 @@
             }
         });
         if let Err(why) = done {
-            skipped.push(Skipped { line: n + 1, why: format!("'{}': {why}", line.trim()) });
+            skipped.push(SkippedDirective { line: n + 1, why: format!("'{}': {why}", line.trim()) });
         }
     }
     (i.finish(), skipped)
@@ -155,7 +155,7 @@
         &mut self,
         section: Section,
         words: &[String],
-        skipped: &mut Vec<Skipped>,
+        skipped: &mut Vec<SkippedDirective>,
         line: usize,
     ) -> Result<(), String> {
         use Section::*;
@@ -214,7 +214,12 @@
         }
     }
 
-    fn server(&mut self, words: &[String], skipped: &mut Vec<Skipped>, line: usize) -> Result<(), String> {
+    fn server(
+        &mut self,
+        words: &[String],
+        skipped: &mut Vec<SkippedDirective>,
+        line: usize,
+    ) -> Result<(), String> {
         let [_, name, address, rest @ ..] = words else {
             return Err("a name and an address were expected".into());
         };
@@ -235,34 +240,46 @@
         }
         let state = "in_service".into();
         let (endpoint, pod_group) = (address.clone(), u64::from(self.dest));
-        self.workers.push(Target { uid, endpoint, pod_group, model: kind, state, ..Target::default() });
+        self.workers.push(ListedEndpoint {
+            uid,
+            endpoint,
+            pod_group,
+            model: kind,
+            state,
+            ..ListedEndpoint::default()
+        });
         Ok(())
     }
 
     /// What stands behind a server's address; returns its limit of connections.
-    fn server_words(&mut self, words: &[String], skipped: &mut Vec<Skipped>, line: usize) -> Option<u32> {
+    fn server_words(
+        &mut self,
+        words: &[String],
+        skipped: &mut Vec<SkippedDirective>,
+        line: usize,
+    ) -> Option<u32> {
         let mut limit = None;
-        let mut lost = Vec::new();
+        let mut unmapped = Vec::new();
         let mut words = words.iter().map(String::as_str);
         while let Some(word) = words.next() {
             match word {
                 "check" => self.probes = true,
                 "maxconn" => match words.next().map(str::parse) {
                     Some(Ok(n)) => limit = Some(n),
-                    _ => lost.push("maxconn without a number"),
+                    _ => unmapped.push("maxconn without a number"),
                 },
-                other => lost.push(other),
+                other => unmapped.push(other),
             }
         }
-        if !lost.is_empty() {
-            let why = format!("the server's words '{}': {NO_COUNTERPART}", lost.join(" "));
-            skipped.push(Skipped { line, why });
+        if !unmapped.is_empty() {
+            let why = format!("the server's words '{}': {NO_COUNTERPART}", unmapped.join(" "));
+            skipped.push(SkippedDirective { line, why });
         }
         limit
     }
 
     fn finish(self) -> Served {
-        let mut served = super::usual();
+        let mut served = super::default_config();
         served.known.targets = self.workers;
         served.listen = self.listen.or(served.listen);
         let settings = &mut served.settings;
@@ -344,7 +361,7 @@
         assert_eq!(workers, wanted);
         let lines: Vec<usize> = skipped.iter().map(|s| s.line).collect();
         assert_eq!(lines, [3, 5, 8, 12, 14, 16, 18, 20, 23, 24], "{skipped:?}");
-        let read = crate::config::Config::from_json(&app.text(), &|_| None).unwrap();
+        let read = crate::config::Config::from_json(&app.to_json(), &|_| None).unwrap();
         assert_eq!((read.known.workers.len(), read.settings.slots), (3, 12));
     }
 }
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -10,12 +10,12 @@
 
 use crate::config::{self, Mqtt};
 use crate::disk::Disk;
-use cli::{App, Cli, Command, Config, Format, How, New, Record, Wanted};
-use lilacbank_settings::check::{check, Elsewhere, Folders};
-use lilacbank_settings::compose::{compose, Wanted as Composed};
-use lilacbank_settings::finding::{refused, show, Finding};
-use lilacbank_settings::served::{Class, Known, Limits, Served, Tenant};
-use lilacbank_settings::set::{beside, AppFile, Set};
+use cli::{App, Cli, Command, Config, ConfigOverrides, Format, NewApplicationArgs, Record, ReportOptions};
+use lilacbank_settings::check::{check, AssumeUsable, Folders};
+use lilacbank_settings::compose::{compose, NewApplication};
+use lilacbank_settings::finding::{refused, render_findings, Finding};
+use lilacbank_settings::served::{Class, EndpointList, Limits, Served, Tenant};
+use lilacbank_settings::set::{resolve_path, ApplicationFile, FileSet};
 use lilacbank_settings::{explain, render, schema};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,11 +29,11 @@
     /// A file cannot be read or written.
     File(PathBuf, std::io::Error),
     /// Faults were found, and have been reported.
-    Faults,
+    FaultsFound,
     /// A dispatcher refuses.
     Refused(String),
     /// It could not be done, and may be tried again.
-    Unreached(String),
+    Failed(String),
     /// What was read says something else than what was written: a fault of the tool.
     Config(config::ConfigError),
 }
@@ -42,9 +42,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ToolError::File(path, e) => write!(f, "{}: {e}", path.display()),
-            ToolError::Faults => f.write_str("faults were found; nothing was done"),
+            ToolError::FaultsFound => f.write_str("faults were found; nothing was done"),
             ToolError::Config(e) => e.fmt(f),
-            ToolError::Refused(why) | ToolError::Unreached(why) => f.write_str(why),
+            ToolError::Refused(why) | ToolError::Failed(why) => f.write_str(why),
         }
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-type Done = Result<(), ToolError>;
+type ToolResult = Result<(), ToolError>;
 
 /// Runs a command other than `serve`.
 pub fn run(command: Command) -> ExitCode {
@@ -89,7 +89,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("lilacbank: {e}");
-            ExitCode::from(if matches!(e, ToolError::Faults | ToolError::Refused(_)) { 1 } else { 2 })
+            ExitCode::from(if matches!(e, ToolError::FaultsFound | ToolError::Refused(_)) { 1 } else { 2 })
         }
     }
 }
@@ -99,7 +99,7 @@
 }
 
 /// Writes a file in one step: what was there stays until all of the new one is.
-fn write(path: &Path, text: &str) -> Done {
+fn write(path: &Path, text: &str) -> ToolResult {
     let new = PathBuf::from(format!("{}.new-{}", path.display(), std::process::id()));
     let done = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path));
     done.map_err(|e| {
@@ -108,7 +108,7 @@
     })
 }
 
-fn put(output: Option<&Path>, text: &str) -> Done {
+fn write_output(output: Option<&Path>, text: &str) -> ToolResult {
     match output {
         Some(path) => write(path, text),
         None => {
@@ -118,49 +118,49 @@
     }
 }
 
-fn report(found: &[Finding], texts: &BTreeMap<String, String>, how: How) -> Done {
+fn report(found: &[Finding], texts: &BTreeMap<String, String>, how: ReportOptions) -> ToolResult {
     match how.format {
-        Format::Text => eprint!("{}", show(found, texts, std::io::stderr().is_terminal())),
+        Format::Text => eprint!("{}", render_findings(found, texts, std::io::stderr().is_terminal())),
         Format::Json => {
             found.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
         }
     }
     if refused(found) {
-        Err(ToolError::Faults)
+        Err(ToolError::FaultsFound)
     } else {
         Ok(())
     }
 }
 
-fn folders(how: How) -> &'static dyn Folders {
+fn folders(how: ReportOptions) -> &'static dyn Folders {
     if how.elsewhere {
-        &Elsewhere
+        &AssumeUsable
     } else {
         &Disk
     }
 }
 
 /// Reads and checks files together, and reports what is wrong.
-fn load(files: &[String], how: How) -> Result<Set, ToolError> {
+fn load(files: &[String], how: ReportOptions) -> Result<FileSet, ToolError> {
     // A file that was named here and cannot be read is not a fault of the files.
     for file in files {
         read(Path::new(file))?;
     }
     let mut found = Vec::new();
-    let set = Set::load(files, &|f| std::fs::read_to_string(f), &mut found);
+    let set = FileSet::load(files, &|f| std::fs::read_to_string(f), &mut found);
     found.extend(check(&set, folders(how)));
     report(&found, &set.texts(), how)?;
     Ok(set)
 }
 
-fn the_app(set: &Set) -> Result<&AppFile, ToolError> {
+fn first_application(set: &FileSet) -> Result<&ApplicationFile, ToolError> {
     set.apps.first().ok_or_else(|| {
         eprintln!("the file is an agreement; name an application's file");
-        ToolError::Faults
+        ToolError::FaultsFound
     })
 }
 
-fn run_app(app: App) -> Done {
+fn run_app(app: App) -> ToolResult {
     match app {
         App::New(new) => run_new(*new),
         App::Check { files, how } => {
@@ -172,19 +172,19 @@
         }
         App::Render { file, output, how } => {
             let set = load(&[file], how)?;
-            let text = render::render(&set, the_app(&set)?).text();
-            check_served("the rendered file", &text, How { elsewhere: true, ..how })?;
-            put(output.as_deref(), &text)
+            let text = render::render(&set, first_application(&set)?).to_json();
+            check_served("the rendered file", &text, ReportOptions { elsewhere: true, ..how })?;
+            write_output(output.as_deref(), &text)
         }
         App::Explain { file, how } => {
             let set = load(&[file], how)?;
-            let lines = explain::explain(&set, the_app(&set)?);
+            let lines = explain::explain(&set, first_application(&set)?);
             match how.format {
                 Format::Json => {
                     lines.iter().for_each(|l| println!("{}", serde_json::to_string(l).unwrap_or_default()));
                 }
                 Format::Text => {
-                    let wide = |f: fn(&explain::Line) -> &str| {
+                    let wide = |f: fn(&explain::EffectiveValue) -> &str| {
                         lines.iter().map(|l| f(l).chars().count()).max().unwrap_or(0).min(48)
                     };
                     let (key, value) = (wide(|l| &l.key), wide(|l| &l.value));
@@ -196,20 +196,20 @@
     }
 }
 
-fn run_new(new: New) -> Done {
-    let how = How { elsewhere: true, ..How::default() };
+fn run_new(new: NewApplicationArgs) -> ToolResult {
+    let how = ReportOptions { elsewhere: true, ..ReportOptions::default() };
     let set = load(&new.agreements, how)?;
     let output = new.output.as_ref().map_or("application.toml".into(), |o| o.display().to_string());
     let mut agreements = Vec::new();
     for file in &new.agreements {
         let Some(agreement) = set.agreements.get(file) else {
             eprintln!("{file}: this is an application; name agreements");
-            return Err(ToolError::Faults);
+            return Err(ToolError::FaultsFound);
         };
-        agreements.push((from_folder_of(&output, file), agreement));
+        agreements.push((relative_path(&output, file), agreement));
     }
     let text = compose(
-        &Composed {
+        &NewApplication {
             state: new.state.unwrap_or_else(|| format!("/var/lib/lilacbank/{}", new.name)),
             name: new.name,
             resp: new.resp,
@@ -225,16 +225,16 @@
     // What is written has passed the check, where it will stand.
     let mut found = Vec::new();
     let open = |f: &str| if f == output { Ok(text.clone()) } else { std::fs::read_to_string(f) };
-    let set = Set::load(std::slice::from_ref(&output), &open, &mut found);
-    found.extend(check(&set, &Elsewhere));
+    let set = FileSet::load(std::slice::from_ref(&output), &open, &mut found);
+    found.extend(check(&set, &AssumeUsable));
     report(&found, &set.texts(), how)?;
-    put(new.output.as_deref(), &text)
+    write_output(new.output.as_deref(), &text)
 }
 
 /// How a file is named from the folder of another one.
-fn from_folder_of(output: &str, file: &str) -> String {
+fn relative_path(output: &str, file: &str) -> String {
     let whole = |p: &str| std::path::absolute(p).unwrap_or_else(|_| p.into());
-    let (to, from) = (whole(&beside("", file)), whole(&beside("", output)));
+    let (to, from) = (whole(&resolve_path("", file)), whole(&resolve_path("", output)));
     let folder: Vec<_> = from.parent().unwrap_or(Path::new("/")).components().collect();
     let parts: Vec<_> = to.components().collect();
     let same = folder.iter().zip(&parts).take_while(|(a, b)| a == b).count();
@@ -244,7 +244,7 @@
 }
 
 /// Checks the JSON that a dispatcher reads: first as strictly as can be, then as a start reads it.
-fn check_served(name: &str, text: &str, how: How) -> Result<Served, ToolError> {
+fn check_served(name: &str, text: &str, how: ReportOptions) -> Result<Served, ToolError> {
     let mut found = Vec::new();
     let (_, served) = Served::read(name, text, folders(how), &mut found);
     report(&found, &BTreeMap::from([(name.to_string(), text.to_string())]), how)?;
@@ -253,7 +253,7 @@
 }
 
 /// Reads `NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]`.
-pub fn class(text: &str) -> Result<Class, String> {
+pub fn parse_class(text: &str) -> Result<Class, String> {
     let mut parts: Vec<&str> = text.split(',').collect();
     let ordered = parts.last() == Some(&"ordered");
     if ordered {
@@ -280,14 +280,14 @@
 }
 
 /// What is written where nothing else is said.
-pub(crate) fn usual() -> Served {
+pub(crate) fn default_config() -> Served {
     let mut s = Served {
         name: "lilacbank".into(),
         listen: Some("127.0.0.1:6379".into()),
         discovery: Some("127.0.0.1:8500".into()),
         state: Some("state".into()),
         limits: Limits::default(),
-        known: Known { all: true, ..Known::default() },
+        known: EndpointList { all: true, ..EndpointList::default() },
         ..Served::default()
     };
     s.settings.classes = vec![Class {
@@ -301,9 +301,9 @@
     s
 }
 
-impl Wanted {
+impl ConfigOverrides {
     /// What the arguments say wins over what is there so far.
-    fn settle(&self, s: &mut Served) {
+    fn apply_to(&self, s: &mut Served) {
         let set = &mut s.settings;
         self.name.iter().for_each(|n| s.name.clone_from(n));
         s.listen = self.listen.clone().or(s.listen.take());
@@ -331,21 +331,25 @@
     }
 
     /// Writes what passes the check.
-    fn put(&self, mut served: Served) -> Done {
-        self.settle(&mut served);
-        let text = served.text();
-        check_served("the configuration", &text, How { elsewhere: true, ..How::default() })?;
+    fn write_checked(&self, mut served: Served) -> ToolResult {
+        self.apply_to(&mut served);
+        let text = served.to_json();
+        check_served(
+            "the configuration",
+            &text,
+            ReportOptions { elsewhere: true, ..ReportOptions::default() },
+        )?;
         let mqtt = self.mqtt.map(|to| format!("[acceptor]\nenabled = true\nlisten = \"{to}\"\n"));
         mqtt.iter().try_for_each(|t| Mqtt::from_toml(t).map(drop))?;
-        put(self.output.as_deref(), &text)?;
+        write_output(self.output.as_deref(), &text)?;
         let beside = self.output.iter().map(|o| PathBuf::from(format!("{}.mqtt.toml", o.display())));
         beside.zip(mqtt).try_for_each(|(path, text)| write(&path, &text))
     }
 }
 
-fn run_config(command: Config) -> Done {
+fn run_config(command: Config) -> ToolResult {
     match command {
-        Config::Write(wanted) => wanted.put(usual()),
+        Config::Write(wanted) => wanted.write_checked(default_config()),
         Config::Check { file, mqtt, how } => {
             let served = check_served(&file.display().to_string(), &read(&file)?, how)?;
             let (classes, workers) = (served.settings.classes.len(), served.known.targets.len());
@@ -364,7 +368,7 @@
             for s in skipped {
                 eprintln!("{}:{}: {}", file.display(), s.line, s.why);
             }
-            wanted.put(served)
+            wanted.write_checked(served)
         }
     }
 }
@@ -377,12 +381,11 @@
     use std::io::{Read, Write};
     let at = at.or_else(|| config::environment("ROUTER_CONTROL")).filter(|a| !a.is_empty());
     let Some(at) = at else {
-        return Err(ToolError::Unreached("no door: give --at ADDRESS or set ROUTER_CONTROL".into()));
+        return Err(ToolError::Failed("no door: give --at ADDRESS or set ROUTER_CONTROL".into()));
     };
-    let unreached =
-        |e: std::io::Error| ToolError::Unreached(format!("the door at {at} cannot be reached: {e}"));
+    let unreached = |e: std::io::Error| ToolError::Failed(format!("the door at {at} cannot be reached: {e}"));
     let address: std::net::SocketAddr = at.parse().map_err(|_| {
-        ToolError::Unreached(format!("'{at}' is not an address with a port, such as 127.0.0.1:7001"))
+        ToolError::Failed(format!("'{at}' is not an address with a port, such as 127.0.0.1:7001"))
     })?;
     let patience = std::time::Duration::from_secs(5);
     let mut stream = std::net::TcpStream::connect_timeout(&address, patience).map_err(unreached)?;
@@ -394,6 +397,6 @@
     match answer.split_whitespace().next() {
         Some("400") => Err(ToolError::Refused("the door said no".into())),
         Some(_) => Ok(()),
-        None => Err(ToolError::Unreached(format!("the door at {at} said nothing"))),
+        None => Err(ToolError::Failed(format!("the door at {at} said nothing"))),
     }
 }
