--- a/src/tool/cell.rs
+++ b/src/tool/cell.rs
@@ -1,4 +1,4 @@
-//! `lilacbank cell`: checks a cell map, and tells who lives where.
+//! `lilacbank cell`: checks cell maps, shows the placement of tenants, and starts moves.
 
 use super::cli::{Cell, Format, ReportOptions};
 use super::{moves, read, report, ToolError, ToolResult};
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Runs a command.
+/// Runs a `cell` command.
 pub(super) fn run(command: Cell) -> ToolResult {
     match command {
         Cell::Check { file, in_force, format } => {
@@ -22,9 +22,9 @@
         }
         Cell::Place { file, tenants } => {
             let map = check(&file, None, Format::Text)?;
-            let areas = areas(&map);
+            let placement_areas = placement_areas(&map);
             for tenant in read_tenants(&tenants)? {
-                let (cell, at) = home_of(&areas, &tenant);
+                let (cell, at) = placement_of(&placement_areas, &tenant);
                 println!("{tenant} {cell} {at}");
             }
             Ok(())
@@ -33,9 +33,9 @@
             let in_force = load(&old, Format::Text)?;
             let new = check(&new, Some(&in_force), Format::Text)?;
             let (mut moved, all) = (0, read_tenants(&tenants)?);
-            let (in_force, new) = (areas(&in_force.map), areas(&new));
+            let (in_force, new) = (placement_areas(&in_force.map), placement_areas(&new));
             for tenant in &all {
-                let (a, b) = (home_of(&in_force, tenant), home_of(&new, tenant));
+                let (a, b) = (placement_of(&in_force, tenant), placement_of(&new, tenant));
                 if a != b {
                     moved += 1;
                     println!("{tenant} {} {} -> {} {}", a.0, a.1, b.0, b.1);
@@ -55,13 +55,14 @@
     }
 }
 
-/// The dispatchers of a map, and where each is reached.
+/// The dispatchers of a map with their addresses for peers.
 fn peers(file: &str) -> Result<Vec<(String, SocketAddr)>, ToolError> {
     let map = check(file, None, Format::Text)?;
     let at = |(name, d): (&Name, &Dispatcher)| Some((name.0.clone(), d.peer?.0));
     Ok(map.dispatchers.iter().filter_map(at).collect())
 }
 
+/// Loads a map without checking it.
 fn load(file: &str, format: Format) -> Result<LoadedMap, ToolError> {
     let mut found = Vec::new();
     let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
@@ -70,6 +71,7 @@
     Ok(map)
 }
 
+/// Loads a map and checks it, also as a successor of `in_force`.
 fn check(file: &str, in_force: Option<&LoadedMap>, format: Format) -> Result<CellMap, ToolError> {
     let mut found = Vec::new();
     let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
@@ -79,7 +81,7 @@
     Ok(map.map)
 }
 
-/// Tenants as they were given; @FILE names one in each line.
+/// Names of tenants from the command line; @FILE is replaced by the lines of a file.
 fn read_tenants(given: &[String]) -> Result<Vec<String>, ToolError> {
     let mut all = Vec::new();
     for name in given {
@@ -94,8 +96,8 @@
     Ok(all)
 }
 
-/// The cells as placement wants them.
-fn areas(map: &CellMap) -> Vec<Area> {
+/// The cells of a map in the form that placement needs.
+fn placement_areas(map: &CellMap) -> Vec<Area> {
     let texts = |names: &[Name]| names.iter().map(|n| n.0.clone()).collect();
     let area = |(name, c): (&Name, &lilacbank_settings::cellmap::Cell)| Area {
         name: name.0.clone(),
@@ -106,7 +108,7 @@
     map.cells.iter().map(area).collect()
 }
 
-/// The cell of a tenant, and which of its dispatchers serves it.
-fn home_of(areas: &[Area], tenant: &str) -> (String, String) {
-    lives(areas, tenant).map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
+/// The cell in which a tenant is placed, and the dispatcher there that serves it.
+fn placement_of(placement_areas: &[Area], tenant: &str) -> (String, String) {
+    lives(placement_areas, tenant).map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
 }
--- a/src/tool/cli.rs
+++ b/src/tool/cli.rs
@@ -1,42 +1,43 @@
-//! The command line.
+//! Definition of the command line.
 
 use crate::config::environment;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use lilacbank_settings::units::{Address, Name, Share};
 use std::path::PathBuf;
 
-/// Delivers messages to many outside destinations, beside one application or on a platform.
+/// Delivers messages to many external destinations, as the sidecar of one application or on a platform.
 #[derive(Debug, Parser)]
 #[command(name = "lilacbank", version, about, max_term_width = 110, after_help = AFTER)]
 pub struct Cli {
-    /// What to do; without it, serve.
+    /// The command; without one, the dispatcher serves.
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// How to serve.
+    /// Options for serving.
     #[command(flatten)]
     pub serve: Serve,
 }
 
 const AFTER: &str = "\
-The configuration to serve on is the JSON file that ROUTER_CONFIG names; ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY \
-and ROUTER_STATE win over its keys, ROUTER_CONTROL over `control` (the operators' door, see `lilacbank control`), and \
-LILACBANK_MQTT names the MQTT front's own file. RUST_LOG says what is logged.
+The dispatcher reads its configuration from the JSON file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN, \
+ROUTER_DISCOVERY and ROUTER_STATE override its keys, and ROUTER_CONTROL overrides `control`, the address of the control \
+interface (see `lilacbank control`). LILACBANK_MQTT names the configuration file of the MQTT front end. RUST_LOG sets \
+what is logged.
 
-Exit status: 0 good, 1 faults were found or serving failed, 2 it could not be done.";
+Exit status: 0 good, 1 errors were found or serving failed, 2 the command could not be carried out.";
 
-/// How to serve.
+/// Options for serving.
 #[derive(Debug, Clone, Default, Args)]
 pub struct Serve {
-    /// The configuration, a JSON file; wins over ROUTER_CONFIG.
+    /// The configuration, a JSON file; overrides ROUTER_CONFIG.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The form of the log; wins over the file's.
-    #[arg(long, value_name = "FORM")]
+    /// The format of the log; overrides the one in the configuration.
+    #[arg(long, value_name = "FORMAT")]
     pub log_format: Option<LogFormat>,
 }
 
 impl Serve {
-    /// The environment, with what the command line says in front of it.
+    /// Returns a lookup of environment variables in which command line options take precedence.
     pub fn environment(&self) -> impl Fn(&str) -> Option<String> + use<> {
         let config = self.config.as_ref().map(|c| c.display().to_string());
         move |name| match name {
@@ -46,314 +47,317 @@
     }
 }
 
-/// Forms of the log.
+/// Formats of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Lines of text for people.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve (as without any command).
+    /// Serve as a dispatcher (the default without a command).
     Serve(Serve),
-    /// Write, check, explain and render an application's file.
+    /// Write, check, explain and render settings files of applications.
     #[command(subcommand)]
     App(App),
-    /// Check a cell map, tell who lives where, and move tenants between dispatchers.
+    /// Check a cell map, show the placement of tenants, and move tenants between dispatchers.
     #[command(subcommand)]
     Cell(Cell),
-    /// Print the record of a file.
+    /// Print the schema of a settings file.
     Schema {
-        /// Which record.
+        /// The kind of file.
         record: Record,
-        /// As CUE definitions, not as JSON Schema.
+        /// Print CUE definitions instead of JSON Schema.
         #[arg(long)]
         cue: bool,
     },
-    /// Work on the JSON that a dispatcher reads.
+    /// Write, check and import the JSON configuration that a dispatcher reads.
     #[command(subcommand)]
     Config(Box<Config>),
-    /// Ask a running dispatcher's door: check, vars, set-down ID, set-up ID, drain-on, drain-off.
-    #[command(after_help = "Exit status: 0 the door said 200, 1 it said 400, 2 it could not be reached.")]
+    /// Send a command to a dispatcher's control interface: check, vars, set-down ID, set-up ID, drain-on, drain-off.
+    #[command(
+        after_help = "Exit status: 0 the answer was 200, 1 the answer was 400, 2 there was no answer."
+    )]
     Control {
-        /// The door's address; ROUTER_CONTROL without it.
+        /// The address of the control interface; without it, ROUTER_CONTROL is used.
         #[arg(long, value_name = "ADDRESS")]
         at: Option<String>,
-        /// The command and its id, as one line.
+        /// The command, and the endpoint's id for set-down and set-up.
         #[arg(required = true, num_args = 1..=2, value_name = "COMMAND")]
         line: Vec<String>,
     },
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: clap_complete::Shell,
     },
 }
 
-/// The records.
+/// Kinds of settings files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Record {
-    /// A member firm's.
+    /// The agreement of a destination.
     Agreement,
-    /// An application's.
+    /// The settings file of an application.
     Application,
     /// A cell map.
     Cells,
 }
 
-/// Forms of a report.
+/// Formats of a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people: each fault with its line.
+    /// Text for people, with an excerpt of the file for each finding.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Work on an application's file.
+/// Commands on settings files of applications.
 #[derive(Debug, Subcommand)]
 pub enum App {
-    /// Write a commented application from agreements; it passes the check as it stands.
+    /// Write a settings file with comments from agreements; it passes the check without changes.
     New(Box<NewApplicationArgs>),
-    /// Check files together: applications of one machine or member, and agreements.
+    /// Check files together: applications that share a machine or a destination, and agreements.
     #[command(
-        after_help = "Codes and remedies: docs/operators/sidecar.md. Exit status: 0 good, 1 faults, 2 could not."
+        after_help = "Codes and remedies: docs/operators/sidecar.md. Exit status: 0 good, 1 errors were found, 2 a file could not be read."
     )]
     Check {
-        /// Applications and agreements; the agreements that applications name are read by themselves.
+        /// Applications and agreements; agreements that an application names are read automatically.
         #[arg(required = true)]
         files: Vec<String>,
-        /// How it is checked and reported on.
+        /// Options for the check and its report.
         #[command(flatten)]
         how: ReportOptions,
     },
-    /// Write the JSON that `serve` reads, once the file passes the check.
+    /// Check a file, and write the JSON configuration that `serve` reads.
     Render {
-        /// The application.
+        /// The settings file of the application.
         file: String,
-        /// Where to; without it, standard output.
+        /// The output file; without it, standard output.
         #[arg(short, long, value_name = "FILE")]
         output: Option<PathBuf>,
-        /// How it is checked and reported on.
+        /// Options for the check and its report.
         #[command(flatten)]
         how: ReportOptions,
     },
-    /// Tell every value in force and where it comes from.
+    /// List every value in force with its origin.
     Explain {
-        /// The application.
+        /// The settings file of the application.
         file: String,
-        /// How it is checked and reported on.
+        /// Options for the check and its report.
         #[command(flatten)]
         how: ReportOptions,
     },
 }
 
-/// Work on a cell map.
+/// Commands on a cell map.
 #[derive(Debug, Subcommand)]
 pub enum Cell {
-    /// Check a map, and that it may follow the one in force.
+    /// Check a map, and whether it may replace the one in force.
     Check {
-        /// The map.
+        /// The file of the map.
         file: String,
-        /// The map that is in force.
+        /// The map that is in force, which this one replaces.
         #[arg(long, value_name = "FILE")]
         in_force: Option<String>,
-        /// The form of the report.
+        /// The format of the report.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
-    /// Tell in which cell each tenant lives, and at which of its dispatchers.
+    /// Show the cell and the dispatcher of each tenant.
     Place {
-        /// The map.
+        /// The file of the map.
         file: String,
-        /// Tenants; or a file with one in each line, as @FILE.
+        /// Names of tenants; @FILE reads them from a file, one per line.
         #[arg(required = true)]
         tenants: Vec<String>,
     },
-    /// Tell which tenants a new map moves.
+    /// Show which tenants a new map moves.
     Plan {
         /// The map in force.
         old: String,
-        /// The new one.
+        /// The new map.
         new: String,
-        /// Tenants; or a file with one in each line, as @FILE.
+        /// Names of tenants; @FILE reads them from a file, one per line.
         #[arg(required = true)]
         tenants: Vec<String>,
     },
-    /// Tell which dispatcher serves a tenant, or all of them, and how far moves are.
+    /// Show which dispatcher serves a tenant, or each tenant, and the progress of moves.
     Status {
-        /// The map.
+        /// The file of the map.
         #[arg(long, value_name = "FILE")]
         map: String,
-        /// The tenant; without it, all.
+        /// The tenant; without it, all tenants.
         tenant: Option<String>,
-        /// The form of the report.
+        /// The format of the report.
         #[arg(long, value_enum, default_value_t)]
         format: Format,
     },
     /// Move a tenant to another dispatcher, and wait until it is served there.
     #[command(after_help = MOVE)]
     Move {
-        /// The map.
+        /// The file of the map.
         #[arg(long, value_name = "FILE")]
         map: String,
         /// The tenant.
         tenant: String,
-        /// The dispatcher that is to serve it.
+        /// The dispatcher that is to serve the tenant.
         #[arg(long, value_name = "NAME")]
         to: String,
-        /// Wait no longer than so many seconds; the move goes on without the tool.
+        /// The longest wait in seconds; after it the move continues without the tool.
         #[arg(long, value_name = "SECONDS", default_value_t = 30)]
         wait: u64,
     },
-    /// Take a move back that has not been handed over yet.
+    /// Abort a move whose handoff has not been committed yet.
     Abort {
-        /// The map.
+        /// The file of the map.
         #[arg(long, value_name = "FILE")]
         map: String,
         /// The tenant.
         tenant: String,
     },
-    /// Take back what was handed over to a dispatcher that will never start again.
+    /// Take back a tenant that was handed over to a dispatcher that will never start again.
     #[command(after_help = RECLAIM)]
     Reclaim {
-        /// The map.
+        /// The file of the map.
         #[arg(long, value_name = "FILE")]
         map: String,
         /// The tenant.
         tenant: String,
-        /// The dispatcher that is gone for good, with its state folder.
+        /// The dispatcher that is permanently lost, together with its state folder.
         #[arg(long, value_name = "NAME")]
         gone: String,
     },
 }
 
 const MOVE: &str = "\
-Exit status: 0 it is served there, 1 refused or taken back, 2 no dispatcher answers or the time is up. A move that is under \
-way outlasts the tool and restarts of both sides. Runbook for one that hangs: docs/operators/cells.md.";
+Exit status: 0 the tenant is served there, 1 the move was refused or taken back, 2 a dispatcher did not answer or the wait \
+ended. A move in progress continues when the tool ends or either dispatcher restarts. Runbook for a move that makes no \
+progress: docs/operators/cells.md.";
 
 const RECLAIM: &str = "\
-Messages that the other dispatcher has begun to deliver would be delivered again: use it only when that dispatcher's folder \
-is lost, so that it cannot have served them and never will.";
+Messages that the lost dispatcher has begun to deliver would be delivered again. Use this command only when the state \
+folder of that dispatcher is lost, so that it cannot have delivered them and never will.";
 
-/// How files are checked and reported on.
+/// Options for a check and its report.
 #[derive(Debug, Clone, Copy, Default, Args)]
 pub struct ReportOptions {
-    /// The form of the report.
+    /// The format of the report.
     #[arg(long, value_enum, default_value_t)]
     pub format: Format,
-    /// The files are meant for another machine: its folders are not looked at.
+    /// The files are for another machine: do not check state folders on this one.
     #[arg(long)]
     pub elsewhere: bool,
 }
 
-/// A new application.
+/// Values for a new application.
 #[derive(Debug, Args)]
 pub struct NewApplicationArgs {
-    /// The agreements of the members that it uses.
+    /// The agreements of the destinations that the application uses.
     #[arg(required = true)]
     pub agreements: Vec<String>,
-    /// Its name.
+    /// The application's name.
     #[arg(long)]
     pub name: Name,
-    /// Where RESP2 clients connect.
+    /// The address for RESP2 clients.
     #[arg(long, value_name = "ADDRESS:PORT", default_value = "127.0.0.1:6379")]
     pub resp: Address,
-    /// Where MQTT clients connect; without it that front is off.
+    /// The address for MQTT clients; without it, the MQTT front end is off.
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub mqtt: Option<Address>,
-    /// The folder that outlasts the process; without it, /var/lib/lilacbank/NAME.
+    /// The state folder; without it, /var/lib/lilacbank/NAME.
     #[arg(long, value_name = "FOLDER")]
     pub state: Option<String>,
-    /// The part of each member's limit and connections that it promises to keep within.
+    /// The share of each destination's limit and connections that the application promises to keep to.
     #[arg(long, default_value = "25%")]
     pub share: Share,
-    /// Its building; without it, the first of the first member.
+    /// The application's building; without it, the first building of the first agreement.
     #[arg(long)]
     pub building: Option<Name>,
-    /// The registry; without it the agreements' endpoints are all there are.
+    /// The address of the registry; without it, only the endpoints in the agreements are used.
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub discovery: Option<Address>,
-    /// Where ends of undelivered messages are told: ADDRESS:PORT or log.
+    /// The receiver of notices about undelivered messages: ADDRESS:PORT or log.
     #[arg(long)]
     pub notices: Option<String>,
-    /// A tenant; may be given several times.
+    /// The name of a tenant; may be given several times.
     #[arg(long = "tenant", value_name = "NAME")]
     pub tenants: Vec<Name>,
-    /// Where to; without it, standard output.
+    /// The output file; without it, standard output.
     #[arg(short, long, value_name = "FILE")]
     pub output: Option<PathBuf>,
 }
 
-/// Work on the JSON that a dispatcher reads.
+/// Commands on the JSON configuration of a dispatcher.
 #[derive(Debug, Subcommand)]
 pub enum Config {
-    /// Write one without agreements.
+    /// Write a configuration without agreements.
     Write(ConfigOverrides),
-    /// Check one, more strictly than a platform's start does.
+    /// Check a configuration, more strictly than a dispatcher on a platform does at startup.
     Check {
         /// The JSON file.
         file: PathBuf,
-        /// The MQTT front's file.
+        /// The configuration file of the MQTT front end.
         #[arg(long, value_name = "FILE")]
         mqtt: Option<PathBuf>,
-        /// How it is checked and reported on.
+        /// Options for the check and its report.
         #[command(flatten)]
         how: ReportOptions,
     },
-    /// Make one of HAProxy's; what has no counterpart is reported with its line.
+    /// Convert an HAProxy configuration; directives without a counterpart are reported with their line.
     ImportHaproxy {
-        /// HAProxy's file.
+        /// The HAProxy configuration.
         file: PathBuf,
-        /// What wins over what is imported.
+        /// Values that override imported ones.
         #[command(flatten)]
         wanted: ConfigOverrides,
     },
 }
 
-/// What is written, or wins over what is imported.
+/// Values of a new configuration; for an import, they override imported values.
 #[derive(Debug, Default, Args)]
 pub struct ConfigOverrides {
     /// The dispatcher's name.
     #[arg(long)]
     pub name: Option<String>,
-    /// Where clients connect.
+    /// The address for RESP2 clients.
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub listen: Option<String>,
-    /// The registry.
+    /// The address of the registry.
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub discovery: Option<String>,
-    /// The folder that lasts.
+    /// The state folder.
     #[arg(long, value_name = "FOLDER")]
     pub state: Option<String>,
-    /// A class: NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]; EFFECT is idempotent, deduplicated or at_most_once,
-    /// times are milliseconds; may be given several times.
+    /// A class: NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]; EFFECT is idempotent, deduplicated or at_most_once, and
+    /// times are in milliseconds; may be given several times.
     #[arg(long = "class", value_name = "CLASS", value_parser = super::parse_class)]
     pub classes: Vec<lilacbank_settings::served::Class>,
-    /// The zones, the own one first.
+    /// The zones; the dispatcher's own zone comes first.
     #[arg(long, value_delimiter = ',', value_name = "A,B")]
     pub zones: Vec<String>,
-    /// The kinds of destination.
+    /// The kinds of destinations.
     #[arg(long, value_delimiter = ',', value_name = "A,B")]
     pub kinds: Vec<String>,
     /// The tenants.
     #[arg(long, value_delimiter = ',', value_name = "A,B")]
     pub tenants: Vec<String>,
-    /// Calls out at once.
+    /// The most concurrent calls.
     #[arg(long)]
     pub slots: Option<u32>,
-    /// Messages held at once.
+    /// The most messages held at once.
     #[arg(long)]
     pub max_open: Option<u32>,
-    /// Where to; without it, standard output.
+    /// The output file; without it, standard output.
     #[arg(short, long, value_name = "FILE")]
     pub output: Option<PathBuf>,
-    /// Also write FILE.mqtt.toml, by which MQTT clients are served there.
+    /// The address for MQTT clients; also writes FILE.mqtt.toml, the configuration of the MQTT front end.
     #[arg(long, value_name = "ADDRESS:PORT", requires = "output")]
     pub mqtt: Option<Address>,
 }
--- a/src/tool/haproxy.rs
+++ b/src/tool/haproxy.rs
@@ -1,19 +1,19 @@
-//! The importer for HAProxy's configuration format. What has a true counterpart is mapped: backends become
-//! destinations, their servers workers, and timeouts, limits of connections, retries and health checks become
-//! settings. Every other directive is reported with its line; nothing is dropped in silence.
+//! Imports HAProxy's configuration format. Directives with an exact counterpart are mapped: backends become
+//! destinations, their servers become endpoints, and timeouts, connection limits, retries and health checks become
+//! settings. Every other directive is reported with its line; none is ignored silently.
 
 use lilacbank_settings::served::{ListedEndpoint, Served};
 
 /// A directive that was not mapped.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SkippedDirective {
-    /// Its line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// What it is and why.
+    /// The directive, and why it was not mapped.
     pub why: String,
 }
 
-/// Splits a line into words as HAProxy does: quotes, backslashes and comments count. `Err` for an open quote.
+/// Splits a line into words as HAProxy does, with its quotes, backslashes and comments. An unclosed quote is an error.
 fn words(line: &str) -> Result<Vec<String>, &'static str> {
     let mut words = Vec::new();
     let mut word: Option<String> = None;
@@ -43,7 +43,7 @@
     Ok(words)
 }
 
-/// A time in milliseconds; without a unit it is in milliseconds already.
+/// Parses a time and returns milliseconds; a number without a unit is in milliseconds.
 fn time(text: &str) -> Option<f64> {
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (digits, unit) = text.split_at(split);
@@ -71,7 +71,7 @@
     Other,
 }
 
-/// A setting that is one for the whole dispatcher: the first value holds, another one is reported.
+/// A setting that exists once per dispatcher: the first value is used, and a different one later is an error.
 #[derive(Debug, Default)]
 struct SharedSetting(Option<f64>);
 
@@ -79,7 +79,7 @@
     fn set(&mut self, value: f64) -> Result<(), String> {
         match self.0 {
             Some(old) if old != value => {
-                Err(format!("there is one such setting for all, and it is {old} already"))
+                Err(format!("the dispatcher has only one such setting, and it is already {old}"))
             }
             _ => {
                 self.0 = Some(value);
@@ -100,14 +100,15 @@
     probes: bool,
     dest: u32,
     backends: Vec<String>,
-    workers: Vec<ListedEndpoint>,
+    endpoints: Vec<ListedEndpoint>,
     slots: u32,
-    /// Limit of servers that have none of their own, in this section and in `defaults`.
+    /// The connection limit of servers in this section that have none of their own.
     server_limit: Option<u32>,
+    /// The connection limit from `defaults`, for servers whose section has none.
     default_limit: Option<u32>,
 }
 
-/// Reads HAProxy's format.
+/// Converts an HAProxy configuration; also returns the directives that were not mapped.
 pub fn import(text: &str) -> (Served, Vec<SkippedDirective>) {
     let mut skipped = Vec::new();
     let mut i = Import::default();
@@ -130,7 +131,7 @@
 const NO_COUNTERPART: &str = "no counterpart";
 
 impl Import {
-    /// The start of a section, if the word is one.
+    /// Starts a section if `first` is the keyword of one; otherwise returns none.
     fn open(&mut self, first: &str, words: &[String], section: &mut Section) -> Option<Result<(), String>> {
         *section = match first {
             "global" => Section::Global,
@@ -143,7 +144,7 @@
             _ => return None,
         };
         if matches!(section, Section::Backend | Section::Listen) {
-            let Some(name) = words.get(1) else { return Some(Err("a name was expected".into())) };
+            let Some(name) = words.get(1) else { return Some(Err("expected a name".into())) };
             self.dest += 1;
             self.backends.push(name.clone());
             self.server_limit = None;
@@ -167,11 +168,11 @@
             ("timeout", "server") if proxies => self.server.set(span(2)?),
             ("timeout", "http-keep-alive") if proxies => self.keepalive.set(span(2)?),
             ("retries", n) if proxies => {
-                let n: u32 = n.parse().map_err(|_| "a number was expected")?;
+                let n: u32 = n.parse().map_err(|_| "expected a number")?;
                 self.retries.set(f64::from(n) + 1.0)
             }
             ("maxconn", n) if matches!(section, Global | Defaults | Frontend | Listen) => {
-                let n: u32 = n.parse().map_err(|_| "a number was expected")?;
+                let n: u32 = n.parse().map_err(|_| "expected a number")?;
                 self.max_open.set(f64::from(n))
             }
             ("option", "httpchk") if proxies && words.len() == 2 => {
@@ -180,7 +181,7 @@
             }
             ("option", "httpchk") if proxies => {
                 self.probes = true;
-                Err("workers are checked, but always by GET /health".into())
+                Err("endpoints are probed, but always with GET /health".into())
             }
             ("bind", to) if matches!(section, Frontend | Listen) => self.bind(to, &words[1..]),
             ("default-server", _) if proxies => {
@@ -202,15 +203,15 @@
             address => address.to_string(),
         };
         if full.parse::<std::net::SocketAddr>().is_err() {
-            return Err("not one address with a port".into());
+            return Err("not a single IP address with a port".into());
         }
         if self.listen.as_ref().is_some_and(|l| *l != full) {
-            return Err("clients connect at one address, and it is taken".into());
+            return Err("clients connect at one address only, and it is already set".into());
         }
         self.listen = Some(full);
         match words.len() {
             1 => Ok(()),
-            _ => Err(format!("the address is taken over; '{}' has {NO_COUNTERPART}", words[1..].join(" "))),
+            _ => Err(format!("the address is imported; '{}' has {NO_COUNTERPART}", words[1..].join(" "))),
         }
     }
 
@@ -221,26 +222,27 @@
         line: usize,
     ) -> Result<(), String> {
         let [_, name, address, rest @ ..] = words else {
-            return Err("a name and an address were expected".into());
+            return Err("expected a name and an address".into());
         };
         if address.parse::<std::net::SocketAddr>().is_err() {
             return Err(
-                "the server is left out: not an address with a port, and names are not looked up".into()
+                "the server is not imported: expected an IP address with a port; host names are not resolved"
+                    .into(),
             );
         }
         if rest.iter().any(|w| w == "disabled" || w == "backup") {
-            return Err("the server is left out: it is disabled or a backup".into());
+            return Err("the server is not imported: it is disabled or a backup".into());
         }
         let limit = self.server_words(rest, skipped, line).or(self.server_limit).or(self.default_limit);
         self.slots += limit.unwrap_or(0);
         let kind = self.backends.last().cloned().unwrap_or_default();
         let uid = format!("{kind}/{name}");
-        if self.workers.iter().any(|w| w.uid == uid) {
-            return Err("the server is left out: its name is taken".into());
+        if self.endpoints.iter().any(|w| w.uid == uid) {
+            return Err("the server is not imported: its name is already used".into());
         }
         let state = "in_service".into();
         let (endpoint, pod_group) = (address.clone(), u64::from(self.dest));
-        self.workers.push(ListedEndpoint {
+        self.endpoints.push(ListedEndpoint {
             uid,
             endpoint,
             pod_group,
@@ -251,7 +253,7 @@
         Ok(())
     }
 
-    /// What stands behind a server's address; returns its limit of connections.
+    /// Reads the words after a server's address; returns the server's connection limit.
     fn server_words(
         &mut self,
         words: &[String],
@@ -272,7 +274,7 @@
             }
         }
         if !unmapped.is_empty() {
-            let why = format!("the server's words '{}': {NO_COUNTERPART}", unmapped.join(" "));
+            let why = format!("the server's options '{}': {NO_COUNTERPART}", unmapped.join(" "));
             skipped.push(SkippedDirective { line, why });
         }
         limit
@@ -280,7 +282,7 @@
 
     fn finish(self) -> Served {
         let mut served = super::default_config();
-        served.known.targets = self.workers;
+        served.known.targets = self.endpoints;
         served.listen = self.listen.or(served.listen);
         let settings = &mut served.settings;
         let c = &mut settings.ceilings;
@@ -309,7 +311,7 @@
     use super::*;
 
     #[test]
-    fn words_and_times_are_read_as_haproxy_reads_them() {
+    fn words_and_times_are_parsed_as_in_haproxy() {
         let read = words(r#"server a\ b "c # d" 'e"f' # rest"#).unwrap();
         assert_eq!(read, ["server", "a b", "c # d", "e\"f"]);
         assert!(words("log \"open").is_err());
@@ -321,7 +323,7 @@
     }
 
     #[test]
-    fn what_has_a_counterpart_is_mapped_and_all_else_is_reported_with_its_line() {
+    fn directives_are_mapped_or_reported_with_their_line() {
         let text = "\
 global
   maxconn 500
@@ -354,11 +356,11 @@
         assert_eq!((app.listen.as_deref(), c.probes), (Some("0.0.0.0:8080"), true));
         assert_eq!(app.settings.classes[0].deadline, 30_000.0);
         let targets = &app.known.targets;
-        let workers: Vec<_> =
+        let endpoints: Vec<_> =
             targets.iter().map(|w| (w.uid.as_str(), w.endpoint.as_str(), w.pod_group)).collect();
         let wanted =
             [("pay/p1", "10.0.0.1:80", 1), ("pay/p2", "10.0.0.2:80", 1), ("mail/m1", "10.0.0.3:80", 2)];
-        assert_eq!(workers, wanted);
+        assert_eq!(endpoints, wanted);
         let lines: Vec<usize> = skipped.iter().map(|s| s.line).collect();
         assert_eq!(lines, [3, 5, 8, 12, 14, 16, 18, 20, 23, 24], "{skipped:?}");
         let read = crate::config::Config::from_json(&app.to_json(), &|_| None).unwrap();
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,6 +1,6 @@
-//! The tool for a sidecar's files: writes, checks, explains and renders them, and imports HAProxy's.
+//! The command line tool for settings files: writes, checks, explains and renders them, and imports HAProxy's.
 //!
-//! What is wrong with files is found by the package `lilacbank-settings`; here files are opened and reports printed.
+//! The checks are in the package `lilacbank-settings`; this module opens files and prints reports.
 
 mod cell;
 pub mod cli;
@@ -23,18 +23,18 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Why the tool did not do it.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum ToolError {
     /// A file cannot be read or written.
     File(PathBuf, std::io::Error),
-    /// Faults were found, and have been reported.
+    /// The check found errors, which have been reported.
     FaultsFound,
-    /// A dispatcher refuses.
+    /// A dispatcher refused the command, or no dispatcher is in the state that the command needs.
     Refused(String),
-    /// It could not be done, and may be tried again.
+    /// A dispatcher or its control interface gave no usable answer, or a wait ended; the command may be repeated.
     Failed(String),
-    /// What was read says something else than what was written: a fault of the tool.
+    /// A dispatcher would reject the configuration at startup, although it passed the check.
     Config(config::ConfigError),
 }
 
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ToolError::File(path, e) => write!(f, "{}: {e}", path.display()),
-            ToolError::FaultsFound => f.write_str("faults were found; nothing was done"),
+            ToolError::FaultsFound => f.write_str("errors were found; nothing was done"),
             ToolError::Config(e) => e.fmt(f),
             ToolError::Refused(why) | ToolError::Failed(why) => f.write_str(why),
         }
@@ -98,7 +98,7 @@
     std::fs::read_to_string(path).map_err(|e| ToolError::File(path.into(), e))
 }
 
-/// Writes a file in one step: what was there stays until all of the new one is.
+/// Writes a file atomically: the old content stays until the new one is complete.
 fn write(path: &Path, text: &str) -> ToolResult {
     let new = PathBuf::from(format!("{}.new-{}", path.display(), std::process::id()));
     let done = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path));
@@ -108,6 +108,7 @@
     })
 }
 
+/// Writes to a file, or to standard output without one.
 fn write_output(output: Option<&Path>, text: &str) -> ToolResult {
     match output {
         Some(path) => write(path, text),
@@ -118,6 +119,7 @@
     }
 }
 
+/// Prints findings; fails if any of them is an error.
 fn report(found: &[Finding], texts: &BTreeMap<String, String>, how: ReportOptions) -> ToolResult {
     match how.format {
         Format::Text => eprint!("{}", render_findings(found, texts, std::io::stderr().is_terminal())),
@@ -140,9 +142,9 @@
     }
 }
 
-/// Reads and checks files together, and reports what is wrong.
+/// Reads and checks files together, and prints the findings.
 fn load(files: &[String], how: ReportOptions) -> Result<FileSet, ToolError> {
-    // A file that was named here and cannot be read is not a fault of the files.
+    // A file on the command line that cannot be read is an error of the command, not a finding.
     for file in files {
         read(Path::new(file))?;
     }
@@ -155,7 +157,7 @@
 
 fn first_application(set: &FileSet) -> Result<&ApplicationFile, ToolError> {
     set.apps.first().ok_or_else(|| {
-        eprintln!("the file is an agreement; name an application's file");
+        eprintln!("the file is an agreement; give the settings file of an application");
         ToolError::FaultsFound
     })
 }
@@ -184,10 +186,10 @@
                     lines.iter().for_each(|l| println!("{}", serde_json::to_string(l).unwrap_or_default()));
                 }
                 Format::Text => {
-                    let wide = |f: fn(&explain::EffectiveValue) -> &str| {
+                    let column_width = |f: fn(&explain::EffectiveValue) -> &str| {
                         lines.iter().map(|l| f(l).chars().count()).max().unwrap_or(0).min(48)
                     };
-                    let (key, value) = (wide(|l| &l.key), wide(|l| &l.value));
+                    let (key, value) = (column_width(|l| &l.key), column_width(|l| &l.value));
                     lines.iter().for_each(|l| println!("{:key$}  {:value$}  {}", l.key, l.value, l.from));
                 }
             }
@@ -203,7 +205,7 @@
     let mut agreements = Vec::new();
     for file in &new.agreements {
         let Some(agreement) = set.agreements.get(file) else {
-            eprintln!("{file}: this is an application; name agreements");
+            eprintln!("{file}: the file is an application; give agreements");
             return Err(ToolError::FaultsFound);
         };
         agreements.push((relative_path(&output, file), agreement));
@@ -222,7 +224,7 @@
         },
         &agreements,
     );
-    // What is written has passed the check, where it will stand.
+    // The text must pass the check under its final path before it is written.
     let mut found = Vec::new();
     let open = |f: &str| if f == output { Ok(text.clone()) } else { std::fs::read_to_string(f) };
     let set = FileSet::load(std::slice::from_ref(&output), &open, &mut found);
@@ -231,10 +233,10 @@
     write_output(new.output.as_deref(), &text)
 }
 
-/// How a file is named from the folder of another one.
+/// The path of `file` relative to the folder of `output`.
 fn relative_path(output: &str, file: &str) -> String {
-    let whole = |p: &str| std::path::absolute(p).unwrap_or_else(|_| p.into());
-    let (to, from) = (whole(&resolve_path("", file)), whole(&resolve_path("", output)));
+    let absolute = |p: &str| std::path::absolute(p).unwrap_or_else(|_| p.into());
+    let (to, from) = (absolute(&resolve_path("", file)), absolute(&resolve_path("", output)));
     let folder: Vec<_> = from.parent().unwrap_or(Path::new("/")).components().collect();
     let parts: Vec<_> = to.components().collect();
     let same = folder.iter().zip(&parts).take_while(|(a, b)| a == b).count();
@@ -243,7 +245,7 @@
     path.display().to_string()
 }
 
-/// Checks the JSON that a dispatcher reads: first as strictly as can be, then as a start reads it.
+/// Checks a dispatcher's JSON configuration: first with all checks, then by parsing it as a dispatcher does at startup.
 fn check_served(name: &str, text: &str, how: ReportOptions) -> Result<Served, ToolError> {
     let mut found = Vec::new();
     let (_, served) = Served::read(name, text, folders(how), &mut found);
@@ -252,7 +254,7 @@
     Ok(served)
 }
 
-/// Reads `NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]`.
+/// Parses a class given as `NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]`.
 pub fn parse_class(text: &str) -> Result<Class, String> {
     let mut parts: Vec<&str> = text.split(',').collect();
     let ordered = parts.last() == Some(&"ordered");
@@ -261,7 +263,7 @@
     }
     let (name, effect, times) = match parts[..] {
         [name, effect, ref times @ ..] if (2..=3).contains(&times.len()) => (name, effect, times),
-        _ => return Err("NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered] was expected".into()),
+        _ => return Err("expected NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]".into()),
     };
     let times: Vec<f64> = times
         .iter()
@@ -279,7 +281,7 @@
     })
 }
 
-/// What is written where nothing else is said.
+/// The configuration that `config write` and imports start from.
 pub(crate) fn default_config() -> Served {
     let mut s = Served {
         name: "lilacbank".into(),
@@ -302,7 +304,7 @@
 }
 
 impl ConfigOverrides {
-    /// What the arguments say wins over what is there so far.
+    /// Overrides values of a configuration by those given on the command line.
     fn apply_to(&self, s: &mut Served) {
         let set = &mut s.settings;
         self.name.iter().for_each(|n| s.name.clone_from(n));
@@ -330,7 +332,7 @@
         s.known.targets.iter_mut().for_each(|t| t.az.clone_from(&set.zone));
     }
 
-    /// Writes what passes the check.
+    /// Applies the overrides, checks the configuration, and writes it if it is free of errors.
     fn write_checked(&self, mut served: Served) -> ToolResult {
         self.apply_to(&mut served);
         let text = served.to_json();
@@ -342,8 +344,8 @@
         let mqtt = self.mqtt.map(|to| format!("[acceptor]\nenabled = true\nlisten = \"{to}\"\n"));
         mqtt.iter().try_for_each(|t| Mqtt::from_toml(t).map(drop))?;
         write_output(self.output.as_deref(), &text)?;
-        let beside = self.output.iter().map(|o| PathBuf::from(format!("{}.mqtt.toml", o.display())));
-        beside.zip(mqtt).try_for_each(|(path, text)| write(&path, &text))
+        let mqtt_file = self.output.iter().map(|o| PathBuf::from(format!("{}.mqtt.toml", o.display())));
+        mqtt_file.zip(mqtt).try_for_each(|(path, text)| write(&path, &text))
     }
 }
 
@@ -352,14 +354,14 @@
         Config::Write(wanted) => wanted.write_checked(default_config()),
         Config::Check { file, mqtt, how } => {
             let served = check_served(&file.display().to_string(), &read(&file)?, how)?;
-            let (classes, workers) = (served.settings.classes.len(), served.known.targets.len());
+            let (classes, endpoints) = (served.settings.classes.len(), served.known.targets.len());
             if how.format == Format::Text {
-                println!("{}: good: {classes} classes, {workers} workers", file.display());
+                println!("{}: good: {classes} classes, {endpoints} endpoints", file.display());
             }
             if let Some(file) = mqtt {
                 let on = Mqtt::from_toml(&read(&file)?)?.listen;
                 let on = on.map_or("off".to_string(), |a| format!("on, at {a}"));
-                println!("{}: good: the MQTT front is {on}", file.display());
+                println!("{}: good: the MQTT front end is {on}", file.display());
             }
             Ok(())
         }
@@ -373,30 +375,34 @@
     }
 }
 
-/// Bytes of an answer of the door at most, `vars` of many classes included.
-const ANSWER_MOST: u64 = 1 << 20;
+/// The longest answer that is read from a control interface, in bytes; `vars` with many classes fits.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Says one line to a dispatcher's door and prints the answer.
+/// Sends one line to a dispatcher's control interface and prints the answer.
 fn control(at: Option<String>, line: &str) -> Result<(), ToolError> {
     use std::io::{Read, Write};
     let at = at.or_else(|| config::environment("ROUTER_CONTROL")).filter(|a| !a.is_empty());
     let Some(at) = at else {
-        return Err(ToolError::Failed("no door: give --at ADDRESS or set ROUTER_CONTROL".into()));
+        return Err(ToolError::Failed(
+            "no control interface is given; use --at ADDRESS or set ROUTER_CONTROL".into(),
+        ));
+    };
+    let not_reached = |e: std::io::Error| {
+        ToolError::Failed(format!("the control interface at {at} cannot be reached: {e}"))
     };
-    let unreached = |e: std::io::Error| ToolError::Failed(format!("the door at {at} cannot be reached: {e}"));
     let address: std::net::SocketAddr = at.parse().map_err(|_| {
         ToolError::Failed(format!("'{at}' is not an address with a port, such as 127.0.0.1:7001"))
     })?;
-    let patience = std::time::Duration::from_secs(5);
-    let mut stream = std::net::TcpStream::connect_timeout(&address, patience).map_err(unreached)?;
-    stream.set_read_timeout(Some(patience)).map_err(unreached)?;
-    stream.write_all(format!("{line}\n").as_bytes()).map_err(unreached)?;
+    let timeout = std::time::Duration::from_secs(5);
+    let mut stream = std::net::TcpStream::connect_timeout(&address, timeout).map_err(not_reached)?;
+    stream.set_read_timeout(Some(timeout)).map_err(not_reached)?;
+    stream.write_all(format!("{line}\n").as_bytes()).map_err(not_reached)?;
     let mut answer = String::new();
-    stream.take(ANSWER_MOST).read_to_string(&mut answer).map_err(unreached)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).map_err(not_reached)?;
     print!("{answer}");
     match answer.split_whitespace().next() {
-        Some("400") => Err(ToolError::Refused("the door said no".into())),
+        Some("400") => Err(ToolError::Refused("the dispatcher rejected the command".into())),
         Some(_) => Ok(()),
-        None => Err(ToolError::Failed(format!("the door at {at} said nothing"))),
+        None => Err(ToolError::Failed(format!("the control interface at {at} sent no answer"))),
     }
 }
--- a/src/tool/moves.rs
+++ b/src/tool/moves.rs
@@ -1,4 +1,4 @@
-//! `lilacbank cell status|move|abort|reclaim`: asks the dispatchers of a map.
+//! `lilacbank cell status|move|abort|reclaim`: queries and commands to the dispatchers of a map.
 
 use super::cli::Format;
 use super::{ToolError, ToolResult};
@@ -7,37 +7,38 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A dispatcher answers at once, or is not there.
+/// The timeout for connecting and for an answer. A dispatcher answers immediately, or is not running.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a move is looked after.
+/// The interval at which the progress of a move is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Who asks, to the dispatchers.
+/// The sender's name in messages from this tool to dispatchers.
 const SENDER_NAME: &str = "tool";
 
+/// The name of a dispatcher and its address for peers.
 type Peer = (String, SocketAddr);
 
-/// Asks one dispatcher.
+/// Sends a request to one dispatcher and waits for the answer.
 fn query(peer: &Peer, tenant: &str, ask: Ask, to: &str) -> Result<Answer, ToolError> {
     let (name, address) = peer;
-    let unreachable = |e: &dyn std::fmt::Display| ToolError::Failed(format!("{name} at {address}: {e}"));
-    let mut tcp = TcpStream::connect_timeout(address, ANSWER_TIMEOUT).map_err(|e| unreachable(&e))?;
-    tcp.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(|e| unreachable(&e))?;
+    let failed = |e: &dyn std::fmt::Display| ToolError::Failed(format!("{name} at {address}: {e}"));
+    let mut tcp = TcpStream::connect_timeout(address, ANSWER_TIMEOUT).map_err(|e| failed(&e))?;
+    tcp.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(|e| failed(&e))?;
     let wish = Some(Wish { ask: ask as i32, to: to.into() });
     let envelope = Envelope { wish, ..plain(SENDER_NAME, name, tenant, 0, Kind::Wish) };
-    tcp.write_all(&envelope.frame()).map_err(|e| unreachable(&e))?;
-    let (mut frames, mut part) = (Frames::default(), [0; 16 * 1024]);
+    tcp.write_all(&envelope.frame()).map_err(|e| failed(&e))?;
+    let (mut frames, mut buffer) = (Frames::default(), [0; 16 * 1024]);
     loop {
-        if let Some(e) = frames.take().map_err(|e| unreachable(&e))? {
-            return e.answer.ok_or_else(|| unreachable(&"what it says is no answer"));
+        if let Some(e) = frames.take().map_err(|e| failed(&e))? {
+            return e.answer.ok_or_else(|| failed(&"the message that it sent is not an answer"));
         }
-        match tcp.read(&mut part).map_err(|e| unreachable(&e))? {
-            0 => return Err(unreachable(&"it has closed the connection")),
-            n => frames.push(&part[..n]),
+        match tcp.read(&mut buffer).map_err(|e| failed(&e))? {
+            0 => return Err(failed(&"it closed the connection without an answer")),
+            n => frames.push(&buffer[..n]),
         }
     }
 }
 
-/// The reports of all dispatchers that answer; and what the others did.
+/// The status reports of all dispatchers that answer, and an error text for each of the others.
 fn query_status(peers: &[Peer], tenant: &str) -> (Vec<(String, Report)>, Vec<String>) {
     let (mut reports, mut failures) = (Vec::new(), Vec::new());
     for peer in peers {
@@ -49,11 +50,12 @@
     (reports, failures)
 }
 
-/// Is the tenant this dispatcher's, or on its way from it?
+/// Whether the dispatcher that sent the report owns the tenant, or is handing it over.
 fn owns_tenant(r: &Report) -> bool {
     ["settled", "draining", "offered", "committed"].contains(&r.phase.as_str())
 }
 
+/// Formats a status report as one line.
 fn format_report(at: &str, r: &Report) -> String {
     let other = if r.other.is_empty() { "-" } else { &r.other };
     format!(
@@ -62,7 +64,7 @@
     )
 }
 
-/// Prints the seats.
+/// Prints which dispatcher owns each tenant, and the progress of moves.
 pub(super) fn status(peers: &[Peer], tenant: &str, format: Format) -> ToolResult {
     let (mut reports, failures) = query_status(peers, tenant);
     reports.sort_by(|a, b| (&a.1.tenant, &a.0).cmp(&(&b.1.tenant, &b.0)));
@@ -84,17 +86,21 @@
     }
 }
 
-/// The dispatcher that has a tenant.
+/// The dispatcher that owns a tenant.
 fn owner<'a>(peers: &'a [Peer], tenant: &str) -> Result<&'a Peer, ToolError> {
     let (reports, failures) = query_status(peers, tenant);
     let at = reports.iter().find(|(_, r)| owns_tenant(r)).map(|(at, _)| at);
     let peer = at.and_then(|at| peers.iter().find(|p| p.0 == *at));
     peer.ok_or_else(|| match failures.is_empty() {
         true => ToolError::Refused(format!("no dispatcher serves '{tenant}'")),
-        false => ToolError::Failed(format!("who serves '{tenant}' does not answer: {}", failures.join("; "))),
+        false => ToolError::Failed(format!(
+            "no dispatcher that answers serves '{tenant}'; no answer from: {}",
+            failures.join("; ")
+        )),
     })
 }
 
+/// Sends a command and returns the resulting status; a refusal is an error.
 fn request(peer: &Peer, tenant: &str, what: Ask, to: &str) -> Result<Report, ToolError> {
     let answer = query(peer, tenant, what, to)?;
     match answer.refused.is_empty() {
@@ -103,18 +109,18 @@
     }
 }
 
-/// Moves a tenant, and waits.
+/// Moves a tenant, and waits until the target serves it or the wait ends.
 pub(super) fn start(peers: &[Peer], tenant: &str, to: &str, wait: Duration) -> ToolResult {
     let from = owner(peers, tenant)?;
     let first = request(from, tenant, Ask::Move, to)?;
     println!("{}", format_report(&from.0, &first));
     let target = peers.iter().find(|p| p.0 == to);
-    let (begun, mut last_phase) = (Instant::now(), first.phase.clone());
-    while begun.elapsed() < wait {
+    let (started, mut last_phase) = (Instant::now(), first.phase.clone());
+    while started.elapsed() < wait {
         std::thread::sleep(POLL_INTERVAL);
         let there = target.and_then(|p| query(p, tenant, Ask::Status, "").ok());
         if let Some(r) = there.and_then(|a| a.seats.into_iter().next()) {
-            // It may have been moved on since.
+            // A higher epoch: the target has owned the tenant since the move, even if it is already handing it on.
             if owns_tenant(&r) && r.epoch > first.epoch {
                 println!("{}", format_report(to, &r));
                 return Ok(());
@@ -127,30 +133,38 @@
             last_phase = r.phase.clone();
         }
         if r.phase == "settled" {
-            let why = "the move was taken back; the dispatcher's log tells why";
+            let why = "the move was taken back; see the dispatcher's log for the reason";
             return Err(ToolError::Refused(format!("{}: {why}", from.0)));
         }
     }
-    let why = format!("'{tenant}' is {last_phase} at {} after {} s; it goes on", from.0, wait.as_secs());
+    let why = format!(
+        "'{tenant}' is still {last_phase} at {} after {} s; the move continues",
+        from.0,
+        wait.as_secs()
+    );
     Err(ToolError::Failed(why))
 }
 
-/// Takes a move back.
+/// Aborts a move that has not been committed.
 pub(super) fn abort(peers: &[Peer], tenant: &str) -> ToolResult {
     let from = owner(peers, tenant)?;
     println!("{}", format_report(&from.0, &request(from, tenant, Ask::Abort, "")?));
     Ok(())
 }
 
-/// Takes back what was handed over to a dispatcher that is gone.
+/// Takes back a tenant that was handed over to a dispatcher that is permanently lost.
 pub(super) fn reclaim(peers: &[Peer], tenant: &str, gone: &str) -> ToolResult {
     let (reports, _) = query_status(peers, tenant);
     if reports.iter().any(|(at, _)| at == gone) {
-        return Err(ToolError::Refused(format!("{gone} is there and answers; move the tenant from there")));
+        return Err(ToolError::Refused(format!(
+            "{gone} is running and answers; move the tenant from there instead"
+        )));
     }
-    let waits = |(_, r): &&(String, Report)| r.phase == "committed" && r.other == gone;
-    let Some((at, _)) = reports.iter().find(waits) else {
-        return Err(ToolError::Refused(format!("no dispatcher waits for {gone} with '{tenant}'")));
+    let handed_over = |(_, r): &&(String, Report)| r.phase == "committed" && r.other == gone;
+    let Some((at, _)) = reports.iter().find(handed_over) else {
+        return Err(ToolError::Refused(format!(
+            "no dispatcher has a committed handoff of '{tenant}' to {gone}"
+        )));
     };
     let Some(peer) = peers.iter().find(|p| p.0 == *at) else { return Ok(()) };
     println!("{}", format_report(at, &request(peer, tenant, Ask::Reclaim, "")?));
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool, started as a sidecar's operator would.
+//! Runs the command line tool as a sidecar's operator would.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -18,7 +18,7 @@
     lilacbank(&[&["config"], arguments].concat())
 }
 
-fn said(bytes: &[u8]) -> String {
+fn utf8(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_write_puts_out_passes_check() {
+fn output_of_config_write_passes_check() {
     let dir = dir("write");
     let file = dir.join("claims.json");
     let path = file.to_str().unwrap();
@@ -36,16 +36,16 @@
     let out = tool(
         &[&["write", "--name", "claims", "--mqtt", "127.0.0.1:1883", "--output", path], &pay[..]].concat(),
     );
-    assert!(out.status.success(), "{}", said(&out.stderr));
-    let beside = format!("{path}.mqtt.toml");
-    let out = tool(&["check", path, "--mqtt", &beside]);
-    let text = said(&out.stdout);
+    assert!(out.status.success(), "{}", utf8(&out.stderr));
+    let mqtt_file = format!("{path}.mqtt.toml");
+    let out = tool(&["check", path, "--mqtt", &mqtt_file]);
+    let text = utf8(&out.stdout);
     assert!(out.status.success() && text.contains("2 classes") && text.contains("127.0.0.1:1883"), "{text}");
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn a_fault_is_named_by_its_key_and_nothing_is_written() {
+fn an_error_names_its_key_and_nothing_is_written() {
     let dir = dir("fault");
     let file = dir.join("x.json");
     let path = file.to_str().unwrap();
@@ -59,7 +59,7 @@
     ];
     for (more, status, wanted) in cases {
         let out = tool(&[&["write", "--output", path], more].concat());
-        let text = said(&out.stderr);
+        let text = utf8(&out.stderr);
         assert!(
             out.status.code() == Some(status) && !file.exists() && text.contains(wanted),
             "{more:?}\n{text}"
@@ -69,38 +69,39 @@
     let out = tool(&["check", path]);
     assert_eq!(out.status.code(), Some(1));
     assert!(
-        said(&out.stderr).contains("'settings.classes[0].deadline' cannot be read"),
+        utf8(&out.stderr).contains("'settings.classes[0].deadline' cannot be read"),
         "{}",
-        said(&out.stderr)
+        utf8(&out.stderr)
     );
     assert_eq!(tool(&["check", "/no/such/file"]).status.code(), Some(2));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn an_import_passes_check_and_reports_what_it_left_out() {
+fn an_import_passes_check_and_reports_unmapped_directives() {
     let dir = dir("import");
     let (from, to) = (dir.join("haproxy.cfg"), dir.join("out.json"));
     let text = "defaults\n  timeout connect 500ms\n  balance roundrobin\nbackend b\n  server s 127.0.0.1:9000 check\n";
     std::fs::write(&from, text).unwrap();
     let out = tool(&["import-haproxy", from.to_str().unwrap(), "--output", to.to_str().unwrap()]);
-    let report = said(&out.stderr);
+    let report = utf8(&out.stderr);
     assert!(out.status.success() && report.contains("haproxy.cfg:3: 'balance roundrobin'"), "{report}");
     assert_eq!(report.lines().count(), 1, "{report}");
     let out = tool(&["check", "--elsewhere", to.to_str().unwrap()]);
-    assert!(said(&out.stdout).contains("1 workers"), "{}", said(&out.stderr));
+    assert!(utf8(&out.stdout).contains("1 endpoints"), "{}", utf8(&out.stderr));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// The faults that a new user made, and of which one was caught: in the JSON, too, each has its code and its line.
+/// Guards against mistakes in the JSON that pass unnoticed. A new user made these mistakes, and only one was caught at the
+/// time; each must be reported with its code and line.
 #[test]
-fn the_faults_of_a_new_user_are_caught_in_the_json() {
+fn mistakes_in_the_json_are_reported_with_code_and_line() {
     let dir = dir("json");
     let good = dir.join("good.json");
     let path = good.to_str().unwrap();
     let out =
         lilacbank(&["app", "render", "--elsewhere", example("claims.toml").to_str().unwrap(), "-o", path]);
-    assert!(out.status.success(), "{}", said(&out.stderr));
+    assert!(out.status.success(), "{}", utf8(&out.stderr));
     assert!(tool(&["check", "--elsewhere", path]).status.success());
     let text = std::fs::read_to_string(&good).unwrap();
     let cases = [
@@ -129,35 +130,36 @@
         ("\"endpoint\": \"127.0.0.1:9102\"", "\"endpoint\": \"127.0.0.1:6401\"", "LB0107"),
         ("\"state\": \"/var/lib/lilacbank/claims\"", "\"state\": \"/etc/passwd/claims\"", "LB0602"),
     ];
-    let nowhere = dir.join("nowhere.json");
+    let no_endpoints = dir.join("nowhere.json");
     let class = r#"{"name":"a","deadline":5000,"promise":1000}"#;
     std::fs::write(
-        &nowhere,
+        &no_endpoints,
         format!(r#"{{"listen":"127.0.0.1:0","state":"/tmp","settings":{{"classes":[{class}]}}}}"#),
     )
     .unwrap();
-    let out = tool(&["check", "--format", "json", "--elsewhere", nowhere.to_str().unwrap()]);
-    assert!(said(&out.stdout).contains("LB0702"), "{}", said(&out.stdout));
+    let out = tool(&["check", "--format", "json", "--elsewhere", no_endpoints.to_str().unwrap()]);
+    assert!(utf8(&out.stdout).contains("LB0702"), "{}", utf8(&out.stdout));
     for (n, (from, to, code)) in cases.into_iter().enumerate() {
         assert!(text.contains(from), "{from} is not in:\n{text}");
         let file = dir.join(format!("bad-{n}.json"));
         std::fs::write(&file, text.replacen(from, to, 1)).unwrap();
         let out = tool(&["check", "--format", "json", file.to_str().unwrap()]);
-        let told = said(&out.stdout);
+        let output = utf8(&out.stdout);
         let line = text[..text.find(from).unwrap()].matches('\n').count() + 1;
-        let hit = told.lines().any(|l| l.contains(&format!("\"code\":\"{code}\"")));
-        assert!(out.status.code() == Some(1) && hit, "{to}: {code} at line {line}\n{told}");
-        // What is not there has its place above.
+        let reported = output.lines().any(|l| l.contains(&format!("\"code\":\"{code}\"")));
+        assert!(out.status.code() == Some(1) && reported, "{to}: {code} at line {line}\n{output}");
+        // A missing key is reported at its parent's line.
         if !to.is_empty() && code != "LB0308" && code != "LB0301" && !to.contains("discovery") && n != 13 {
-            assert!(told.contains(&format!("\"line\":{line},")), "{to}: line {line}\n{told}");
+            assert!(output.contains(&format!("\"line\":{line},")), "{to}: line {line}\n{output}");
         }
     }
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// What `app new` writes passes `app check` as it stands, from wherever it is written to; nothing is half-written.
+/// The output of `app new` passes `app check` without changes in any folder, and a failed command leaves neither a
+/// changed nor a partly written file.
 #[test]
-fn a_new_application_is_good_as_it_stands() {
+fn a_new_application_passes_check_unchanged() {
     let dir = dir("new");
     let (file, json) = (dir.join("deep/er/new.toml"), dir.join("new.json"));
     std::fs::create_dir_all(file.parent().unwrap()).unwrap();
@@ -181,32 +183,32 @@
     ];
     for share in ["5%", "25%", "100%"] {
         let out = lilacbank(&[&new[..], &["--share", share]].concat());
-        assert!(out.status.success() && out.stderr.is_empty(), "{share}: {}", said(&out.stderr));
+        assert!(out.status.success() && out.stderr.is_empty(), "{share}: {}", utf8(&out.stderr));
         let out = lilacbank(&["app", "check", path]);
-        assert!(out.status.success() && !said(&out.stderr).contains("error"), "{}", said(&out.stderr));
+        assert!(out.status.success() && !utf8(&out.stderr).contains("error"), "{}", utf8(&out.stderr));
     }
     let text = std::fs::read_to_string(&file).unwrap();
     assert!(lilacbank(&["app", "render", path, "-o", json]).status.success());
-    let told = said(&lilacbank(&["app", "explain", path]).stdout);
+    let values = utf8(&lilacbank(&["app", "explain", path]).stdout);
     for line in
         ["promised.sotrans-dakar.calls", "24 in any 2s", "work.attempts", "default", "sotrans-dakar.toml:6"]
     {
-        assert!(told.contains(line), "{line} is not in:\n{told}");
+        assert!(values.contains(line), "{line} is not in:\n{values}");
     }
-    // A share of nothing: refused, and the old file stays.
+    // A share of less than one call is rejected, and the old file stays.
     let out = lilacbank(&[&new[..], &["--share", "1%"]].concat());
-    assert!(out.status.code() == Some(1) && said(&out.stderr).contains("LB0403"), "{}", said(&out.stderr));
+    assert!(out.status.code() == Some(1) && utf8(&out.stderr).contains("LB0403"), "{}", utf8(&out.stderr));
     assert_eq!(std::fs::read_to_string(&file).unwrap(), text);
     std::fs::write(&file, text.replace("slots = ", "slots = \"")).unwrap();
     let before = std::fs::read_to_string(json).unwrap();
     assert_eq!(lilacbank(&["app", "render", path, "-o", json]).status.code(), Some(1));
     assert_eq!(std::fs::read_to_string(json).unwrap(), before);
-    assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 2, "no half-written file is left");
+    assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 2, "no partly written file is left");
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn help_schemas_and_completions_are_there() {
+fn help_schemas_and_completions_are_printed() {
     for (arguments, wanted) in [
         (&["--help"][..], "Exit status: 0 good"),
         (&["app", "check", "--help"], "--elsewhere"),
@@ -217,17 +219,17 @@
     ] {
         let out = lilacbank(arguments);
         assert!(
-            out.status.success() && said(&out.stdout).contains(wanted),
+            out.status.success() && utf8(&out.stdout).contains(wanted),
             "{arguments:?}: {}",
-            said(&out.stdout)
+            utf8(&out.stdout)
         );
     }
     assert_eq!(lilacbank(&["serv"]).status.code(), Some(2));
 }
 
-/// A map with one cell more moves those who come to live in it, and nobody else.
+/// Guards against a new cell that moves tenants other than those it gets.
 #[test]
-fn a_cell_map_tells_who_lives_where_and_who_moves() {
+fn cell_maps_show_placement_and_moves() {
     let dir = dir("cells");
     let old = example("maps/plateau.toml");
     let old = old.to_str().unwrap();
@@ -242,24 +244,24 @@
     write("version = 1");
     let new = new.to_str().unwrap();
     let out = lilacbank(&["cell", "check", new, "--in-force", old]);
-    assert!(out.status.code() == Some(1) && said(&out.stderr).contains("LB0809"), "{}", said(&out.stderr));
+    assert!(out.status.code() == Some(1) && utf8(&out.stderr).contains("LB0809"), "{}", utf8(&out.stderr));
     write("version = 2");
     let out = lilacbank(&["cell", "check", new, "--in-force", old]);
-    assert!(out.status.success(), "{}", said(&out.stderr));
+    assert!(out.status.success(), "{}", utf8(&out.stderr));
     std::fs::write(&names, (0..200).map(|n| format!("tenant-{n}\n")).collect::<String>()).unwrap();
     let at = format!("@{}", names.display());
-    let placed = said(&lilacbank(&["cell", "place", old, "sotrans-dakar", &at]).stdout);
+    let placed = utf8(&lilacbank(&["cell", "place", old, "sotrans-dakar", &at]).stdout);
     assert!(
         placed.starts_with("sotrans-dakar large n") && placed.lines().skip(1).all(|l| l.contains(" rest n"))
     );
-    let plan = said(&lilacbank(&["cell", "plan", old, new, &at]).stdout);
+    let plan = utf8(&lilacbank(&["cell", "plan", old, new, &at]).stdout);
     let moved = plan.lines().filter(|l| l.contains(" -> third")).count();
     assert!((70..130).contains(&moved) && plan.contains(&format!("{moved} of 200 move")), "{plan}");
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Does a dispatcher start on the file and listen?
-fn starts(json: &Path) -> Result<(), String> {
+/// Whether a dispatcher starts with this configuration and listens; otherwise its log.
+fn check_starts(json: &Path) -> Result<(), String> {
     use std::io::{BufRead, BufReader};
     let mut child = Command::new(env!("CARGO_BIN_EXE_lilacbank"))
         .args(["serve", "--log-format", "text", "--config", json.to_str().unwrap()])
@@ -268,9 +270,9 @@
         .spawn()
         .unwrap();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-    let mut seen = String::new();
+    let mut log = String::new();
     let listens = lines.into_iter().any(|l| {
-        seen += &format!("{l}\n");
+        log += &format!("{l}\n");
         l.contains(" listens on ")
     });
     child.kill().unwrap();
@@ -278,13 +280,14 @@
     if listens {
         Ok(())
     } else {
-        Err(seen)
+        Err(log)
     }
 }
 
-/// Every way in which one line of a valid pair is changed: it is caught, or a dispatcher starts on what it yields.
+/// Guards against files that pass the check but do not serve. Each line of a valid application and agreement is changed in
+/// 12 ways; either the check reports an error, or a dispatcher starts with the result.
 #[test]
-fn a_single_mutation_is_caught_or_serves() {
+fn a_single_mutation_is_rejected_or_serves() {
     let dir = dir("mutate");
     let agreement = std::fs::read_to_string(example("agreements/sotrans-dakar.toml")).unwrap();
     let app = std::fs::read_to_string(example("payroll.toml")).unwrap();
@@ -323,7 +326,7 @@
     }
     let (app, agreement, dir) = (&app, &agreement, &dir);
     let cases = std::sync::Mutex::new(cases.into_iter().enumerate());
-    let caught = std::sync::atomic::AtomicUsize::new(0);
+    let rejected = std::sync::atomic::AtomicUsize::new(0);
     let served = std::sync::atomic::AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -339,25 +342,25 @@
                 std::fs::write(dir.join("sotrans-dakar.toml"), texts[1]).unwrap();
                 let (file, json) = (dir.join("payroll.toml"), dir.join("out.json"));
                 let out = lilacbank(&["app", "render", file.to_str().unwrap(), "-o", json.to_str().unwrap()]);
-                let told = said(&out.stderr);
+                let errors = utf8(&out.stderr);
                 match out.status.code() {
                     Some(1) => {
-                        assert!(told.contains("error[LB") && !json.exists(), "{which}:{line} kind {kind}\n{told}");
-                        caught.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                        assert!(errors.contains("error[LB") && !json.exists(), "{which}:{line} kind {kind}\n{errors}");
+                        rejected.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     }
                     Some(0) => {
-                        if let Err(why) = starts(&json) {
-                            panic!("{which}:{line} kind {kind} passes the check and does not serve:\n{why}\n{text}");
+                        if let Err(why) = check_starts(&json) {
+                            panic!("{which}:{line} kind {kind} passes the check but does not serve:\n{why}\n{text}");
                         }
                         served.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     }
-                    other => panic!("{which}:{line} kind {kind}: {other:?}\n{told}\n{text}"),
+                    other => panic!("{which}:{line} kind {kind}: {other:?}\n{errors}\n{text}"),
                 }
             });
         }
     });
-    let (caught, served) = (caught.into_inner(), served.into_inner());
-    println!("{caught} mutations caught, {served} served");
-    assert!(caught > 150 && served > 20, "{caught} caught, {served} served");
+    let (rejected, served) = (rejected.into_inner(), served.into_inner());
+    println!("{rejected} mutations rejected, {served} served");
+    assert!(rejected > 150 && served > 20, "{rejected} rejected, {served} served");
     std::fs::remove_dir_all(dir).unwrap();
 }
