--- a/crates/settings/src/agreement.rs
+++ b/crates/settings/src/agreement.rs
@@ -1,4 +1,4 @@
-//! The agreement of a destination: what its endpoints take from all clients together.
+//! The agreement of a destination: what its endpoints take from all applications together.
 
 use crate::units::{Limit, Name, Share, Span, Target};
 use schemars::JsonSchema;
@@ -58,7 +58,8 @@
     pub address: Option<Target>,
     /// The building in which the endpoint runs.
     pub building: Option<Name>,
-    /// The most connections from all clients together, idle ones included; without it, the agreement's value applies.
+    /// The most connections from all applications together, idle ones included; without it, the agreement's value
+    /// applies.
     pub connections: Option<u32>,
 }
 
@@ -84,11 +85,11 @@
     pub destination: Option<u64>,
     /// The kind: whether the limit applies to all endpoints together or to each of them.
     pub kind: MemberKind,
-    /// The most calls from all clients together; without it, only the destination's capacity limits them.
+    /// The most calls from all applications together; without it, only the destination's capacity limits them.
     pub limit: Option<Limit>,
     /// The longest time from writing a call's last byte to its arrival.
     pub travel: Span,
-    /// The most connections to each endpoint from all clients together, idle ones included.
+    /// The most connections to each endpoint from all applications together, idle ones included.
     pub connections: Option<u32>,
     /// The time within which new attempts at a draining endpoint stop (2s at most).
     pub drain: Span,
--- a/crates/settings/src/application.rs
+++ b/crates/settings/src/application.rs
@@ -1,4 +1,5 @@
-//! The settings file of an application: its dispatcher, and the limits that it promises to keep at each destination.
+//! The settings file of an application: its dispatcher, and the limits that it promises to keep at each
+//! destination.
 
 use crate::agreement::{Area, Repeats};
 use crate::units::{Address, Limit, Name, Share, Size, Span};
@@ -64,17 +65,18 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Tenant {
-    /// The rate of messages that is the tenant's share; messages over it get the lowest priority. Without it, the share
-    /// is unlimited.
+    /// The rate of messages that is the tenant's share; messages over it get the lowest priority. Without it,
+    /// the share is unlimited.
     pub share: Option<Limit>,
 }
 
-/// A cell: tenants that share a part of every limited resource, and are isolated from the tenants of other cells.
+/// A cell: tenants that share a part of every limited resource, and are isolated from the tenants of other
+/// cells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Cell {
-    /// The cell's weight when slots, held messages, journal, time and promised calls are divided among cells (over 0, up
-    /// to 1000).
+    /// The cell's weight when slots, held messages, journal, time and promised calls are divided among cells
+    /// (over 0, up to 1000).
     pub weight: f64,
     /// Tenants assigned to the cell; tenants that no cell lists are placed by a hash of their names.
     pub tenants: Vec<Name>,
@@ -106,8 +108,8 @@
     pub worth: f64,
     /// The part of the worth that is left at the deadline (0 to 1).
     pub late_worth: f64,
-    /// Where repeats are forbidden: how long a message is remembered after its final answer, so that it is not delivered
-    /// again when a client submits it again.
+    /// Where repeats are forbidden: how long a message is remembered after its final answer, so that it is
+    /// not delivered again when a client submits it again.
     pub remembered: Span,
 }
 
@@ -133,7 +135,8 @@
 pub struct Use {
     /// The path of the destination's agreement, relative to the folder of this file.
     pub agreement: Option<String>,
-    /// The application's share of the destination's limit; the shares of all applications add up to 100% at most.
+    /// The application's share of the destination's limit; the shares of all applications add up to 100% at
+    /// most.
     pub share: Option<Share>,
     /// The most connections to each endpoint, idle ones included.
     pub connections: Option<u32>,
@@ -171,7 +174,8 @@
     pub connect_timeout: Span,
     /// The time after which an idle connection is closed (1ms to 1h).
     pub keep_alive: Span,
-    /// Whether endpoints in an outage are probed before a message is attempted there; a probe counts as a call.
+    /// Whether endpoints in an outage are probed before a message is attempted there; a probe counts as a
+    /// call.
     pub probes: bool,
 }
 
@@ -219,8 +223,9 @@
     pub building: Option<Name>,
     /// The address of the registry; without it, only the endpoints in the agreements are used.
     pub discovery: Option<Address>,
-    /// The receiver of notices to RESP2 clients about accepted messages that were not delivered: the address of a service
-    /// that accepts the platform's notices, or "log". Without it, the address in 'discovery' is used.
+    /// The receiver of notices to RESP2 clients about accepted messages that were not delivered: the address
+    /// of a service that accepts the platform's notices, or "log". Without it, the address in 'discovery' is
+    /// used.
     pub notices: Option<String>,
     /// The addresses at which clients connect.
     pub listen: Listen,
--- a/crates/settings/src/cellmap.rs
+++ b/crates/settings/src/cellmap.rs
@@ -1,8 +1,8 @@
 //! The cell map: which dispatchers, tenants and shares of each destination belong to which cell.
 //!
-//! Operators write the map; it has a version, and all dispatchers use the same one. Tenants that no cell names are placed
-//! by a hash of their names, so a new tenant needs no change of the map. Adding a cell moves only the tenants that the new
-//! cell gets.
+//! Operators write the map; it has a version, and all dispatchers use the same one. Tenants that no cell
+//! names are placed by a hash of their names, so a new tenant needs no change of the map. Adding a cell moves
+//! only the tenants that the new cell gets.
 
 use crate::agreement::{Agreement, MemberKind};
 use crate::check::{as_warning, check_duplicates, check_range, check_required, with_related};
@@ -44,8 +44,8 @@
 pub struct Cell {
     /// The dispatchers of the cell.
     pub dispatchers: Vec<Name>,
-    /// The cell's weight in the placement of tenants that no cell names (0 to 1000); at 0, it gets only the tenants that
-    /// it names.
+    /// The cell's weight in the placement of tenants that no cell names (0 to 1000); at 0, it gets only the
+    /// tenants that it names.
     pub weight: f64,
     /// Tenants assigned to the cell.
     pub tenants: Vec<Name>,
@@ -323,7 +323,8 @@
         }
     }
 
-    /// Checks that the map may replace the one in force: it needs the same name, and a higher version if it differs.
+    /// Checks that the map may replace the one in force: it needs the same name, and a higher version if it
+    /// differs.
     fn check_successor(&self, in_force: &LoadedMap, findings: &mut Vec<Finding>) {
         let (s, old) = (&self.source, &in_force.map);
         if self.map.map != old.map {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,5 +1,6 @@
-//! Checks that compare several values: within one file, between an application and its agreements, and across all
-//! files of one machine. This module does no I/O; the state of the disk comes from a [`Folders`] implementation.
+//! Checks that compare several values: within one file, between an application and its agreements, and across
+//! all files of one machine. This module does no I/O; the state of the disk comes from a [`Folders`]
+//! implementation.
 
 use crate::agreement::{Agreement, Area, MemberKind, Repeats};
 use crate::application::{Application, Class};
@@ -10,7 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// The longest drain time that an agreement may set; a project rule says that a drain has ended after this time.
+/// The longest drain time that an agreement may set; a project rule says that a drain has ended after this
+/// time.
 pub const MAX_DRAIN_TIME: Span = Span(2_000.0);
 /// File descriptors that the process needs for itself, besides clients, sessions and slots.
 pub const RESERVED_DESCRIPTORS: u32 = 40;
@@ -60,10 +62,12 @@
     }
 }
 
+/// The finding with severity warning.
 pub(crate) fn as_warning(f: Finding) -> Finding {
     Finding { severity: Severity::Warning, ..f }
 }
 
+/// The finding with a related place, and how that place is related.
 pub(crate) fn with_related(mut f: Finding, place: Place, says: impl Into<String>) -> Finding {
     f.with.push(Place { says: says.into(), ..place });
     f
@@ -149,6 +153,7 @@
     list.iter().enumerate().map(move |(i, n)| (format!("{path}[{i}]"), n))
 }
 
+/// Checks one agreement by itself.
 fn check_agreement(s: &Source, a: &Agreement, findings: &mut Vec<Finding>) {
     check_required(
         s,
@@ -303,6 +308,7 @@
     }
 }
 
+/// Checks one application by itself.
 fn check_application(s: &Source, a: &Application, findings: &mut Vec<Finding>) {
     check_required(s, "application", &a.application, "set the application's name", findings);
     check_required(s, "state", &a.state, "set a folder for the state that outlasts the process", findings);
@@ -442,7 +448,8 @@
     }
 }
 
-/// Checks the cells inside the dispatcher: each tenant is in one cell at most, and each cell gets at least one slot.
+/// Checks the cells inside the dispatcher: each tenant is in one cell at most, and each cell gets at least
+/// one slot.
 fn check_cells(s: &Source, a: &Application, findings: &mut Vec<Finding>) {
     let path = |cell: &Name| format!("cells.{cell}");
     let tenants = a.cells.iter().flat_map(|(name, c)| {
@@ -526,8 +533,8 @@
     pub from: Option<Place>,
 }
 
-/// Returns how repeats of a class are handled: the application's own settings, and for those that it does not set the
-/// strictest of its destinations.
+/// Returns how repeats of a class are handled: the application's own settings, and for those that it does not
+/// set the strictest of its destinations.
 pub fn effective_repeats(
     set: &FileSet,
     app: &ApplicationFile,
@@ -566,6 +573,7 @@
     u.agreement.classes.contains_key(class) && u.entry.classes.as_ref().is_none_or(|c| c.contains(class))
 }
 
+/// Checks the classes of an application against the agreements that it uses.
 fn check_classes(set: &FileSet, app: &ApplicationFile, findings: &mut Vec<Finding>) {
     let s = &set.sources[&app.file];
     for (name, class) in &app.record.classes {
@@ -679,6 +687,7 @@
     }
 }
 
+/// Checks the uses of an application against the application and their agreements.
 fn check_uses(set: &FileSet, app: &ApplicationFile, findings: &mut Vec<Finding>) {
     let (s, a) = (&set.sources[&app.file], &app.record);
     for (at, used) in a.uses.iter().enumerate() {
@@ -725,8 +734,8 @@
             }
         }
     }
-    // Two uses of one destination must name different tenants; otherwise it is undefined from whose share a message is
-    // taken.
+    // Two uses of one destination must name different tenants; otherwise it is undefined from whose share a
+    // message is taken.
     let all: Vec<ResolvedUse> = set.resolved_uses(app).collect();
     for (i, u) in all.iter().enumerate() {
         for o in all[..i].iter().filter(|o| o.agreement_source.file == u.agreement_source.file) {
@@ -735,7 +744,7 @@
                 _ => false,
             };
             if !disjoint {
-                let wrong = format!("'{}' is used twice for the same tenants", u.destination_name());
+                let wrong = format!("'{}' is used twice without separate 'tenants'", u.destination_name());
                 let f = u.source.finding(
                     "LB0101",
                     &u.key_path("agreement"),
@@ -861,14 +870,14 @@
     }
 }
 
-/// Reports a share that probes would use up. A probe counts as a call, and endpoints in an outage are probed repeatedly.
-/// All uses of a destination count as one promise.
+/// Reports a share that probes would use up. A probe counts as a call, and endpoints in an outage are probed
+/// repeatedly. All uses of a destination count as one promise.
 fn check_probe_calls(all: &[ResolvedUse], findings: &mut Vec<Finding>) {
-    let mut by_member: BTreeMap<&str, Vec<&ResolvedUse>> = BTreeMap::new();
+    let mut by_agreement: BTreeMap<&str, Vec<&ResolvedUse>> = BTreeMap::new();
     for u in all.iter().filter(|u| u.app.record.work.probes && u.agreement.probes) {
-        by_member.entry(&u.agreement_source.file).or_default().push(u);
+        by_agreement.entry(&u.agreement_source.file).or_default().push(u);
     }
-    for uses in by_member.values() {
+    for uses in by_agreement.values() {
         let (u, Some(limit)) = (uses[uses.len() - 1], uses[0].agreement.limit) else { continue };
         let calls: u32 = uses.iter().filter_map(|u| u.entry.share).map(|s| s.of_calls(limit.calls)).sum();
         let probes = (limit.span.0 / MIN_PROBE_INTERVAL.0).ceil() as u32;
@@ -1122,9 +1131,9 @@
             findings.push(with_related(f, set.sources[other].place("destination"), "the other one"));
         }
         for (i, e) in a.endpoints.iter().enumerate() {
-            let elsewhere = |old: &Option<(&str, usize)>| old.is_some_and(|o| o.0 != file);
+            let in_other_file = |old: &Option<(&str, usize)>| old.is_some_and(|o| o.0 != file);
             if let Some((other, n)) =
-                e.id.as_ref().and_then(|id| ids.insert(id, (file, i))).filter(|o| elsewhere(&Some(*o)))
+                e.id.as_ref().and_then(|id| ids.insert(id, (file, i))).filter(|o| in_other_file(&Some(*o)))
             {
                 let f = s.finding(
                     "LB0108",
@@ -1140,7 +1149,7 @@
             }
             let address = e.address.as_ref().map(|t| t.to_string());
             if let Some((other, n)) =
-                address.and_then(|t| addresses.insert(t, (file, i))).filter(|o| elsewhere(&Some(*o)))
+                address.and_then(|t| addresses.insert(t, (file, i))).filter(|o| in_other_file(&Some(*o)))
             {
                 let f = s.finding(
                     "LB0102",
@@ -1158,29 +1167,32 @@
     }
 }
 
-/// Reports promises that add up to more than a destination's limit, or more than the connections that an endpoint takes.
+/// Reports promises that add up to more than a destination's limit, or more than the connections that an
+/// endpoint takes.
 fn check_total_promises(set: &FileSet, findings: &mut Vec<Finding>) {
-    let mut by_member: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
+    let mut by_agreement: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
     for app in &set.apps {
-        set.resolved_uses(app).for_each(|u| by_member.entry(&u.agreement_source.file).or_default().push(u));
+        set.resolved_uses(app)
+            .for_each(|u| by_agreement.entry(&u.agreement_source.file).or_default().push(u));
     }
-    for all in by_member.values() {
+    for all in by_agreement.values() {
         let (agreement, agreement_source) = (all[0].agreement, all[0].agreement_source);
         if let Some(limit) = agreement.limit {
             let limit_per_endpoint = agreement.kind == MemberKind::LowVolume;
             let endpoints = agreement.endpoints.iter().filter_map(|e| e.id.as_ref());
-            // Where each endpoint has its own limit, an application that does not use the endpoint takes no part of it.
+            // Where each endpoint has its own limit, an application that does not use the endpoint takes no
+            // part of it.
             let units: Vec<Option<&Name>> =
                 if limit_per_endpoint { endpoints.map(Some).collect() } else { vec![None] };
             let mut reported: BTreeSet<Vec<(&str, usize)>> = BTreeSet::new();
             for unit in units {
-                let of = all.iter().filter(|u| unit.is_none_or(|id| u.uses_endpoint(id)));
+                let users = all.iter().filter(|u| unit.is_none_or(|id| u.uses_endpoint(id)));
                 let parts: Vec<(&ResolvedUse, u32)> =
-                    of.filter_map(|u| Some((u, u.entry.share?.0))).collect();
+                    users.filter_map(|u| Some((u, u.entry.share?.0))).collect();
                 let sum: u64 = parts.iter().map(|p| u64::from(p.1)).sum();
-                let who: Vec<(&str, usize)> =
+                let user_keys: Vec<(&str, usize)> =
                     parts.iter().map(|p| (p.0.app.file.as_str(), p.0.index)).collect();
-                if sum > u64::from(WHOLE_MILLIONTHS) && reported.insert(who) {
+                if sum > u64::from(WHOLE_MILLIONTHS) && reported.insert(user_keys) {
                     let what = unit.map_or("'".to_string(), |id| format!("endpoint '{id}' of '"));
                     let wrong = format!(
                         "the applications claim {}% of the limit ({limit}) of {what}{}'",
@@ -1211,12 +1223,13 @@
             let Some((id, takes)) = e.id.as_ref().zip(e.connections.or(agreement.connections)) else {
                 continue;
             };
-            let of = all.iter().filter(|u| u.uses_endpoint(id));
+            let users = all.iter().filter(|u| u.uses_endpoint(id));
             let parts: Vec<(&ResolvedUse, u32)> =
-                of.filter_map(|u| Some((u, u.entry.connections?))).collect();
+                users.filter_map(|u| Some((u, u.entry.connections?))).collect();
             let sum: u64 = parts.iter().map(|p| u64::from(p.1)).sum();
-            let who: Vec<(&str, usize)> = parts.iter().map(|p| (p.0.app.file.as_str(), p.0.index)).collect();
-            if sum > u64::from(takes) && reported.insert((who, takes)) {
+            let user_keys: Vec<(&str, usize)> =
+                parts.iter().map(|p| (p.0.app.file.as_str(), p.0.index)).collect();
+            if sum > u64::from(takes) && reported.insert((user_keys, takes)) {
                 let wrong = format!(
                     "the applications claim {sum} connections to '{id}' of '{}', which takes {takes}",
                     all[0].destination_name()
@@ -1251,7 +1264,7 @@
     limit: Place,
     findings: &mut Vec<Finding>,
 ) {
-    let Some((last, rest)) = parts.split_last() else { return };
+    let Some((last, others)) = parts.split_last() else { return };
     let names: Vec<String> =
         parts.iter().map(|(u, _)| format!("{} {}", u.application_name(), part(u))).collect();
     let wrong = format!("{wrong}: {}", names.join("; "));
@@ -1261,7 +1274,7 @@
         wrong,
         "agree on smaller values, so that the sum stays within the limit",
     );
-    for (u, _) in rest {
+    for (u, _) in others {
         f = with_related(
             f,
             u.source.place(&u.key_path(key)),
--- a/crates/settings/src/compose.rs
+++ b/crates/settings/src/compose.rs
@@ -1,5 +1,5 @@
-//! Composes the first settings file of an application from agreements. The file is complete, has comments, and passes the
-//! check without changes.
+//! Composes the first settings file of an application from agreements. The file is complete, has comments,
+//! and passes the check without changes.
 
 use crate::agreement::{Agreement, Area, Repeats};
 use crate::check::repeats_name;
@@ -34,88 +34,103 @@
 }
 
 /// Returns the text of the file. The paths of the agreements are relative to the folder of the new file.
-pub fn compose(w: &NewApplication, agreements: &[(String, &Agreement)]) -> String {
-    let mut t = String::new();
+pub fn compose(new: &NewApplication, agreements: &[(String, &Agreement)]) -> String {
+    let mut text = String::new();
     let quoted = |text: &str| toml::Value::String(text.into()).to_string();
     let first = agreements.first().and_then(|a| a.1.buildings.first());
-    let building = w.building.as_ref().or(first).map_or("building", |n| n);
-    let _ =
-        writeln!(t, "# Settings of the dispatcher for '{}'. To check them: lilacbank app check FILE", w.name);
-    let _ = writeln!(t, "# To list all keys and their defaults: lilacbank schema application");
-    let _ = writeln!(t, "application = \"{}\"", w.name);
+    let building = new.building.as_ref().or(first).map_or("building", |n| n);
     let _ = writeln!(
-        t,
+        text,
+        "# Settings of the dispatcher for '{}'. To check them: lilacbank app check FILE",
+        new.name
+    );
+    let _ = writeln!(text, "# To list all keys and their defaults: lilacbank schema application");
+    let _ = writeln!(text, "application = \"{}\"", new.name);
+    let _ = writeln!(
+        text,
         "# Folder for accepted messages, which outlast the process.\nstate = {}",
-        quoted(&w.state)
+        quoted(&new.state)
     );
-    let _ =
-        writeln!(t, "# The building in which the dispatcher runs; calls to other buildings may cost more.\nbuilding = \"{building}\"");
-    match &w.discovery {
+    let _ = writeln!(
+        text,
+        "# The building in which the dispatcher runs; calls to other buildings may cost more.\n\
+             building = \"{building}\""
+    );
+    match &new.discovery {
         Some(d) => {
-            let _ =
-                writeln!(t, "# The registry; its endpoint list replaces the endpoints in the agreements.\ndiscovery = \"{d}\"");
+            let _ = writeln!(
+                text,
+                "# The registry; its endpoint list replaces the endpoints in the agreements.\n\
+             discovery = \"{d}\""
+            );
         }
-        None => t += "# Without 'discovery', only the endpoints in the agreements are used.\n",
+        None => text += "# Without 'discovery', only the endpoints in the agreements are used.\n",
     }
-    if w.discovery.is_none() || w.notices.is_some() {
-        let to = w.notices.as_deref().unwrap_or("log");
+    if new.discovery.is_none() || new.notices.is_some() {
+        let to = new.notices.as_deref().unwrap_or("log");
         let _ = writeln!(
-            t,
+            text,
             "# Receiver of notices about accepted messages of RESP2 clients that were not delivered.\nnotices = {}",
             quoted(to)
         );
     }
-    let _ = writeln!(t, "\n[listen]\nresp = \"{}\"", w.resp);
-    match &w.mqtt {
+    let _ = writeln!(text, "\n[listen]\nresp = \"{}\"", new.resp);
+    match &new.mqtt {
         Some(m) => {
-            let _ = writeln!(t, "mqtt = \"{m}\"");
+            let _ = writeln!(text, "mqtt = \"{m}\"");
         }
-        None => t += "# mqtt = \"127.0.0.1:1883\"\n",
+        None => text += "# mqtt = \"127.0.0.1:1883\"\n",
     }
-    t += "\n[log]\n# \"text\" for people, \"json\" for machines.\nformat = \"text\"\n";
-    for tenant in &w.tenants {
+    text += "\n[log]\n# \"text\" for people, \"json\" for machines.\nformat = \"text\"\n";
+    for tenant in &new.tenants {
         let _ = writeln!(
-            t,
+            text,
             "\n[tenants.{}]\n# Messages over this share get the lowest priority.\n# share = \"20/s\"",
             toml_key(tenant)
         );
     }
-    write_classes(&mut t, agreements);
+    write_classes(&mut text, agreements);
     for (path, a) in agreements {
-        let _ = writeln!(t, "\n# {}", a.member.as_ref().map_or("", |m| m));
-        let _ = writeln!(t, "[[uses]]\nagreement = {}", quoted(path));
+        let _ = writeln!(text, "\n# {}", a.member.as_ref().map_or("", |m| m));
+        let _ = writeln!(text, "[[uses]]\nagreement = {}", quoted(path));
         if let Some(limit) = a.limit {
-            let n = w.share.of_calls(limit.calls);
+            let n = new.share.of_calls(limit.calls);
             let _ = writeln!(
-                t,
-                "# {n} calls of the limit of {limit}; the shares of all applications add up to 100% at most.\nshare = \"{}\"",
-                w.share
+                text,
+                "# {n} calls of the limit of {limit}; the shares of all applications add up to 100% at most.\n\
+             share = \"{}\"",
+                new.share
             );
         }
         let fewest = a.endpoints.iter().filter_map(|e| e.connections.or(a.connections)).min();
         if let Some(takes) = fewest {
-            let n = w.share.of_calls(takes).max(1);
+            let n = new.share.of_calls(takes).max(1);
             let _ = writeln!(
-                t,
-                "# For each endpoint, idle connections included; an endpoint takes {takes} from all applications together.\nconnections = {n}"
+                text,
+                "# For each endpoint, idle connections included; an endpoint takes {takes} from all applications together.\n\
+             connections = {n}"
             );
         }
     }
     let connections = agreements.iter().map(|(_, a)| {
         let fewest = a.endpoints.iter().filter_map(|e| e.connections.or(a.connections)).min();
-        fewest.map(|takes| w.share.of_calls(takes).max(1) * a.endpoints.len() as u32)
+        fewest.map(|takes| new.share.of_calls(takes).max(1) * a.endpoints.len() as u32)
     });
-    // More slots than promised connections could never be used. The upper bound leaves file descriptors for clients:
-    // each slot counts twice in the check.
+    // More slots than promised connections could never be used. The upper bound leaves file descriptors for
+    // clients: each slot counts twice in the check.
     let slots = connections.sum::<Option<u32>>().unwrap_or(DEFAULT_SLOTS).clamp(1, DEFAULT_SLOTS);
-    let _ = writeln!(t, "\n[work]\n# The most concurrent calls, and the most messages held at once.\nslots = {slots}\nheld = 500");
+    let _ = writeln!(
+        text,
+        "\n[work]\n# The most concurrent calls, and the most messages held at once.\n\
+             slots = {slots}\nheld = 500"
+    );
     let probes = agreements.iter().all(|(_, a)| {
-        a.limit.is_none_or(|l| (l.span.0 / 500.0).ceil() < f64::from(w.share.of_calls(l.calls)))
+        a.limit.is_none_or(|l| (l.span.0 / 500.0).ceil() < f64::from(new.share.of_calls(l.calls)))
     });
     if !probes {
-        t += "# A probe counts as a call, and probes would use up the share.\nprobes = false\n";
+        text += "# A probe counts as a call, and probes would use up the share.\nprobes = false\n";
     }
-    t
+    text
 }
 
 /// Quotes a name that is not a bare TOML key.
@@ -128,7 +143,7 @@
 }
 
 /// Writes all classes of all agreements, each with the strictest terms that an agreement sets for it.
-fn write_classes(t: &mut String, agreements: &[(String, &Agreement)]) {
+fn write_classes(text: &mut String, agreements: &[(String, &Agreement)]) {
     let mut all: BTreeMap<&Name, (Repeats, Area, Option<Span>)> = BTreeMap::new();
     for (name, c) in agreements.iter().flat_map(|(_, a)| &a.classes) {
         let theirs =
@@ -145,7 +160,7 @@
     }
     for (name, (repeats, area, span)) in all {
         let _ = writeln!(
-            t,
+            text,
             "\n[classes.{}]\n# The strictest of the agreements.\nrepeats = \"{}\"",
             toml_key(name),
             repeats_name(repeats)
@@ -154,11 +169,15 @@
         if repeats == Repeats::Dropped {
             let span = span.unwrap_or(deadline);
             let area = if area == Area::Building { "building" } else { "member" };
-            let _ = writeln!(t, "dropped-in = \"{area}\"\ndropped-for = \"{span}\"");
+            let _ = writeln!(text, "dropped-in = \"{area}\"\ndropped-for = \"{span}\"");
             deadline = Span(deadline.0.min(span.0));
         }
         let wanted = Span(3_000f64.min(deadline.0));
-        let _ = writeln!(t, "# Full worth within 'wanted', declining until 'deadline'; after that a message is given up.\nwanted = \"{wanted}\"\ndeadline = \"{deadline}\"");
-        t.push_str("worth = 1.0\nlate-worth = 0.5\n");
+        let _ = writeln!(
+            text,
+            "# Full worth within 'wanted', declining until 'deadline'; after that a message is given up.\n\
+             wanted = \"{wanted}\"\ndeadline = \"{deadline}\""
+        );
+        text.push_str("worth = 1.0\nlate-worth = 0.5\n");
     }
 }
--- a/crates/settings/src/explain.rs
+++ b/crates/settings/src/explain.rs
@@ -71,9 +71,9 @@
             line("dropped-for", e.span.to_string());
         }
     }
-    let mut by_member: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
-    set.resolved_uses(app).for_each(|u| by_member.entry(&u.agreement_source.file).or_default().push(u));
-    for all in by_member.values() {
+    let mut by_agreement: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
+    set.resolved_uses(app).for_each(|u| by_agreement.entry(&u.agreement_source.file).or_default().push(u));
+    for all in by_agreement.values() {
         let promised = render::promised_limits(all);
         let key = |k: &str| format!("promised.{}.{k}", promised.name);
         let terms = all[0].agreement_source;
--- a/crates/settings/src/render.rs
+++ b/crates/settings/src/render.rs
@@ -18,7 +18,8 @@
     .into()
 }
 
-/// The endpoint at index `i` of the agreement, as an entry of the endpoint list; none if a required key is missing.
+/// The endpoint at index `i` of the agreement, as an entry of the endpoint list; none if a required key is
+/// missing.
 fn listed_endpoint(u: &ResolvedUse, i: usize) -> Option<ListedEndpoint> {
     let e = &u.agreement.endpoints[i];
     let id = e.id.as_ref()?;
@@ -33,7 +34,8 @@
     })
 }
 
-/// The limits that the application promises to keep at a destination, summed over all its uses of the destination.
+/// The limits that the application promises to keep at a destination, summed over all its uses of the
+/// destination.
 pub fn promised_limits(all: &[ResolvedUse]) -> Member {
     let (u, a) = (&all[0], all[0].agreement);
     // The share of each use is rounded down by itself, as in the check.
@@ -83,15 +85,15 @@
 /// The JSON for an application whose files have passed the check.
 pub fn render(set: &FileSet, app: &ApplicationFile) -> Served {
     let a = &app.record;
-    let mut by_member: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
+    let mut by_agreement: BTreeMap<&str, Vec<ResolvedUse>> = BTreeMap::new();
     let mut order: Vec<&str> = Vec::new();
     for u in set.resolved_uses(app) {
-        if !by_member.contains_key(u.agreement_source.file.as_str()) {
+        if !by_agreement.contains_key(u.agreement_source.file.as_str()) {
             order.push(&u.agreement_source.file);
         }
-        by_member.entry(&u.agreement_source.file).or_default().push(u);
+        by_agreement.entry(&u.agreement_source.file).or_default().push(u);
     }
-    let groups: Vec<&Vec<ResolvedUse>> = order.iter().map(|f| &by_member[f]).collect();
+    let groups: Vec<&Vec<ResolvedUse>> = order.iter().map(|f| &by_agreement[f]).collect();
     let mut zones: Vec<String> = a.building.iter().map(|b| b.0.clone()).collect();
     let mut kinds: Vec<MemberKind> = Vec::new();
     let mut targets = Vec::new();
@@ -131,8 +133,8 @@
     let shortest = |f: fn(&ResolvedUse) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(f64::MAX, f64::min);
     let longest = |f: fn(&ResolvedUse) -> Span| groups.iter().map(|g| f(&g[0]).0).fold(0.0, f64::max);
     let probes = a.work.probes && groups.iter().all(|g| g[0].agreement.probes);
-    // Other applications have the remaining shares. The decision module gets the number of dispatchers of this size that
-    // the limit has room for, 64 at most.
+    // Other applications have the remaining shares. The decision module gets the number of dispatchers of
+    // this size that the limit has room for, 64 at most.
     let parts = groups.iter().flat_map(|g| g.iter()).filter_map(|u| u.entry.share);
     let dispatchers = parts
         .map(|s| f64::from(WHOLE_MILLIONTHS) / f64::from(s.0.max(1)))
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -22,7 +22,8 @@
     schemars::schema_for!(CellMap)
 }
 
-/// Converts a JSON Schema to CUE definitions. Each definition is closed, and each optional key is marked with `?`.
+/// Converts a JSON Schema to CUE definitions. Each definition is closed, and each optional key is marked with
+/// `?`.
 pub fn cue(schema: &Schema) -> String {
     let root = schema.as_value();
     let mut out = String::from("package lilacbank\n");
--- a/crates/settings/src/served.rs
+++ b/crates/settings/src/served.rs
@@ -1,5 +1,5 @@
-//! The JSON configuration that a dispatcher reads, as one type: rendered from settings files, and checked after manual
-//! edits.
+//! The JSON configuration that a dispatcher reads, as one type: rendered from settings files, and checked
+//! after manual edits.
 //!
 //! Field names are the keys of the file. Times are in milliseconds unless a field says otherwise.
 
@@ -316,7 +316,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Accepts {
-    /// The most permissive effect that the destination allows: `idempotent`, `deduplicated` or `at_most_once`.
+    /// The most permissive effect that the destination allows: `idempotent`, `deduplicated` or
+    /// `at_most_once`.
     pub effect: String,
     /// How long the destination drops repeats, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -433,7 +434,8 @@
     pub cells: Vec<MapCell>,
 }
 
-/// Settings that exist only where the dispatcher runs as a sidecar; a platform's configuration has none of them.
+/// Settings that exist only where the dispatcher runs as a sidecar; a platform's configuration has none of
+/// them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Sidecar {
@@ -892,7 +894,8 @@
     }
 }
 
-/// Checks the cell map in the JSON for consistency with itself. The tool has checked the file that it comes from.
+/// Checks the cell map in the JSON for consistency with itself. The tool has checked the file that it comes
+/// from.
 fn check_mesh(s: &Source, m: &Mesh, findings: &mut Vec<Finding>) {
     let known = |name: &str| m.dispatchers.iter().any(|d| d.name == name);
     if !known(&m.dispatcher) {
--- a/crates/settings/src/set.rs
+++ b/crates/settings/src/set.rs
@@ -101,8 +101,8 @@
         maps.chain(own).collect()
     }
 
-    /// Reads files, and the agreements and cell maps that they name. Syntax errors, unknown keys and unreadable values
-    /// are added to `findings`.
+    /// Reads files, and the agreements and cell maps that they name. Syntax errors, unknown keys and
+    /// unreadable values are added to `findings`.
     pub fn load(files: &[String], read: ReadFile, findings: &mut Vec<Finding>) -> FileSet {
         let mut set = FileSet::default();
         for file in files {
@@ -111,7 +111,8 @@
             }
             let Some(mut source) = open_source(file, read, findings, None) else { continue };
             let has = |key: &str| source.tree.get(key).is_some();
-            // A file is an application or an agreement; the keys beside the name decide where the name is missing.
+            // A file is an application or an agreement; the keys beside the name decide where the name is
+            // missing.
             if has("application") || has("uses") || has("listen") {
                 let record: Application = source.read(findings);
                 let agreements = vec![None; record.uses.len()];
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,8 +1,8 @@
 //! A parsed file: its values as a tree, and the position of each key and value.
 //!
-//! TOML and JSON files become the same tree, so that the same code reads and checks both. [`Source::read`] deserializes
-//! a record from the tree and does not stop at the first error: a value that cannot be read is reported and removed, and
-//! the remaining values are read.
+//! TOML and JSON files become the same tree, so that the same code reads and checks both. [`Source::read`]
+//! deserializes a record from the tree and does not stop at the first error: a value that cannot be read is
+//! reported and removed, and the remaining values are read.
 
 use crate::finding::{Finding, Place, Severity};
 use jsonc_parser::ast;
@@ -13,8 +13,9 @@
 use std::ops::Range;
 use toml::de::{DeTable, DeValue};
 
-/// The most unreadable values that are reported for one file. A file with more of them is probably of another kind.
-const MAX_FAULTS: usize = 200;
+/// The most unreadable values that are reported for one file. A file with more of them is probably of another
+/// kind.
+const MAX_UNREADABLE_VALUES: usize = 200;
 
 /// A parsed file with the positions of its keys and values.
 #[derive(Debug, Clone)]
@@ -203,18 +204,19 @@
         loop {
             if let Some(span) = self.value_spans.get(&at) {
                 // A value of several lines, such as a table, is marked at its key.
-                let wide = self.text.get(span.clone()).is_some_and(|t| t.contains('\n'));
-                let span = if wide { self.key_spans.get(&at).unwrap_or(span) } else { span };
+                let multiline = self.text.get(span.clone()).is_some_and(|t| t.contains('\n'));
+                let span = if multiline { self.key_spans.get(&at).unwrap_or(span) } else { span };
                 return self.place_at(span.clone(), path);
             }
             match at.rfind(['.', '[']) {
                 Some(cut) => at.truncate(cut),
-                None => return self.place_at(0..self.first_line(), path),
+                None => return self.place_at(0..self.first_line_len(), path),
             }
         }
     }
 
-    fn first_line(&self) -> usize {
+    /// The length of the first line in bytes.
+    fn first_line_len(&self) -> usize {
         self.text.find('\n').unwrap_or(self.text.len())
     }
 
@@ -223,7 +225,8 @@
         self.value_spans.contains_key(path)
     }
 
-    /// Whether a value at, above or below the path could not be read. Its absence is no error of its own then.
+    /// Whether a value at, above or below the path could not be read, or its key is unknown. A missing value
+    /// is not reported as well then.
     pub fn is_unreadable(&self, path: &str) -> bool {
         let is_within = |a: &str, b: &str| {
             a.strip_prefix(b).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
@@ -247,7 +250,7 @@
     /// Deserializes a record; each value that cannot be read is reported and left at its default.
     pub fn read<T: DeserializeOwned + Default>(&mut self, findings: &mut Vec<Finding>) -> T {
         let mut tree = self.tree.clone();
-        for _ in 0..MAX_FAULTS {
+        for _ in 0..MAX_UNREADABLE_VALUES {
             let error = match serde_path_to_error::deserialize::<_, T>(&tree) {
                 Ok(record) => return record,
                 Err(e) => e,
@@ -273,11 +276,12 @@
         T::default()
     }
 
+    /// The finding for an unknown key; suggests the known key with the closest spelling.
     fn unknown_key(&self, path: &str, key: &str, message: &str) -> Finding {
         let known: Vec<&str> = message.split('`').skip(3).step_by(2).collect();
-        let near =
+        let closest =
             known.iter().map(|k| (edit_distance(key, k), *k)).min().filter(|n| n.0 <= 2 + key.len() / 4);
-        let mend = match near {
+        let mend = match closest {
             Some((_, k)) => format!("did you mean '{k}'?"),
             None if known.is_empty() => "remove it".into(),
             None => format!("use one of: {}", known.join(", ")),
@@ -288,6 +292,7 @@
         Finding { code: "LB0004", severity: Severity::Error, place, wrong, mend, with: Vec::new() }
     }
 
+    /// The finding for a value that cannot be read, from the message of the deserializer.
     fn unreadable_value(&self, path: &str, message: &str) -> Finding {
         let kind = path.ends_with("kind") && message.starts_with("unknown variant");
         let (code, mend) = match message.strip_prefix("unknown variant `") {
@@ -333,8 +338,8 @@
     true
 }
 
-/// Removes a value from the tree. An array item that is an object becomes an empty object, so that later items keep
-/// their indices; for any other item the whole array is removed.
+/// Removes a value from the tree. An array item that is an object becomes an empty object, so that later
+/// items keep their indices; for any other item the whole array is removed.
 fn remove_value(tree: &mut Value, path: &str) -> bool {
     let all = path_steps(path);
     let Some((last, above)) = all.split_last() else { return false };
--- a/crates/settings/src/units.rs
+++ b/crates/settings/src/units.rs
@@ -123,8 +123,8 @@
 
 string_type!(Size, r"^[0-9]+(\.[0-9]+)?(B|kB|KiB|MB|MiB|GB|GiB)$", "a size, such as \"64KiB\"");
 
-/// A limit: the most calls in any period of a given length. A rate is converted to a whole number of calls, in the
-/// shortest period for which the number is whole.
+/// A limit: the most calls in any period of a given length. A rate is converted to a whole number of calls,
+/// in the shortest period for which the number is whole.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Limit {
@@ -196,7 +196,8 @@
 pub const WHOLE_MILLIONTHS: u32 = 1_000_000;
 
 impl Share {
-    /// The number of calls in this share of `calls`, rounded down, so that shares never add up to more than `calls`.
+    /// The number of calls in this share of `calls`, rounded down, so that shares never add up to more than
+    /// `calls`.
     pub fn of_calls(&self, calls: u32) -> u32 {
         (u64::from(calls) * u64::from(self.0) / u64::from(WHOLE_MILLIONTHS)) as u32
     }
@@ -228,7 +229,8 @@
 
 string_type!(Share, r"^[0-9]{1,3}(\.[0-9]{1,4})?%$", "a percentage of the whole, such as \"40%\"");
 
-/// A name of lowercase letters, digits, `-`, `_` and `.`; 64 characters at most, starting with a letter or digit.
+/// A name of lowercase letters, digits, `-`, `_` and `.`; 64 characters at most, starting with a letter or
+/// digit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(pub String);
@@ -240,7 +242,7 @@
         let rest = text.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b));
         match first && rest && text.len() <= 64 {
             true => Ok(Name(text.to_string())),
-            false => Err(format!("'{text}' is not a name; use lowercase letters, digits and - _ . (64 characters at most, a letter or digit first)")),
+            false => Err(format!("'{text}' is not a name; use lowercase letters, digits and - _ . (64 at most, a letter or digit first)")),
         }
     }
 }
--- a/crates/settings/tests/samples.rs
+++ b/crates/settings/tests/samples.rs
@@ -1,7 +1,7 @@
 //! Checks of broken sample files, each reported with its code and line, and of valid files, which must pass.
 //!
-//! A sample marks the line of each expected finding with `# <- LBnnnn`. Its head may name files to check it together with
-//! (`# with: FILE ...`) and the state of its state folder (`# folder: readonly`).
+//! A sample marks the line of each expected finding with `# <- LBnnnn`. Its head may name files to check it
+//! together with (`# with: FILE ...`) and the state of its state folder (`# folder: readonly`).
 
 use lilacbank_settings::check::{check, Folder, Folders};
 use lilacbank_settings::finding::{refused, render_findings, Finding, Severity};
@@ -99,8 +99,8 @@
     assert!(undocumented.is_empty(), "codes without an entry on the operators' page: {undocumented:?}");
 }
 
-/// Guards against findings for valid files on the edge: shares that add up to exactly 100%, and one destination used twice
-/// for different tenants.
+/// Guards against findings for valid files on the edge: shares that add up to exactly 100%, and one
+/// destination used twice for different tenants.
 #[test]
 fn the_examples_pass_together_and_alone() {
     let files = ["claims", "payroll"]
--- a/src/tool/cell.rs
+++ b/src/tool/cell.rs
@@ -64,20 +64,20 @@
 
 /// Loads a map without checking it.
 fn load(file: &str, format: Format) -> Result<LoadedMap, ToolError> {
-    let mut found = Vec::new();
-    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
+    let mut findings = Vec::new();
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut findings);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    report(&found, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
+    report(&findings, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map)
 }
 
 /// Loads a map and checks it, also as a successor of `in_force`.
 fn check(file: &str, in_force: Option<&LoadedMap>, format: Format) -> Result<CellMap, ToolError> {
-    let mut found = Vec::new();
-    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut found);
+    let mut findings = Vec::new();
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut findings);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    found.extend(map.check(in_force));
-    report(&found, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
+    findings.extend(map.check(in_force));
+    report(&findings, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map.map)
 }
 
--- a/src/tool/cli.rs
+++ b/src/tool/cli.rs
@@ -78,7 +78,8 @@
     /// Write, check and import the JSON configuration that a dispatcher reads.
     #[command(subcommand)]
     Config(Box<Config>),
-    /// Send a command to a dispatcher's control interface: check, vars, set-down ID, set-up ID, drain-on, drain-off.
+    /// Send a command to a dispatcher's control interface: check, vars, set-down ID, set-up ID, drain-on,
+    /// drain-off.
     #[command(
         after_help = "Exit status: 0 the answer was 200, 1 the answer was 400, 2 there was no answer."
     )]
@@ -133,7 +134,7 @@
         files: Vec<String>,
         /// Options for the check and its report.
         #[command(flatten)]
-        how: ReportOptions,
+        options: ReportOptions,
     },
     /// Check a file, and write the JSON configuration that `serve` reads.
     Render {
@@ -144,7 +145,7 @@
         output: Option<PathBuf>,
         /// Options for the check and its report.
         #[command(flatten)]
-        how: ReportOptions,
+        options: ReportOptions,
     },
     /// List every value in force with its origin.
     Explain {
@@ -152,7 +153,7 @@
         file: String,
         /// Options for the check and its report.
         #[command(flatten)]
-        how: ReportOptions,
+        options: ReportOptions,
     },
 }
 
@@ -308,7 +309,7 @@
         mqtt: Option<PathBuf>,
         /// Options for the check and its report.
         #[command(flatten)]
-        how: ReportOptions,
+        options: ReportOptions,
     },
     /// Convert an HAProxy configuration; directives without a counterpart are reported with their line.
     ImportHaproxy {
@@ -316,7 +317,7 @@
         file: PathBuf,
         /// Values that override imported ones.
         #[command(flatten)]
-        wanted: ConfigOverrides,
+        overrides: ConfigOverrides,
     },
 }
 
@@ -335,8 +336,8 @@
     /// The state folder.
     #[arg(long, value_name = "FOLDER")]
     pub state: Option<String>,
-    /// A class: NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]; EFFECT is idempotent, deduplicated or at_most_once, and
-    /// times are in milliseconds; may be given several times.
+    /// A class: NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]; EFFECT is idempotent, deduplicated or
+    /// at_most_once, and times are in milliseconds; may be given several times.
     #[arg(long = "class", value_name = "CLASS", value_parser = super::parse_class)]
     pub classes: Vec<lilacbank_settings::served::Class>,
     /// The zones; the dispatcher's own zone comes first.
--- a/src/tool/haproxy.rs
+++ b/src/tool/haproxy.rs
@@ -1,6 +1,6 @@
 //! Imports HAProxy's configuration format. Directives with an exact counterpart are mapped: backends become
-//! destinations, their servers become endpoints, and timeouts, connection limits, retries and health checks become
-//! settings. Every other directive is reported with its line; none is ignored silently.
+//! destinations, their servers become endpoints, and timeouts, connection limits, retries and health checks
+//! become settings. Every other directive is reported with its line; none is ignored silently.
 
 use lilacbank_settings::served::{ListedEndpoint, Served};
 
@@ -13,7 +13,8 @@
     pub why: String,
 }
 
-/// Splits a line into words as HAProxy does, with its quotes, backslashes and comments. An unclosed quote is an error.
+/// Splits a line into words as HAProxy does, with its quotes, backslashes and comments. An unclosed quote is
+/// an error.
 fn words(line: &str) -> Result<Vec<String>, &'static str> {
     let mut words = Vec::new();
     let mut word: Option<String> = None;
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,4 +1,5 @@
-//! The command line tool for settings files: writes, checks, explains and renders them, and imports HAProxy's.
+//! The command line tool for settings files: writes, checks, explains and renders them, and imports
+//! HAProxy's.
 //!
 //! The checks are in the package `lilacbank-settings`; this module opens files and prints reports.
 
@@ -32,7 +33,8 @@
     FaultsFound,
     /// A dispatcher refused the command, or no dispatcher is in the state that the command needs.
     Refused(String),
-    /// A dispatcher or its control interface gave no usable answer, or a wait ended; the command may be repeated.
+    /// A dispatcher or its control interface gave no usable answer, or a wait ended; the command may be
+    /// repeated.
     Failed(String),
     /// A dispatcher would reject the configuration at startup, although it passed the check.
     Config(config::ConfigError),
@@ -120,22 +122,23 @@
 }
 
 /// Prints findings; fails if any of them is an error.
-fn report(found: &[Finding], texts: &BTreeMap<String, String>, how: ReportOptions) -> ToolResult {
-    match how.format {
-        Format::Text => eprint!("{}", render_findings(found, texts, std::io::stderr().is_terminal())),
+fn report(findings: &[Finding], texts: &BTreeMap<String, String>, options: ReportOptions) -> ToolResult {
+    match options.format {
+        Format::Text => eprint!("{}", render_findings(findings, texts, std::io::stderr().is_terminal())),
         Format::Json => {
-            found.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
+            findings.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
         }
     }
-    if refused(found) {
+    if refused(findings) {
         Err(ToolError::FaultsFound)
     } else {
         Ok(())
     }
 }
 
-fn folders(how: ReportOptions) -> &'static dyn Folders {
-    if how.elsewhere {
+/// The folders to check: those of this machine, or none.
+fn folders(options: ReportOptions) -> &'static dyn Folders {
+    if options.elsewhere {
         &AssumeUsable
     } else {
         &Disk
@@ -143,18 +146,19 @@
 }
 
 /// Reads and checks files together, and prints the findings.
-fn load(files: &[String], how: ReportOptions) -> Result<FileSet, ToolError> {
+fn load(files: &[String], options: ReportOptions) -> Result<FileSet, ToolError> {
     // A file on the command line that cannot be read is an error of the command, not a finding.
     for file in files {
         read(Path::new(file))?;
     }
-    let mut found = Vec::new();
-    let set = FileSet::load(files, &|f| std::fs::read_to_string(f), &mut found);
-    found.extend(check(&set, folders(how)));
-    report(&found, &set.texts(), how)?;
+    let mut findings = Vec::new();
+    let set = FileSet::load(files, &|f| std::fs::read_to_string(f), &mut findings);
+    findings.extend(check(&set, folders(options)));
+    report(&findings, &set.texts(), options)?;
     Ok(set)
 }
 
+/// The first application of the set; an error if there is none.
 fn first_application(set: &FileSet) -> Result<&ApplicationFile, ToolError> {
     set.apps.first().ok_or_else(|| {
         eprintln!("the file is an agreement; give the settings file of an application");
@@ -162,26 +166,27 @@
     })
 }
 
+/// Runs an `app` command.
 fn run_app(app: App) -> ToolResult {
     match app {
         App::New(new) => run_new(*new),
-        App::Check { files, how } => {
-            let set = load(&files, how)?;
-            if how.format == Format::Text {
+        App::Check { files, options } => {
+            let set = load(&files, options)?;
+            if options.format == Format::Text {
                 println!("good: {} applications, {} agreements", set.apps.len(), set.agreements.len());
             }
             Ok(())
         }
-        App::Render { file, output, how } => {
-            let set = load(&[file], how)?;
+        App::Render { file, output, options } => {
+            let set = load(&[file], options)?;
             let text = render::render(&set, first_application(&set)?).to_json();
-            check_served("the rendered file", &text, ReportOptions { elsewhere: true, ..how })?;
+            check_served("the rendered file", &text, ReportOptions { elsewhere: true, ..options })?;
             write_output(output.as_deref(), &text)
         }
-        App::Explain { file, how } => {
-            let set = load(&[file], how)?;
+        App::Explain { file, options } => {
+            let set = load(&[file], options)?;
             let lines = explain::explain(&set, first_application(&set)?);
-            match how.format {
+            match options.format {
                 Format::Json => {
                     lines.iter().for_each(|l| println!("{}", serde_json::to_string(l).unwrap_or_default()));
                 }
@@ -198,9 +203,10 @@
     }
 }
 
+/// Runs `app new`.
 fn run_new(new: NewApplicationArgs) -> ToolResult {
-    let how = ReportOptions { elsewhere: true, ..ReportOptions::default() };
-    let set = load(&new.agreements, how)?;
+    let options = ReportOptions { elsewhere: true, ..ReportOptions::default() };
+    let set = load(&new.agreements, options)?;
     let output = new.output.as_ref().map_or("application.toml".into(), |o| o.display().to_string());
     let mut agreements = Vec::new();
     for file in &new.agreements {
@@ -225,11 +231,11 @@
         &agreements,
     );
     // The text must pass the check under its final path before it is written.
-    let mut found = Vec::new();
+    let mut findings = Vec::new();
     let open = |f: &str| if f == output { Ok(text.clone()) } else { std::fs::read_to_string(f) };
-    let set = FileSet::load(std::slice::from_ref(&output), &open, &mut found);
-    found.extend(check(&set, &AssumeUsable));
-    report(&found, &set.texts(), how)?;
+    let set = FileSet::load(std::slice::from_ref(&output), &open, &mut findings);
+    findings.extend(check(&set, &AssumeUsable));
+    report(&findings, &set.texts(), options)?;
     write_output(new.output.as_deref(), &text)
 }
 
@@ -245,11 +251,12 @@
     path.display().to_string()
 }
 
-/// Checks a dispatcher's JSON configuration: first with all checks, then by parsing it as a dispatcher does at startup.
-fn check_served(name: &str, text: &str, how: ReportOptions) -> Result<Served, ToolError> {
-    let mut found = Vec::new();
-    let (_, served) = Served::read(name, text, folders(how), &mut found);
-    report(&found, &BTreeMap::from([(name.to_string(), text.to_string())]), how)?;
+/// Checks a dispatcher's JSON configuration: first with all checks, then by parsing it as a dispatcher does
+/// at startup.
+fn check_served(name: &str, text: &str, options: ReportOptions) -> Result<Served, ToolError> {
+    let mut findings = Vec::new();
+    let (_, served) = Served::read(name, text, folders(options), &mut findings);
+    report(&findings, &BTreeMap::from([(name.to_string(), text.to_string())]), options)?;
     config::Config::from_json(text, &|_| None)?;
     Ok(served)
 }
@@ -349,13 +356,14 @@
     }
 }
 
+/// Runs a `config` command.
 fn run_config(command: Config) -> ToolResult {
     match command {
-        Config::Write(wanted) => wanted.write_checked(default_config()),
-        Config::Check { file, mqtt, how } => {
-            let served = check_served(&file.display().to_string(), &read(&file)?, how)?;
+        Config::Write(overrides) => overrides.write_checked(default_config()),
+        Config::Check { file, mqtt, options } => {
+            let served = check_served(&file.display().to_string(), &read(&file)?, options)?;
             let (classes, endpoints) = (served.settings.classes.len(), served.known.targets.len());
-            if how.format == Format::Text {
+            if options.format == Format::Text {
                 println!("{}: good: {classes} classes, {endpoints} endpoints", file.display());
             }
             if let Some(file) = mqtt {
@@ -365,12 +373,12 @@
             }
             Ok(())
         }
-        Config::ImportHaproxy { file, wanted } => {
+        Config::ImportHaproxy { file, overrides } => {
             let (served, skipped) = haproxy::import(&read(&file)?);
             for s in skipped {
                 eprintln!("{}:{}: {}", file.display(), s.line, s.why);
             }
-            wanted.write_checked(served)
+            overrides.write_checked(served)
         }
     }
 }
--- a/src/tool/moves.rs
+++ b/src/tool/moves.rs
@@ -120,7 +120,8 @@
         std::thread::sleep(POLL_INTERVAL);
         let there = target.and_then(|p| query(p, tenant, Ask::Status, "").ok());
         if let Some(r) = there.and_then(|a| a.seats.into_iter().next()) {
-            // A higher epoch: the target has owned the tenant since the move, even if it is already handing it on.
+            // A higher epoch: the target has owned the tenant since the move, even if it is already handing
+            // it on.
             if owns_tenant(&r) && r.epoch > first.epoch {
                 println!("{}", format_report(to, &r));
                 return Ok(());
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -89,8 +89,8 @@
     Dispatcher::spawn(&mut command, true)
 }
 
-/// Guards against files of the tool that a dispatcher cannot serve with, on either front end, and against messages that are
-/// lost or duplicated when a reload under load replaces the only endpoint.
+/// Guards against files of the tool that a dispatcher cannot serve with, on either front end, and against
+/// messages that are lost or duplicated when a reload under load replaces the only endpoint.
 #[test]
 fn files_of_the_tool_serve_both_front_ends_and_survive_a_reload() {
     let [a, b] = [0, 1].map(|_| Worker::start(|_, _| Reply::After(Duration::from_millis(5), "200 OK")));
@@ -171,8 +171,8 @@
     }
 }
 
-/// Guards against a second delivery of a message that must not be repeated: submitted again on either front end, with the
-/// same id or idempotency key, after a restart.
+/// Guards against a second delivery of a message that must not be repeated: submitted again on either front
+/// end, with the same id or idempotency key, after a restart.
 #[test]
 fn a_message_that_must_not_be_repeated_is_attempted_once() {
     let worker = Worker::start(|r, _| if r.header("x-txn").starts_with("mute") { Reply::Break } else { OK });
@@ -211,8 +211,8 @@
     );
 }
 
-/// Guards against more connections than promised, idle ones included; against a retry-after that a reload drops; and against
-/// a start on the state folder of another application.
+/// Guards against more connections than promised, idle ones included; against a retry-after that a reload
+/// drops; and against a start on the state folder of another application.
 #[test]
 fn connection_limits_retry_after_and_folder_ownership_hold() {
     let worker = Worker::start(|r, _| match r.header("x-txn") {
@@ -255,8 +255,9 @@
     );
 }
 
-/// Guards against calls over the share, and against a wrong wait in a rejection. Messages over the share are held;
-/// messages that cannot be delivered in time are rejected immediately, with a wait after which they are accepted.
+/// Guards against calls over the share, and against a wrong wait in a rejection. Messages over the share are
+/// held; messages that cannot be delivered in time are rejected immediately, with a wait after which they are
+/// accepted.
 #[test]
 fn messages_over_the_share_wait_or_are_rejected_with_a_correct_wait() {
     let worker = Worker::start(|_, _| OK);
@@ -315,15 +316,18 @@
 const LIMIT: usize = 40;
 /// The length of each outage of the destination, in seconds.
 const OUTAGE_SECONDS: f64 = 1.5;
-/// The time from the start of one outage to the start of the next, in seconds; the first one begins with the run.
+/// The time from the start of one outage to the start of the next, in seconds; the first one begins with the
+/// run.
 const OUTAGE_INTERVAL_SECONDS: f64 = 15.0;
 
 /// The results of a run of two sidecars.
 #[derive(Debug)]
-struct Run {
+struct RunResult {
     /// Messages that clients intended to submit to both sidecars.
     submitted: usize,
+    /// Calls that the endpoints received, without probes.
     calls: usize,
+    /// Probes that the endpoints received.
     probes: usize,
     /// The most calls and probes in any second.
     peak: usize,
@@ -335,12 +339,14 @@
     p99: f64,
     /// Messages of class pay that were delivered more than once.
     duplicates: usize,
+    /// How often a sidecar was killed and restarted.
     restarts: usize,
 }
 
-/// Runs two sidecars for `seconds` that use one destination, each with half of its limit. Clients submit `load` times that
-/// share. With `kills` one sidecar is killed repeatedly; without `enforce_limit` their configuration has no limit.
-fn run_two_sidecars(seconds: f64, load: f64, enforce_limit: bool, kills: bool) -> Run {
+/// Runs two sidecars for `seconds` that use one destination, each with half of its limit. Clients submit
+/// `load` times that share. With `kills` one sidecar is killed repeatedly; without `enforce_limit` their
+/// configuration has no limit.
+fn run_two_sidecars(seconds: f64, load: f64, enforce_limit: bool, kills: bool) -> RunResult {
     // Regular outages make sidecars send probes, which count towards the limit.
     let begin = Instant::now();
     let answer = move |_: &Request, _: usize| match begin.elapsed().as_secs_f64() % OUTAGE_INTERVAL_SECONDS {
@@ -365,14 +371,14 @@
             std::fs::write(f, text).unwrap();
         }
     }
-    let each = load * LIMIT as f64 / 2.0;
-    let per_sidecar = (seconds * each) as usize;
+    let rate_per_sidecar = load * LIMIT as f64 / 2.0;
+    let messages_per_sidecar = (seconds * rate_per_sidecar) as usize;
     let (start, mut threads, stop) =
         (Instant::now() + Duration::from_millis(300), Vec::new(), Arc::new(AtomicBool::new(false)));
     let mut restarts = 0;
-    let mut up: Vec<Dispatcher> = files.iter().map(|f| serve(f)).collect();
+    let mut running: Vec<Dispatcher> = files.iter().map(|f| serve(f)).collect();
     let addresses: Vec<Arc<Mutex<SocketAddr>>> =
-        up.iter().map(|d| Arc::new(Mutex::new(d.address()))).collect();
+        running.iter().map(|d| Arc::new(Mutex::new(d.address()))).collect();
     let intended: Arc<Mutex<HashMap<String, (Instant, &'static str)>>> = Arc::default();
     for (side, address) in addresses.iter().enumerate() {
         let next = Arc::new(AtomicUsize::new(0));
@@ -380,10 +386,10 @@
             let (next, address, intended) = (next.clone(), address.clone(), intended.clone());
             threads.push(thread::spawn(move || loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
-                if n >= per_sidecar {
+                if n >= messages_per_sidecar {
                     return;
                 }
-                let at = start + Duration::from_secs_f64(n as f64 / each);
+                let at = start + Duration::from_secs_f64(n as f64 / rate_per_sidecar);
                 thread::sleep(at.saturating_duration_since(Instant::now()));
                 let class = ["safe", "safe", "order", "safe", "pay", "order"][n % 6];
                 for attempt in 0..3 {
@@ -410,11 +416,11 @@
     while start.elapsed().as_secs_f64() < seconds {
         thread::sleep(Duration::from_millis(1_300));
         if kills {
-            let old = up.remove(1);
+            let old = running.remove(1);
             old.kill();
             let new = serve(&files[1]);
             *addresses[1].lock().unwrap() = new.address();
-            up.push(new);
+            running.push(new);
             restarts += 1;
         }
     }
@@ -447,13 +453,14 @@
             worth += price * if late <= 1.0 { 1.0 } else { (1.0 - 0.5 * (late - 1.0) / 7.0).max(0.0) };
         }
     }
-    let wanted: f64 = (0..per_sidecar).map(|n| [2.0, 2.0, 1.0, 2.0, 4.0, 1.0][n % 6]).sum::<f64>() * 2.0;
+    let wanted: f64 =
+        (0..messages_per_sidecar).map(|n| [2.0, 2.0, 1.0, 2.0, 4.0, 1.0][n % 6]).sum::<f64>() * 2.0;
     delays.sort_by(f64::total_cmp);
     let part =
         |p: f64| delays.get((delays.len() as f64 * p) as usize).or(delays.last()).copied().unwrap_or(0.0);
     let both: Vec<&Worker> = workers.iter().collect();
-    Run {
-        submitted: 2 * per_sidecar,
+    RunResult {
+        submitted: 2 * messages_per_sidecar,
         calls: workers.iter().map(|w| w.count()).sum(),
         probes: workers.iter().map(|w| w.probes.lock().unwrap().len()).sum(),
         peak: max_calls_in(&call_times(&both), Duration::from_secs(1)),
@@ -465,8 +472,8 @@
     }
 }
 
-/// Guards against two sidecars that exceed their common limit when one is killed and restarted. The second run has no limit
-/// in the configuration and must exceed it, which shows that the first check can fail.
+/// Guards against two sidecars that exceed their common limit when one is killed and restarted. The second
+/// run has no limit in the configuration and must exceed it, which shows that the first check can fail.
 #[test]
 fn two_sidecars_keep_one_limit_despite_kills() {
     let run = run_two_sidecars(5.0, 1.5, true, true);
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -92,8 +92,8 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Guards against mistakes in the JSON that pass unnoticed. A new user made these mistakes, and only one was caught at the
-/// time; each must be reported with its code and line.
+/// Guards against mistakes in the JSON that pass unnoticed. A new user made these mistakes, and only one was
+/// caught at the time; each must be reported with its code and line.
 #[test]
 fn mistakes_in_the_json_are_reported_with_code_and_line() {
     let dir = dir("json");
@@ -156,8 +156,8 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// The output of `app new` passes `app check` without changes in any folder, and a failed command leaves neither a
-/// changed nor a partly written file.
+/// The output of `app new` passes `app check` without changes in any folder, and a failed command leaves
+/// neither a changed nor a partly written file.
 #[test]
 fn a_new_application_passes_check_unchanged() {
     let dir = dir("new");
@@ -284,8 +284,8 @@
     }
 }
 
-/// Guards against files that pass the check but do not serve. Each line of a valid application and agreement is changed in
-/// 12 ways; either the check reports an error, or a dispatcher starts with the result.
+/// Guards against files that pass the check but do not serve. Each line of a valid application and agreement
+/// is changed in 12 ways; either the check reports an error, or a dispatcher starts with the result.
 #[test]
 fn a_single_mutation_is_rejected_or_serves() {
     let dir = dir("mutate");
