--- a/crates/settings/src/cellmap.rs
+++ b/crates/settings/src/cellmap.rs
@@ -314,8 +314,8 @@
                     "reduce the shares, so that the sum is 100% at most",
                 );
                 for (name, i, p) in &of[..of.len() - 1] {
-                    let says = format!("{name}: {}", p.share.map_or(String::new(), |x| x.to_string()));
-                    f = with_related(f, s.place(&format!("cells.{name}.members[{i}].share")), says);
+                    let label = format!("{name}: {}", p.share.map_or(String::new(), |x| x.to_string()));
+                    f = with_related(f, s.place(&format!("cells.{name}.members[{i}].share")), label);
                 }
                 findings.push(with_related(f, terms.place("limit"), "the destination's limit"));
                 break;
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -68,8 +68,8 @@
 }
 
 /// The finding with a related place, and how that place is related.
-pub(crate) fn with_related(mut f: Finding, place: Place, says: impl Into<String>) -> Finding {
-    f.with.push(Place { says: says.into(), ..place });
+pub(crate) fn with_related(mut f: Finding, place: Place, label: impl Into<String>) -> Finding {
+    f.related.push(Place { label: label.into(), ..place });
     f
 }
 
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -27,8 +27,8 @@
     /// The path of the key, such as `uses[0].share`.
     pub key: String,
     /// How this place is related to the finding; empty for the finding's own place.
-    #[serde(skip_serializing_if = "String::is_empty")]
-    pub says: String,
+    #[serde(rename = "says", skip_serializing_if = "String::is_empty")]
+    pub label: String,
     /// The byte range in the file.
     #[serde(skip)]
     pub span: Range<usize>,
@@ -49,8 +49,8 @@
     /// How to correct it.
     pub mend: String,
     /// Related places.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub with: Vec<Place>,
+    #[serde(rename = "with", skip_serializing_if = "Vec::is_empty")]
+    pub related: Vec<Place>,
 }
 
 /// Whether any finding is an error, so that the files are rejected.
@@ -65,12 +65,12 @@
     for f in findings {
         let level = if f.severity == Severity::Error { Level::ERROR } else { Level::WARNING };
         let mut group = Group::with_title(level.primary_title(f.wrong.as_str()).id(f.code));
-        for (n, place) in std::iter::once(&f.place).chain(&f.with).enumerate() {
+        for (n, place) in std::iter::once(&f.place).chain(&f.related).enumerate() {
             let text = texts.get(&place.file).map_or("", |t| t.as_str());
             let end = place.span.end.min(text.len());
             let span = place.span.start.min(end)..end;
             let kind = if n == 0 { AnnotationKind::Primary } else { AnnotationKind::Context };
-            let label = if place.says.is_empty() { place.key.as_str() } else { place.says.as_str() };
+            let label = if place.label.is_empty() { place.key.as_str() } else { place.label.as_str() };
             let mark = kind.span(span).label(label);
             group = group.element(Snippet::source(text).path(place.file.as_str()).annotation(mark));
         }
--- a/crates/settings/src/set.rs
+++ b/crates/settings/src/set.rs
@@ -226,7 +226,7 @@
                 line: 1,
                 column: 1,
                 key: String::new(),
-                says: String::new(),
+                label: String::new(),
                 span: 0..0,
             };
             findings.push(Finding {
@@ -236,7 +236,7 @@
                 wrong: format!("'{file}' cannot be read: {e}"),
                 mend: "name a file that exists; paths are relative to the folder of the file that names them"
                     .into(),
-                with: Vec::new(),
+                related: Vec::new(),
             });
             None
         }
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -73,7 +73,7 @@
                 place,
                 wrong: format!("invalid TOML: {}", e.message().trim()),
                 mend: mend.into(),
-                with: Vec::new(),
+                related: Vec::new(),
             });
         }
         s.tree = s.toml_table("", table.get_ref());
@@ -143,7 +143,7 @@
             place,
             wrong: format!("invalid JSON for a dispatcher: {wrong}"),
             mend: "write it again with 'lilacbank app render'".into(),
-            with: Vec::new(),
+            related: Vec::new(),
         });
         s
     }
@@ -169,15 +169,15 @@
                     let at = join_path(path, p.name.as_str());
                     let key = p.name.start()..p.name.end();
                     if let Some(first) = self.key_spans.get(&at).cloned() {
-                        let with =
-                            vec![Place { says: "first defined here".into(), ..self.place_at(first, &at) }];
+                        let related =
+                            vec![Place { label: "first defined here".into(), ..self.place_at(first, &at) }];
                         findings.push(Finding {
                             code: "LB0002",
                             severity: Severity::Error,
                             place: self.place_at(key.clone(), &at),
                             wrong: format!("the key '{at}' is defined more than once"),
                             mend: "remove one of the two".into(),
-                            with,
+                            related,
                         });
                     }
                     self.key_spans.insert(at.clone(), key);
@@ -195,7 +195,7 @@
         let before = self.text.get(..start).unwrap_or("");
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().map_or(0, |l| l.chars().count()) + 1;
-        Place { file: self.file.clone(), line, column, key: key.into(), says: String::new(), span }
+        Place { file: self.file.clone(), line, column, key: key.into(), label: String::new(), span }
     }
 
     /// The place of the value at `path`, or of its nearest ancestor if there is none.
@@ -244,7 +244,7 @@
     ) -> Finding {
         let place = self.place(path);
         let (wrong, mend) = (wrong.into(), mend.into());
-        Finding { code, severity: Severity::Error, place, wrong, mend, with: Vec::new() }
+        Finding { code, severity: Severity::Error, place, wrong, mend, related: Vec::new() }
     }
 
     /// Deserializes a record; each value that cannot be read is reported and left at its default.
@@ -289,7 +289,7 @@
         let span = self.key_spans.get(path).cloned();
         let place = span.map_or_else(|| self.place(path), |s| self.place_at(s, path));
         let wrong = format!("unknown key '{key}'");
-        Finding { code: "LB0004", severity: Severity::Error, place, wrong, mend, with: Vec::new() }
+        Finding { code: "LB0004", severity: Severity::Error, place, wrong, mend, related: Vec::new() }
     }
 
     /// The finding for a value that cannot be read, from the message of the deserializer.
--- a/crates/settings/tests/samples.rs
+++ b/crates/settings/tests/samples.rs
@@ -155,5 +155,5 @@
     for part in ["110%", "24 in 2s", "app 40%", "second 40%", "third 30%"] {
         assert!(f.wrong.contains(part), "{part} is not in: {}", f.wrong);
     }
-    assert_eq!(f.with.len(), 3, "the two other shares and the limit: {f:?}");
+    assert_eq!(f.related.len(), 3, "the two other shares and the limit: {f:?}");
 }
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -30,7 +30,7 @@
     /// A file cannot be read or written.
     File(PathBuf, std::io::Error),
     /// The check found errors, which have been reported.
-    FaultsFound,
+    ErrorsFound,
     /// A dispatcher refused the command, or no dispatcher is in the state that the command needs.
     Refused(String),
     /// A dispatcher or its control interface gave no usable answer, or a wait ended; the command may be
@@ -44,7 +44,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ToolError::File(path, e) => write!(f, "{}: {e}", path.display()),
-            ToolError::FaultsFound => f.write_str("errors were found; nothing was done"),
+            ToolError::ErrorsFound => f.write_str("errors were found; nothing was done"),
             ToolError::Config(e) => e.fmt(f),
             ToolError::Refused(why) | ToolError::Failed(why) => f.write_str(why),
         }
@@ -91,7 +91,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("lilacbank: {e}");
-            ExitCode::from(if matches!(e, ToolError::FaultsFound | ToolError::Refused(_)) { 1 } else { 2 })
+            ExitCode::from(if matches!(e, ToolError::ErrorsFound | ToolError::Refused(_)) { 1 } else { 2 })
         }
     }
 }
@@ -130,7 +130,7 @@
         }
     }
     if refused(findings) {
-        Err(ToolError::FaultsFound)
+        Err(ToolError::ErrorsFound)
     } else {
         Ok(())
     }
@@ -162,7 +162,7 @@
 fn first_application(set: &FileSet) -> Result<&ApplicationFile, ToolError> {
     set.apps.first().ok_or_else(|| {
         eprintln!("the file is an agreement; give the settings file of an application");
-        ToolError::FaultsFound
+        ToolError::ErrorsFound
     })
 }
 
@@ -212,7 +212,7 @@
     for file in &new.agreements {
         let Some(agreement) = set.agreements.get(file) else {
             eprintln!("{file}: the file is an application; give agreements");
-            return Err(ToolError::FaultsFound);
+            return Err(ToolError::ErrorsFound);
         };
         agreements.push((relative_path(&output, file), agreement));
     }
