--- a/src/tool/cell.rs
+++ b/src/tool/cell.rs
@@ -1,20 +1,20 @@
-//! `lilacbank cell`: checks a cell map, and tells who lives where.
+//! `lilacbank cell`: checks cell maps, shows the placement of tenants, and starts moves.
 
-use super::cli::{Cell, Format, How};
-use super::{moves, read, report, Done, ToolError};
+use super::cli::{Cell, Format, ReportOptions};
+use super::{moves, read, report, ToolError, ToolResult};
 use lilacbank_cells::placement::{lives, Area};
-use lilacbank_settings::cellmap::{CellMap, Dispatcher, Read};
+use lilacbank_settings::cellmap::{CellMap, Dispatcher, LoadedMap};
 use lilacbank_settings::units::Name;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// Runs a command.
-pub(super) fn run(command: Cell) -> Done {
+/// Runs a `cell` command.
+pub(super) fn run(command: Cell) -> ToolResult {
     match command {
         Cell::Check { file, in_force, format } => {
-            let force = in_force.map(|f| load(&f, format)).transpose()?;
-            let map = check(&file, force.as_ref(), format)?;
+            let in_force = in_force.map(|f| load(&f, format)).transpose()?;
+            let map = check(&file, in_force.as_ref(), format)?;
             if format == Format::Text {
                 println!("good: {} cells, {} dispatchers", map.cells.len(), map.dispatchers.len());
             }
@@ -22,20 +22,20 @@
         }
         Cell::Place { file, tenants } => {
             let map = check(&file, None, Format::Text)?;
-            let areas = areas(&map);
-            for tenant in names(&tenants)? {
-                let (cell, at) = home_of(&areas, &tenant);
+            let placement_areas = placement_areas(&map);
+            for tenant in read_tenants(&tenants)? {
+                let (cell, at) = placement_of(&placement_areas, &tenant);
                 println!("{tenant} {cell} {at}");
             }
             Ok(())
         }
         Cell::Plan { old, new, tenants } => {
-            let force = load(&old, Format::Text)?;
-            let new = check(&new, Some(&force), Format::Text)?;
-            let (mut moved, all) = (0, names(&tenants)?);
-            let (force, new) = (areas(&force.map), areas(&new));
+            let in_force = load(&old, Format::Text)?;
+            let new = check(&new, Some(&in_force), Format::Text)?;
+            let (mut moved, all) = (0, read_tenants(&tenants)?);
+            let (in_force, new) = (placement_areas(&in_force.map), placement_areas(&new));
             for tenant in &all {
-                let (a, b) = (home_of(&force, tenant), home_of(&new, tenant));
+                let (a, b) = (placement_of(&in_force, tenant), placement_of(&new, tenant));
                 if a != b {
                     moved += 1;
                     println!("{tenant} {} {} -> {} {}", a.0, a.1, b.0, b.1);
@@ -55,32 +55,34 @@
     }
 }
 
-/// The dispatchers of a map, and where each is reached.
+/// The dispatchers of a map with their addresses for peers.
 fn peers(file: &str) -> Result<Vec<(String, SocketAddr)>, ToolError> {
     let map = check(file, None, Format::Text)?;
     let at = |(name, d): (&Name, &Dispatcher)| Some((name.0.clone(), d.peer?.0));
     Ok(map.dispatchers.iter().filter_map(at).collect())
 }
 
-fn load(file: &str, format: Format) -> Result<Read, ToolError> {
-    let mut found = Vec::new();
-    let map = Read::load(file, &|f| std::fs::read_to_string(f), &mut found);
+/// Loads a map without checking it.
+fn load(file: &str, format: Format) -> Result<LoadedMap, ToolError> {
+    let mut findings = Vec::new();
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut findings);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    report(&found, &map.texts(), How { format, ..How::default() })?;
+    report(&findings, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map)
 }
 
-fn check(file: &str, force: Option<&Read>, format: Format) -> Result<CellMap, ToolError> {
-    let mut found = Vec::new();
-    let map = Read::load(file, &|f| std::fs::read_to_string(f), &mut found);
+/// Loads a map and checks it, also as a successor of `in_force`.
+fn check(file: &str, in_force: Option<&LoadedMap>, format: Format) -> Result<CellMap, ToolError> {
+    let mut findings = Vec::new();
+    let map = LoadedMap::load(file, &|f| std::fs::read_to_string(f), &mut findings);
     let map = map.map_err(|e| ToolError::File(file.into(), e))?;
-    found.extend(map.check(force));
-    report(&found, &map.texts(), How { format, ..How::default() })?;
+    findings.extend(map.check(in_force));
+    report(&findings, &map.texts(), ReportOptions { format, ..ReportOptions::default() })?;
     Ok(map.map)
 }
 
-/// Tenants as they were given; @FILE names one in each line.
-fn names(given: &[String]) -> Result<Vec<String>, ToolError> {
+/// Names of tenants from the command line; @FILE is replaced by the lines of a file.
+fn read_tenants(given: &[String]) -> Result<Vec<String>, ToolError> {
     let mut all = Vec::new();
     for name in given {
         match name.strip_prefix('@') {
@@ -94,8 +96,8 @@
     Ok(all)
 }
 
-/// The cells as placement wants them.
-fn areas(map: &CellMap) -> Vec<Area> {
+/// The cells of a map in the form that placement needs.
+fn placement_areas(map: &CellMap) -> Vec<Area> {
     let texts = |names: &[Name]| names.iter().map(|n| n.0.clone()).collect();
     let area = |(name, c): (&Name, &lilacbank_settings::cellmap::Cell)| Area {
         name: name.0.clone(),
@@ -106,7 +108,7 @@
     map.cells.iter().map(area).collect()
 }
 
-/// The cell of a tenant, and which of its dispatchers serves it.
-fn home_of(areas: &[Area], tenant: &str) -> (String, String) {
-    lives(areas, tenant).map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
+/// The cell in which a tenant is placed, and the dispatcher there that serves it.
+fn placement_of(placement_areas: &[Area], tenant: &str) -> (String, String) {
+    lives(placement_areas, tenant).map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
 }
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -1,6 +1,7 @@
-//! The tool for a sidecar's files: writes, checks, explains and renders them, and imports HAProxy's.
+//! The command line tool for settings files: writes, checks, explains and renders them, and imports
+//! HAProxy's.
 //!
-//! What is wrong with files is found by the package `lilacbank-settings`; here files are opened and reports printed.
+//! The checks are in the package `lilacbank-settings`; this module opens files and prints reports.
 
 mod cell;
 pub mod cli;
@@ -10,12 +11,12 @@
 
 use crate::config::{self, Mqtt};
 use crate::disk::Disk;
-use cli::{App, Cli, Command, Config, Format, How, New, Record, Wanted};
-use lilacbank_settings::check::{check, Elsewhere, Folders};
-use lilacbank_settings::compose::{compose, Wanted as Composed};
-use lilacbank_settings::finding::{refused, show, Finding};
-use lilacbank_settings::served::{Class, Known, Limits, Served, Tenant};
-use lilacbank_settings::set::{beside, AppFile, Set};
+use cli::{App, Cli, Command, Config, ConfigOverrides, Format, NewApplicationArgs, Record, ReportOptions};
+use lilacbank_settings::check::{check, AssumeUsable, Folders};
+use lilacbank_settings::compose::{compose, NewApplication};
+use lilacbank_settings::finding::{refused, render_findings, Finding};
+use lilacbank_settings::served::{Class, EndpointList, Limits, Served, Tenant};
+use lilacbank_settings::set::{resolve_path, ApplicationFile, FileSet};
 use lilacbank_settings::{explain, render, schema};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -23,18 +24,19 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Why the tool did not do it.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum ToolError {
     /// A file cannot be read or written.
     File(PathBuf, std::io::Error),
-    /// Faults were found, and have been reported.
-    Faults,
-    /// A dispatcher refuses.
+    /// The check found errors, which have been reported.
+    ErrorsFound,
+    /// A dispatcher refused the command, or no dispatcher is in the state that the command needs.
     Refused(String),
-    /// It could not be done, and may be tried again.
-    Unreached(String),
-    /// What was read says something else than what was written: a fault of the tool.
+    /// A dispatcher or its control interface gave no usable answer, or a wait ended; the command may be
+    /// repeated.
+    Failed(String),
+    /// A dispatcher would reject the configuration at startup, although it passed the check.
     Config(config::ConfigError),
 }
 
@@ -42,9 +44,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ToolError::File(path, e) => write!(f, "{}: {e}", path.display()),
-            ToolError::Faults => f.write_str("faults were found; nothing was done"),
+            ToolError::ErrorsFound => f.write_str("errors were found; nothing was done"),
             ToolError::Config(e) => e.fmt(f),
-            ToolError::Refused(why) | ToolError::Unreached(why) => f.write_str(why),
+            ToolError::Refused(why) | ToolError::Failed(why) => f.write_str(why),
         }
     }
 }
@@ -57,7 +59,7 @@
     }
 }
 
-type Done = Result<(), ToolError>;
+type ToolResult = Result<(), ToolError>;
 
 /// Runs a command other than `serve`.
 pub fn run(command: Command) -> ExitCode {
@@ -89,7 +91,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("lilacbank: {e}");
-            ExitCode::from(if matches!(e, ToolError::Faults | ToolError::Refused(_)) { 1 } else { 2 })
+            ExitCode::from(if matches!(e, ToolError::ErrorsFound | ToolError::Refused(_)) { 1 } else { 2 })
         }
     }
 }
@@ -98,8 +100,8 @@
     std::fs::read_to_string(path).map_err(|e| ToolError::File(path.into(), e))
 }
 
-/// Writes a file in one step: what was there stays until all of the new one is.
-fn write(path: &Path, text: &str) -> Done {
+/// Writes a file atomically: the old content stays until the new one is complete.
+fn write(path: &Path, text: &str) -> ToolResult {
     let new = PathBuf::from(format!("{}.new-{}", path.display(), std::process::id()));
     let done = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path));
     done.map_err(|e| {
@@ -108,7 +110,8 @@
     })
 }
 
-fn put(output: Option<&Path>, text: &str) -> Done {
+/// Writes to a file, or to standard output without one.
+fn write_output(output: Option<&Path>, text: &str) -> ToolResult {
     match output {
         Some(path) => write(path, text),
         None => {
@@ -118,76 +121,80 @@
     }
 }
 
-fn report(found: &[Finding], texts: &BTreeMap<String, String>, how: How) -> Done {
-    match how.format {
-        Format::Text => eprint!("{}", show(found, texts, std::io::stderr().is_terminal())),
+/// Prints findings; fails if any of them is an error.
+fn report(findings: &[Finding], texts: &BTreeMap<String, String>, options: ReportOptions) -> ToolResult {
+    match options.format {
+        Format::Text => eprint!("{}", render_findings(findings, texts, std::io::stderr().is_terminal())),
         Format::Json => {
-            found.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
+            findings.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
         }
     }
-    if refused(found) {
-        Err(ToolError::Faults)
+    if refused(findings) {
+        Err(ToolError::ErrorsFound)
     } else {
         Ok(())
     }
 }
 
-fn folders(how: How) -> &'static dyn Folders {
-    if how.elsewhere {
-        &Elsewhere
+/// The folders to check: those of this machine, or none.
+fn folders(options: ReportOptions) -> &'static dyn Folders {
+    if options.elsewhere {
+        &AssumeUsable
     } else {
         &Disk
     }
 }
 
-/// Reads and checks files together, and reports what is wrong.
-fn load(files: &[String], how: How) -> Result<Set, ToolError> {
-    // A file that was named here and cannot be read is not a fault of the files.
+/// Reads and checks files together, and prints the findings.
+fn load(files: &[String], options: ReportOptions) -> Result<FileSet, ToolError> {
+    // A file on the command line that cannot be read is an error of the command, not a finding.
     for file in files {
         read(Path::new(file))?;
     }
-    let mut found = Vec::new();
-    let set = Set::load(files, &|f| std::fs::read_to_string(f), &mut found);
-    found.extend(check(&set, folders(how)));
-    report(&found, &set.texts(), how)?;
+    let mut findings = Vec::new();
+    let set = FileSet::load(files, &|f| std::fs::read_to_string(f), &mut findings);
+    findings.extend(check(&set, folders(options)));
+    report(&findings, &set.texts(), options)?;
     Ok(set)
 }
 
-fn the_app(set: &Set) -> Result<&AppFile, ToolError> {
+/// The first application of the set; an error if there is none.
+fn first_application(set: &FileSet) -> Result<&ApplicationFile, ToolError> {
     set.apps.first().ok_or_else(|| {
-        eprintln!("the file is an agreement; name an application's file");
-        ToolError::Faults
+        eprintln!("the file is an agreement; give the settings file of an application");
+        ToolError::ErrorsFound
     })
 }
 
-fn run_app(app: App) -> Done {
+/// Runs an `app` command.
+fn run_app(app: App) -> ToolResult {
     match app {
         App::New(new) => run_new(*new),
-        App::Check { files, how } => {
-            let set = load(&files, how)?;
-            if how.format == Format::Text {
+        App::Check { files, options } => {
+            let set = load(&files, options)?;
+            if options.format == Format::Text {
                 println!("good: {} applications, {} agreements", set.apps.len(), set.agreements.len());
             }
             Ok(())
         }
-        App::Render { file, output, how } => {
-            let set = load(&[file], how)?;
-            let text = render::render(&set, the_app(&set)?).text();
-            check_served("the rendered file", &text, How { elsewhere: true, ..how })?;
-            put(output.as_deref(), &text)
+        App::Render { file, output, options } => {
+            let set = load(&[file], options)?;
+            let text = render::render(&set, first_application(&set)?).to_json();
+            check_served("the rendered file", &text, ReportOptions { elsewhere: true, ..options })?;
+            write_output(output.as_deref(), &text)
         }
-        App::Explain { file, how } => {
-            let set = load(&[file], how)?;
-            let lines = explain::explain(&set, the_app(&set)?);
-            match how.format {
+        App::Explain { file, options } => {
+            let set = load(&[file], options)?;
+            let lines = explain::explain(&set, first_application(&set)?);
+            match options.format {
                 Format::Json => {
                     lines.iter().for_each(|l| println!("{}", serde_json::to_string(l).unwrap_or_default()));
                 }
                 Format::Text => {
-                    let wide = |f: fn(&explain::Line) -> &str| {
+                    let column_width = |f: fn(&explain::EffectiveValue) -> &str| {
                         lines.iter().map(|l| f(l).chars().count()).max().unwrap_or(0).min(48)
                     };
-                    let (key, value) = (wide(|l| &l.key), wide(|l| &l.value));
+                    let (key, value) = (column_width(|l| &l.key), column_width(|l| &l.value));
                     lines.iter().for_each(|l| println!("{:key$}  {:value$}  {}", l.key, l.value, l.from));
                 }
             }
@@ -196,20 +203,21 @@
     }
 }
 
-fn run_new(new: New) -> Done {
-    let how = How { elsewhere: true, ..How::default() };
-    let set = load(&new.agreements, how)?;
+/// Runs `app new`.
+fn run_new(new: NewApplicationArgs) -> ToolResult {
+    let options = ReportOptions { elsewhere: true, ..ReportOptions::default() };
+    let set = load(&new.agreements, options)?;
     let output = new.output.as_ref().map_or("application.toml".into(), |o| o.display().to_string());
     let mut agreements = Vec::new();
     for file in &new.agreements {
         let Some(agreement) = set.agreements.get(file) else {
-            eprintln!("{file}: this is an application; name agreements");
-            return Err(ToolError::Faults);
+            eprintln!("{file}: the file is an application; give agreements");
+            return Err(ToolError::ErrorsFound);
         };
-        agreements.push((from_folder_of(&output, file), agreement));
+        agreements.push((relative_path(&output, file), agreement));
     }
     let text = compose(
-        &Composed {
+        &NewApplication {
             state: new.state.unwrap_or_else(|| format!("/var/lib/lilacbank/{}", new.name)),
             name: new.name,
             resp: new.resp,
@@ -222,19 +230,19 @@
         },
         &agreements,
     );
-    // What is written has passed the check, where it will stand.
-    let mut found = Vec::new();
+    // The text must pass the check under its final path before it is written.
+    let mut findings = Vec::new();
     let open = |f: &str| if f == output { Ok(text.clone()) } else { std::fs::read_to_string(f) };
-    let set = Set::load(std::slice::from_ref(&output), &open, &mut found);
-    found.extend(check(&set, &Elsewhere));
-    report(&found, &set.texts(), how)?;
-    put(new.output.as_deref(), &text)
+    let set = FileSet::load(std::slice::from_ref(&output), &open, &mut findings);
+    findings.extend(check(&set, &AssumeUsable));
+    report(&findings, &set.texts(), options)?;
+    write_output(new.output.as_deref(), &text)
 }
 
-/// How a file is named from the folder of another one.
-fn from_folder_of(output: &str, file: &str) -> String {
-    let whole = |p: &str| std::path::absolute(p).unwrap_or_else(|_| p.into());
-    let (to, from) = (whole(&beside("", file)), whole(&beside("", output)));
+/// The path of `file` relative to the folder of `output`.
+fn relative_path(output: &str, file: &str) -> String {
+    let absolute = |p: &str| std::path::absolute(p).unwrap_or_else(|_| p.into());
+    let (to, from) = (absolute(&resolve_path("", file)), absolute(&resolve_path("", output)));
     let folder: Vec<_> = from.parent().unwrap_or(Path::new("/")).components().collect();
     let parts: Vec<_> = to.components().collect();
     let same = folder.iter().zip(&parts).take_while(|(a, b)| a == b).count();
@@ -243,17 +251,18 @@
     path.display().to_string()
 }
 
-/// Checks the JSON that a dispatcher reads: first as strictly as can be, then as a start reads it.
-fn check_served(name: &str, text: &str, how: How) -> Result<Served, ToolError> {
-    let mut found = Vec::new();
-    let (_, served) = Served::read(name, text, folders(how), &mut found);
-    report(&found, &BTreeMap::from([(name.to_string(), text.to_string())]), how)?;
+/// Checks a dispatcher's JSON configuration: first with all checks, then by parsing it as a dispatcher does
+/// at startup.
+fn check_served(name: &str, text: &str, options: ReportOptions) -> Result<Served, ToolError> {
+    let mut findings = Vec::new();
+    let (_, served) = Served::read(name, text, folders(options), &mut findings);
+    report(&findings, &BTreeMap::from([(name.to_string(), text.to_string())]), options)?;
     config::Config::from_json(text, &|_| None)?;
     Ok(served)
 }
 
-/// Reads `NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]`.
-pub fn class(text: &str) -> Result<Class, String> {
+/// Parses a class given as `NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]`.
+pub fn parse_class(text: &str) -> Result<Class, String> {
     let mut parts: Vec<&str> = text.split(',').collect();
     let ordered = parts.last() == Some(&"ordered");
     if ordered {
@@ -261,7 +270,7 @@
     }
     let (name, effect, times) = match parts[..] {
         [name, effect, ref times @ ..] if (2..=3).contains(&times.len()) => (name, effect, times),
-        _ => return Err("NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered] was expected".into()),
+        _ => return Err("expected NAME,EFFECT,PROMISE,DEADLINE[,WINDOW][,ordered]".into()),
     };
     let times: Vec<f64> = times
         .iter()
@@ -279,15 +288,15 @@
     })
 }
 
-/// What is written where nothing else is said.
-pub(crate) fn usual() -> Served {
+/// The configuration that `config write` and imports start from.
+pub(crate) fn default_config() -> Served {
     let mut s = Served {
         name: "lilacbank".into(),
         listen: Some("127.0.0.1:6379".into()),
         discovery: Some("127.0.0.1:8500".into()),
         state: Some("state".into()),
         limits: Limits::default(),
-        known: Known { all: true, ..Known::default() },
+        known: EndpointList { all: true, ..EndpointList::default() },
         ..Served::default()
     };
     s.settings.classes = vec![Class {
@@ -301,9 +310,9 @@
     s
 }
 
-impl Wanted {
-    /// What the arguments say wins over what is there so far.
-    fn settle(&self, s: &mut Served) {
+impl ConfigOverrides {
+    /// Overrides values of a configuration by those given on the command line.
+    fn apply_to(&self, s: &mut Served) {
         let set = &mut s.settings;
         self.name.iter().for_each(|n| s.name.clone_from(n));
         s.listen = self.listen.clone().or(s.listen.take());
@@ -330,70 +339,78 @@
         s.known.targets.iter_mut().for_each(|t| t.az.clone_from(&set.zone));
     }
 
-    /// Writes what passes the check.
-    fn put(&self, mut served: Served) -> Done {
-        self.settle(&mut served);
-        let text = served.text();
-        check_served("the configuration", &text, How { elsewhere: true, ..How::default() })?;
+    /// Applies the overrides, checks the configuration, and writes it if it is free of errors.
+    fn write_checked(&self, mut served: Served) -> ToolResult {
+        self.apply_to(&mut served);
+        let text = served.to_json();
+        check_served(
+            "the configuration",
+            &text,
+            ReportOptions { elsewhere: true, ..ReportOptions::default() },
+        )?;
         let mqtt = self.mqtt.map(|to| format!("[acceptor]\nenabled = true\nlisten = \"{to}\"\n"));
         mqtt.iter().try_for_each(|t| Mqtt::from_toml(t).map(drop))?;
-        put(self.output.as_deref(), &text)?;
-        let beside = self.output.iter().map(|o| PathBuf::from(format!("{}.mqtt.toml", o.display())));
-        beside.zip(mqtt).try_for_each(|(path, text)| write(&path, &text))
+        write_output(self.output.as_deref(), &text)?;
+        let mqtt_file = self.output.iter().map(|o| PathBuf::from(format!("{}.mqtt.toml", o.display())));
+        mqtt_file.zip(mqtt).try_for_each(|(path, text)| write(&path, &text))
     }
 }
 
-fn run_config(command: Config) -> Done {
+/// Runs a `config` command.
+fn run_config(command: Config) -> ToolResult {
     match command {
-        Config::Write(wanted) => wanted.put(usual()),
-        Config::Check { file, mqtt, how } => {
-            let served = check_served(&file.display().to_string(), &read(&file)?, how)?;
-            let (classes, workers) = (served.settings.classes.len(), served.known.targets.len());
-            if how.format == Format::Text {
-                println!("{}: good: {classes} classes, {workers} workers", file.display());
+        Config::Write(overrides) => overrides.write_checked(default_config()),
+        Config::Check { file, mqtt, options } => {
+            let served = check_served(&file.display().to_string(), &read(&file)?, options)?;
+            let (classes, endpoints) = (served.settings.classes.len(), served.known.targets.len());
+            if options.format == Format::Text {
+                println!("{}: good: {classes} classes, {endpoints} endpoints", file.display());
             }
             if let Some(file) = mqtt {
                 let on = Mqtt::from_toml(&read(&file)?)?.listen;
                 let on = on.map_or("off".to_string(), |a| format!("on, at {a}"));
-                println!("{}: good: the MQTT front is {on}", file.display());
+                println!("{}: good: the MQTT front end is {on}", file.display());
             }
             Ok(())
         }
-        Config::ImportHaproxy { file, wanted } => {
+        Config::ImportHaproxy { file, overrides } => {
             let (served, skipped) = haproxy::import(&read(&file)?);
             for s in skipped {
                 eprintln!("{}:{}: {}", file.display(), s.line, s.why);
             }
-            wanted.put(served)
+            overrides.write_checked(served)
         }
     }
 }
 
-/// Bytes of an answer of the door at most, `vars` of many classes included.
-const ANSWER_MOST: u64 = 1 << 20;
+/// The longest answer that is read from a control interface, in bytes; `vars` with many classes fits.
+const MAX_ANSWER_BYTES: u64 = 1 << 20;
 
-/// Says one line to a dispatcher's door and prints the answer.
+/// Sends one line to a dispatcher's control interface and prints the answer.
 fn control(at: Option<String>, line: &str) -> Result<(), ToolError> {
     use std::io::{Read, Write};
     let at = at.or_else(|| config::environment("ROUTER_CONTROL")).filter(|a| !a.is_empty());
     let Some(at) = at else {
-        return Err(ToolError::Unreached("no door: give --at ADDRESS or set ROUTER_CONTROL".into()));
+        return Err(ToolError::Failed(
+            "no control interface is given; use --at ADDRESS or set ROUTER_CONTROL".into(),
+        ));
+    };
+    let not_reached = |e: std::io::Error| {
+        ToolError::Failed(format!("the control interface at {at} cannot be reached: {e}"))
     };
-    let unreached =
-        |e: std::io::Error| ToolError::Unreached(format!("the door at {at} cannot be reached: {e}"));
     let address: std::net::SocketAddr = at.parse().map_err(|_| {
-        ToolError::Unreached(format!("'{at}' is not an address with a port, such as 127.0.0.1:7001"))
+        ToolError::Failed(format!("'{at}' is not an address with a port, such as 127.0.0.1:7001"))
     })?;
-    let patience = std::time::Duration::from_secs(5);
-    let mut stream = std::net::TcpStream::connect_timeout(&address, patience).map_err(unreached)?;
-    stream.set_read_timeout(Some(patience)).map_err(unreached)?;
-    stream.write_all(format!("{line}\n").as_bytes()).map_err(unreached)?;
+    let timeout = std::time::Duration::from_secs(5);
+    let mut stream = std::net::TcpStream::connect_timeout(&address, timeout).map_err(not_reached)?;
+    stream.set_read_timeout(Some(timeout)).map_err(not_reached)?;
+    stream.write_all(format!("{line}\n").as_bytes()).map_err(not_reached)?;
     let mut answer = String::new();
-    stream.take(ANSWER_MOST).read_to_string(&mut answer).map_err(unreached)?;
+    stream.take(MAX_ANSWER_BYTES).read_to_string(&mut answer).map_err(not_reached)?;
     print!("{answer}");
     match answer.split_whitespace().next() {
-        Some("400") => Err(ToolError::Refused("the door said no".into())),
+        Some("400") => Err(ToolError::Refused("the dispatcher rejected the command".into())),
         Some(_) => Ok(()),
-        None => Err(ToolError::Unreached(format!("the door at {at} said nothing"))),
+        None => Err(ToolError::Failed(format!("the control interface at {at} sent no answer"))),
     }
 }
