--- a/crates/faults/src/files.rs
+++ b/crates/faults/src/files.rs
@@ -1,76 +1,76 @@
-//! Functions on files: those of the folder fail.
+//! Replacements of the C library's file functions. Faults apply only to paths inside the configured folder.
 
 use crate::schedule::{Call, Kind};
-use crate::{active, fail, failure, path_of, schedule};
+use crate::{active_argument, fail, path_of, schedule, scheduled_error};
 use libc::{c_char, c_int, c_void, mode_t, off_t, size_t, ssize_t};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The last write that failed has written its half, and the next call of its writer fails.
-static HALVED: AtomicBool = AtomicBool::new(false);
+/// Whether the last failing write transferred half of its bytes, so that the retry for the rest returns the error.
+static HALF_WRITTEN: AtomicBool = AtomicBool::new(false);
 
 fn in_folder(path: &str) -> bool {
     let folder = &schedule().folder;
     !folder.is_empty() && path.starts_with(folder.as_str())
 }
 
-/// Argument of an `eio` that only `pwrite` meets.
-const POSITIONED_ONLY: f64 = 2.0;
+/// Argument of an `eio` fault that affects only `pwrite`.
+const PWRITE_ONLY: f64 = 2.0;
 
-/// The argument of an I/O error that all calls on the folder meet now.
-fn io_error() -> Option<f64> {
-    active(Kind::Io).filter(|argument| *argument != POSITIONED_ONLY)
+/// The argument of the active `eio` fault, if it affects all calls on the folder.
+fn io_fault_argument() -> Option<f64> {
+    active_argument(Kind::Io).filter(|argument| *argument != PWRITE_ONLY)
 }
 
-/// The error with which a function on the folder fails now.
-fn folder_failure(call: Call, fd: c_int) -> Option<c_int> {
-    failure(call).filter(|_| path_of(fd).is_some_and(|p| in_folder(&p)))
+/// The scheduled error of this function now, if the descriptor refers to a file in the folder.
+fn descriptor_error(call: Call, fd: c_int) -> Option<c_int> {
+    scheduled_error(call).filter(|_| path_of(fd).is_some_and(|p| in_folder(&p)))
 }
 
-/// The same for a function that names a file.
-fn path_failure(call: Call, path: *const c_char) -> Option<c_int> {
-    failure(call).filter(|_| names_folder(path))
+/// The scheduled error of this function now, if the path lies in the folder.
+fn path_error(call: Call, path: *const c_char) -> Option<c_int> {
+    scheduled_error(call).filter(|_| path_in_folder(path))
 }
 
-/// The error that a write to a file of the folder gets now, and whether half of it is written first.
-pub(crate) fn disk_fault(fd: c_int) -> Option<(c_int, bool)> {
-    if let Some(error) = folder_failure(Call::Write, fd) {
+/// The error that a write to a file in the folder gets now, and whether half of the bytes are written first.
+pub(crate) fn write_fault(fd: c_int) -> Option<(c_int, bool)> {
+    if let Some(error) = descriptor_error(Call::Write, fd) {
         return Some((error, false));
     }
-    let fault = active(Kind::NoSpace).map(|half| (libc::ENOSPC, half > 0.0));
-    let fault = fault.or_else(|| io_error().map(|half| (libc::EIO, half > 0.0)))?;
+    let fault = active_argument(Kind::NoSpace).map(|half| (libc::ENOSPC, half > 0.0));
+    let fault = fault.or_else(|| io_fault_argument().map(|half| (libc::EIO, half > 0.0)))?;
     path_of(fd).is_some_and(|p| in_folder(&p)).then_some(fault)
 }
 
-/// Is it the turn of the half of a write that fails? The next call of its writer fails then.
-pub(crate) fn writes_half() -> bool {
-    !HALVED.fetch_xor(true, Ordering::Relaxed)
+/// Whether this failing write transfers half of its bytes. Alternates: the next call, the retry for the rest, fails.
+pub(crate) fn toggle_half_write() -> bool {
+    !HALF_WRITTEN.fetch_xor(true, Ordering::Relaxed)
 }
 
-/// The error that a read of a file of the folder gets now.
-pub(crate) fn read_failure(fd: c_int) -> Option<c_int> {
-    let io_error = io_error().filter(|_| path_of(fd).is_some_and(|p| in_folder(&p)));
-    io_error.map(|_| libc::EIO).or_else(|| folder_failure(Call::Read, fd))
+/// The error that a read of a file in the folder gets now.
+pub(crate) fn read_error(fd: c_int) -> Option<c_int> {
+    let io_fault = io_fault_argument().filter(|_| path_of(fd).is_some_and(|p| in_folder(&p)));
+    io_fault.map(|_| libc::EIO).or_else(|| descriptor_error(Call::Read, fd))
 }
 
-fn path_fault(path: *const c_char) -> bool {
-    io_error().is_some() && names_folder(path)
+fn path_has_io_fault(path: *const c_char) -> bool {
+    io_fault_argument().is_some() && path_in_folder(path)
 }
 
-fn names_folder(path: *const c_char) -> bool {
-    // SAFETY: the caller passes a path, which ends with a zero.
+fn path_in_folder(path: *const c_char) -> bool {
+    // SAFETY: the caller passes a C string, which is NUL-terminated.
     !path.is_null() && in_folder(&unsafe { std::ffi::CStr::from_ptr(path) }.to_string_lossy())
 }
 
 /// # Safety
 /// As the C library's function.
 #[no_mangle]
-pub unsafe extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, count: size_t, at: off_t) -> ssize_t {
-    let positioned = active(Kind::Io).is_some() && path_of(fd).is_some_and(|p| in_folder(&p));
-    let fault = folder_failure(Call::WriteAt, fd);
-    let fault = fault.or_else(|| disk_fault(fd).map(|f| f.0)).or(positioned.then_some(libc::EIO));
+pub unsafe extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, count: size_t, offset: off_t) -> ssize_t {
+    let io_fault = active_argument(Kind::Io).is_some() && path_of(fd).is_some_and(|p| in_folder(&p));
+    let fault = descriptor_error(Call::WriteAt, fd);
+    let fault = fault.or_else(|| write_fault(fd).map(|f| f.0)).or(io_fault.then_some(libc::EIO));
     match fault {
         Some(errno) => fail(errno) as ssize_t,
-        None => libc::syscall(libc::SYS_pwrite64, fd, bytes, count, at) as ssize_t,
+        None => libc::syscall(libc::SYS_pwrite64, fd, bytes, count, offset) as ssize_t,
     }
 }
 
@@ -78,10 +78,10 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    if path_fault(path) {
+    if path_has_io_fault(path) {
         return fail(libc::EIO);
     }
-    if let Some(error) = path_failure(Call::Open, path) {
+    if let Some(error) = path_error(Call::Open, path) {
         return fail(error);
     }
     libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) as c_int
@@ -91,10 +91,10 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn ftruncate64(fd: c_int, length: off_t) -> c_int {
-    if io_error().is_some() && path_of(fd).is_some_and(|p| in_folder(&p)) {
+    if io_fault_argument().is_some() && path_of(fd).is_some_and(|p| in_folder(&p)) {
         return fail(libc::EIO);
     }
-    if let Some(error) = folder_failure(Call::Truncate, fd) {
+    if let Some(error) = descriptor_error(Call::Truncate, fd) {
         return fail(error);
     }
     libc::syscall(libc::SYS_ftruncate, fd, length) as c_int
@@ -104,10 +104,10 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    if path_fault(from) {
+    if path_has_io_fault(from) {
         return fail(libc::EIO);
     }
-    if let Some(error) = path_failure(Call::Rename, from) {
+    if let Some(error) = path_error(Call::Rename, from) {
         return fail(error);
     }
     libc::syscall(libc::SYS_renameat2, libc::AT_FDCWD, from, libc::AT_FDCWD, to, 0) as c_int
@@ -117,7 +117,7 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn flock(fd: c_int, operation: c_int) -> c_int {
-    match failure(Call::Lock) {
+    match scheduled_error(Call::Lock) {
         Some(error) => fail(error),
         None => libc::syscall(libc::SYS_flock, fd, operation) as c_int,
     }
@@ -127,7 +127,7 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    match path_failure(Call::Remove, path) {
+    match path_error(Call::Remove, path) {
         Some(error) => fail(error),
         None => libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) as c_int,
     }
@@ -137,16 +137,16 @@
 /// As the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn statx(
-    folder: c_int,
+    dirfd: c_int,
     path: *const c_char,
     flags: c_int,
     mask: libc::c_uint,
-    about: *mut libc::statx,
+    buffer: *mut libc::statx,
 ) -> c_int {
-    // Of an open file the path is empty.
-    let named = path_failure(Call::Status, path);
-    match named.or_else(|| folder_failure(Call::Status, folder)) {
+    // With `AT_EMPTY_PATH` the path is empty and `dirfd` is the open file itself.
+    let error = path_error(Call::Status, path);
+    match error.or_else(|| descriptor_error(Call::Status, dirfd)) {
         Some(error) => fail(error),
-        None => libc::syscall(libc::SYS_statx, folder, path, flags, mask, about) as c_int,
+        None => libc::syscall(libc::SYS_statx, dirfd, path, flags, mask, buffer) as c_int,
     }
 }
--- a/crates/faults/src/schedule.rs
+++ b/crates/faults/src/schedule.rs
@@ -1,27 +1,27 @@
-//! The schedule of faults, as its text says; no system call.
+//! Parses the schedule of faults and looks up the active ones. Makes no system calls.
 
 use libc::c_int;
 
-/// What fails.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// The wall clock is off.
+    /// The wall clock is offset.
     Clock,
-    /// Writes to the folder: no space.
+    /// Writes to the folder fail with `ENOSPC`.
     NoSpace,
-    /// All work on the folder: I/O error.
+    /// Calls on the folder fail with `EIO`.
     Io,
-    /// New connections cannot be taken.
+    /// New connections cannot be accepted.
     Accept,
-    /// New connections cannot be made.
+    /// New connections cannot be opened.
     Connect,
-    /// New connections come up late.
+    /// New connections are delayed.
     Late,
     /// Calls are interrupted by signals.
     Interrupt,
-    /// Reads and writes on sockets move few bytes.
+    /// Reads and writes on sockets transfer few bytes.
     Short,
-    /// The process is held up.
+    /// The thread sleeps before socket writes.
     Halt,
     /// One function of the C library fails with one error.
     Fail(Call, c_int),
@@ -38,7 +38,7 @@
     Send,
     Receive,
     Lock,
-    /// This and the following ones: on the folder only.
+    /// From this variant on: only calls on files in the folder.
     Open,
     Read,
     Write,
@@ -49,7 +49,7 @@
     Status,
 }
 
-/// The functions by their names.
+/// The functions that `fail` accepts, by their names in the manual pages.
 const CALLS: [(&str, Call); 16] = [
     ("accept4", Call::Accept),
     ("connect", Call::Connect),
@@ -69,7 +69,7 @@
     ("statx", Call::Status),
 ];
 
-/// The errors by their names.
+/// The errors that `fail` accepts, by their names in the manual pages.
 const ERRORS: [(&str, c_int); 17] = [
     ("EAGAIN", libc::EAGAIN),
     ("ECONNABORTED", libc::ECONNABORTED),
@@ -90,7 +90,7 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// One fault and when it is on.
+/// One fault, active from `from` until `until`, in milliseconds since the epoch of the schedule.
 #[derive(Debug, Clone, Copy)]
 struct Fault {
     kind: Kind,
@@ -100,8 +100,8 @@
 }
 
 impl Fault {
-    /// Does it concern files of the folder only?
-    fn is_on_folder(&self) -> bool {
+    /// Whether the fault applies only to files in the folder.
+    fn needs_folder(&self) -> bool {
         use Call::*;
         match self.kind {
             Kind::NoSpace | Kind::Io => true,
@@ -113,27 +113,27 @@
     }
 }
 
-/// All faults of a process.
+/// All faults of one process.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     faults: Vec<Fault>,
     epoch: f64,
-    /// Paths that begin so belong to the folder whose files fail.
+    /// Prefix of the paths whose files fail.
     pub(crate) folder: String,
 }
 
 impl Schedule {
-    /// Reads a schedule.
+    /// Parses a schedule.
     ///
     /// # Errors
     ///
-    /// What is wrong with the first part that does not read, and what to write.
+    /// Describes the first fault that cannot be parsed, and the expected form.
     pub(crate) fn parse(text: &str, epoch: f64, folder: String) -> Result<Schedule, String> {
         let parts = text.split(';').map(str::trim).filter(|p| !p.is_empty());
-        let faults = parts.map(fault).collect::<Result<Vec<Fault>, String>>()?;
-        if folder.is_empty() && faults.iter().any(Fault::is_on_folder) {
-            let why = "enospc, eio and functions on files need LILACBANK_FAULTS_FOLDER; set it to the folder whose files fail";
-            return Err(why.into());
+        let faults = parts.map(parse_fault).collect::<Result<Vec<Fault>, String>>()?;
+        if folder.is_empty() && faults.iter().any(Fault::needs_folder) {
+            let error = "enospc, eio and functions on files need LILACBANK_FAULTS_FOLDER; set it to the folder whose files fail";
+            return Err(error.into());
         }
         Ok(Schedule { faults, epoch, folder })
     }
@@ -142,49 +142,49 @@
         self.faults.is_empty()
     }
 
-    /// The error with which a function fails at this time.
-    pub(crate) fn failure(&self, call: Call, now: f64) -> Option<c_int> {
+    /// The error with which this function fails at this time.
+    pub(crate) fn scheduled_error(&self, call: Call, now: f64) -> Option<c_int> {
         let at = now - self.epoch;
-        let on = self.faults.iter().filter(|f| f.from <= at && at < f.until);
-        on.rev().find_map(|f| match f.kind {
-            Kind::Fail(of, error) if of == call => Some(error),
+        let active = self.faults.iter().filter(|f| f.from <= at && at < f.until);
+        active.rev().find_map(|f| match f.kind {
+            Kind::Fail(function, error) if function == call => Some(error),
             _ => None,
         })
     }
 
-    /// The argument of the last fault of this kind that is on at this time.
-    pub(crate) fn active(&self, kind: Kind, now: f64) -> Option<f64> {
+    /// The argument of the last listed fault of this kind that is active at this time.
+    pub(crate) fn active_argument(&self, kind: Kind, now: f64) -> Option<f64> {
         let at = now - self.epoch;
-        let on = |f: &&Fault| f.kind == kind && f.from <= at && at < f.until;
-        self.faults.iter().rev().find(on).map(|f| f.argument)
+        let is_active = |f: &&Fault| f.kind == kind && f.from <= at && at < f.until;
+        self.faults.iter().rev().find(is_active).map(|f| f.argument)
     }
 }
 
-fn fault(text: &str) -> Result<Fault, String> {
-    let wrong = |what: &str| Err(format!("'{text}': {what}"));
-    let words: Vec<&str> = text.split_whitespace().collect();
-    if let ["fail", from, until, call, error] = words.as_slice() {
+fn parse_fault(text: &str) -> Result<Fault, String> {
+    let invalid = |problem: &str| Err(format!("'{text}': {problem}"));
+    let fields: Vec<&str> = text.split_whitespace().collect();
+    if let ["fail", from, until, call, error] = fields.as_slice() {
         let call = CALLS.iter().find(|(name, _)| name == call).map(|c| c.1);
         let error = ERRORS.iter().find(|(name, _)| name == error).map(|e| e.1);
         return match call.zip(error) {
-            Some((call, error)) => span(text, from, until).map(|(from, until)| Fault {
+            Some((call, error)) => parse_span(text, from, until).map(|(from, until)| Fault {
                 kind: Kind::Fail(call, error),
                 from,
                 until,
                 argument: 0.0,
             }),
-            None => wrong(&format!(
+            None => invalid(&format!(
                 "the function is one of {}, the error one of {}",
-                names(&CALLS),
-                names(&ERRORS)
+                join_names(&CALLS),
+                join_names(&ERRORS)
             )),
         };
     }
     let (kind, from, until, argument) =
-        match words.as_slice() {
+        match fields.as_slice() {
             [kind, from, until] => (*kind, *from, *until, "0"),
             [kind, from, until, argument] => (*kind, *from, *until, *argument),
-            _ => return wrong(
+            _ => return invalid(
                 "write KIND FROM UNTIL [ARGUMENT] or fail FROM UNTIL FUNCTION ERROR, times in milliseconds",
             ),
         };
@@ -200,28 +200,28 @@
         "halt" => Kind::Halt,
         _ => {
             let kinds = "clock, enospc, eio, accept, connect, late, eintr, short, halt, fail";
-            return wrong(&format!("the kind is one of {kinds}"));
+            return invalid(&format!("the kind is one of {kinds}"));
         }
     };
-    let Some(argument) = number(argument) else { return wrong(NOT_NUMBERS) };
-    span(text, from, until).map(|(from, until)| Fault { kind, from, until, argument })
+    let Some(argument) = parse_number(argument) else { return invalid(NOT_NUMBERS) };
+    parse_span(text, from, until).map(|(from, until)| Fault { kind, from, until, argument })
 }
 
 const NOT_NUMBERS: &str = "FROM, UNTIL and ARGUMENT are numbers";
 
-fn number(text: &str) -> Option<f64> {
+fn parse_number(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|n| n.is_finite())
 }
 
-/// The two times of a fault.
-fn span(text: &str, from: &str, until: &str) -> Result<(f64, f64), String> {
-    match number(from).zip(number(until)) {
+/// Parses the start and end of a fault; `text` is the whole fault, for error messages.
+fn parse_span(text: &str, from: &str, until: &str) -> Result<(f64, f64), String> {
+    match parse_number(from).zip(parse_number(until)) {
         Some((from, until)) if from < until => Ok((from, until)),
         Some(_) => Err(format!("'{text}': FROM is before UNTIL")),
         None => Err(format!("'{text}': {NOT_NUMBERS}")),
     }
 }
 
-fn names<T>(table: &[(&str, T)]) -> String {
+fn join_names<T>(table: &[(&str, T)]) -> String {
     table.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", ")
 }
