--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,58 +1,58 @@
-//! When messages are to come: drawn beforehand, from a seed.
+//! Arrival times of messages, drawn in advance from a seed.
 
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
 use std::time::Duration;
 
-/// Messages of one tenant and class to one destination.
+/// A stream of messages of one tenant and class to one destination.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stream {
-    /// Whose they are.
+    /// The tenant of the messages.
     pub tenant: String,
-    /// Their class.
+    /// The class of the messages.
     pub class: String,
-    /// Where they go.
+    /// The destination of the messages.
     pub dest: u64,
-    /// Messages a second, on average.
+    /// Average number of messages per second.
     pub rate: f64,
-    /// From when,
+    /// Start of the stream, from the start of the load.
     pub from: Duration,
-    /// and until when they come.
+    /// End of the stream, from the start of the load.
     pub until: Duration,
-    /// Delivered within this, a message is worth all of its worth.
+    /// A message that is delivered within this time has its full worth.
     pub wanted: Duration,
-    /// After this it is worth nothing.
+    /// A message that is delivered later than this has no worth.
     pub deadline: Duration,
 }
 
-/// A message and its time.
+/// A message and the time at which it is to be submitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Intended {
-    /// Since the start.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// Which stream.
+    /// Index of the stream.
     pub stream: usize,
-    /// Which message of it.
+    /// Index of the message in its stream.
     pub number: usize,
 }
 
 impl Intended {
-    /// The id of the message, as it was handed in for the nth time.
-    pub fn id(&self, attempt: u32) -> String {
-        format!("{:x}-{:x}-{attempt}", self.stream, self.number)
+    /// The id under which the message is submitted for the nth time, from 0.
+    pub fn id(&self, submission: u32) -> String {
+        format!("{:x}-{:x}-{submission}", self.stream, self.number)
     }
 
-    /// Stream and number of an id.
-    pub fn of(id: &str) -> Option<(usize, usize)> {
+    /// Stream and number of the message with this id.
+    pub fn parse_id(id: &str) -> Option<(usize, usize)> {
         let mut parts = id.split('-');
         let mut next = || usize::from_str_radix(parts.next()?, 16).ok();
         Some((next()?, next()?))
     }
 }
 
-/// Poisson arrivals of all streams, in order. A stream's times hang on the seed and its place alone, so one more stream
-/// leaves the others as they were.
+/// Poisson arrivals of all streams, in order of time. A stream's times depend only on the seed and the stream's index, so
+/// adding a stream does not change those of the others.
 pub fn poisson(seed: u64, streams: &[Stream]) -> Vec<Intended> {
     let mut all = Vec::new();
     for (stream, s) in streams.iter().enumerate() {
@@ -81,14 +81,15 @@
         Stream { tenant: "t".into(), class: "c".into(), dest: 1, rate, from, until, wanted, deadline }
     }
 
-    /// Guards against a flood that changes when the others' messages come: runs could not be compared.
+    /// Guards against a flood stream that changes the arrival times of other streams: runs with and without it could not be
+    /// compared.
     #[test]
-    fn a_seed_gives_the_same_times_whoever_else_sends() {
+    fn a_seed_gives_the_same_times_whichever_other_streams_exist() {
         let alone = poisson(7, &[stream(20.0)]);
         let both = poisson(7, &[stream(20.0), stream(200.0)]);
         assert_eq!(alone, both.iter().filter(|i| i.stream == 0).copied().collect::<Vec<_>>());
         assert!((1_800..2_200).contains(&alone.len()), "{}", alone.len());
         assert_ne!(alone, poisson(8, &[stream(20.0)]));
-        assert_eq!(Intended::of(&both[9].id(2)), Some((both[9].stream, both[9].number)));
+        assert_eq!(Intended::parse_id(&both[9].id(2)), Some((both[9].stream, both[9].number)));
     }
 }
--- a/crates/load/src/attempts.rs
+++ b/crates/load/src/attempts.rs
@@ -1,53 +1,54 @@
-//! Attempts as endpoints see them, and which of them overlap.
+//! Attempts as endpoints see them, and detection of attempts that overlap.
 //!
-//! An attempt begins once the last byte of its request has been read. It ends when its answer is about to be written, or when
-//! the endpoint sees that its connection has ended, whichever comes first. Nothing else ends it: what the caller believes does
-//! not count, and there is no tolerance. A caller that wants no overlap has to know that the endpoint has seen the end.
+//! An attempt begins when the endpoint has read the last byte of its request. It ends when the endpoint is about to write its
+//! answer, or when it sees that the connection has ended, whichever comes first. Nothing else ends it: what the dispatcher
+//! assumes does not count, and there is no tolerance. A dispatcher that wants to avoid overlaps has to know that the endpoint
+//! has seen the end.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// What ended an attempt in its endpoint's eyes.
+/// What ended an attempt, as its endpoint saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndedBy {
-    /// The endpoint answers.
+    /// The endpoint answered.
     Answer,
-    /// The caller ended its sending or the connection broke.
+    /// The dispatcher shut down its write side, or the connection broke.
     Caller,
     /// The endpoint reset the connection.
     Endpoint,
 }
 
-/// One call of a message, as its endpoint saw it.
+/// One attempt to deliver a message, as its endpoint saw it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// The id of its message.
     pub id: String,
-    /// When its last byte was read.
+    /// When the last byte of its request was read.
     pub began: Instant,
-    /// When and by whom it was ended; none: it is still out.
+    /// When and by what it was ended; `None` while it is open.
     pub ended: Option<(Instant, EndedBy)>,
 }
 
-/// The attempts of some endpoints, in the order of their beginnings.
+/// Log of attempts, in the order in which they began. Clones share the log.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptLog(Arc<Mutex<Vec<Attempt>>>);
 
-/// An attempt of a log that has not ended yet.
+/// Handle of an attempt in a log that has not ended yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Open(usize);
+pub struct OpenAttempt(usize);
 
 impl AttemptLog {
-    /// The last byte of a message's request was read.
-    pub fn begin(&self, id: &str) -> Open {
+    /// Records that the last byte of a message's request was read.
+    pub fn begin(&self, id: &str) -> OpenAttempt {
         let mut log = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         log.push(Attempt { id: id.to_string(), began: Instant::now(), ended: None });
-        Open(log.len() - 1)
+        OpenAttempt(log.len() - 1)
     }
 
-    /// An attempt ended; only its first end counts.
-    pub fn end(&self, open: Open, by: EndedBy) {
+    /// Records that an attempt ended; only its first end counts.
+    pub fn end(&self, open: OpenAttempt, by: EndedBy) {
         let mut log = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(attempt) = log.get_mut(open.0) {
             attempt.ended.get_or_insert((Instant::now(), by));
@@ -60,7 +61,8 @@
     }
 }
 
-/// Pairs of attempts that were out at once, of those that `group` gives the same group; without a group one is not judged.
+/// Describes the pairs of attempts that were open at the same time, among those that `group` puts into the same group; an
+/// attempt without a group is ignored.
 pub fn overlapping(attempts: &[Attempt], group: impl Fn(&str) -> Option<String>) -> Vec<String> {
     let mut groups: BTreeMap<String, Vec<&Attempt>> = BTreeMap::new();
     for attempt in attempts {
@@ -71,20 +73,21 @@
     let mut found = Vec::new();
     for mut of_group in groups.into_values() {
         of_group.sort_by_key(|a| a.began);
-        // The one that is out for the longest of those that began so far.
-        let mut longest: Option<&Attempt> = None;
+        // Of the attempts that began so far, the one that ends last.
+        let mut last_to_end: Option<&Attempt> = None;
         for attempt in of_group {
-            if let Some(earlier) = longest.filter(|e| is_out_at(e, attempt.began)) {
+            if let Some(earlier) = last_to_end.filter(|e| is_open_at(e, attempt.began)) {
                 found.push(describe(earlier, attempt));
             }
-            let outlasts = longest.is_none_or(|e| e.ended.is_some_and(|(at, _)| is_out_at(attempt, at)));
-            longest = if outlasts { Some(attempt) } else { longest };
+            let ends_later =
+                last_to_end.is_none_or(|e| e.ended.is_some_and(|(at, _)| is_open_at(attempt, at)));
+            last_to_end = if ends_later { Some(attempt) } else { last_to_end };
         }
     }
     found
 }
 
-fn is_out_at(attempt: &Attempt, at: Instant) -> bool {
+fn is_open_at(attempt: &Attempt, at: Instant) -> bool {
     attempt.ended.is_none_or(|(ended, _)| ended > at)
 }
 
@@ -92,8 +95,8 @@
     let after = later.began.duration_since(earlier.began).as_secs_f64() * 1e3;
     let end = match earlier.ended {
         Some((at, by)) => {
-            let over = at.duration_since(later.began).as_secs_f64() * 1e3;
-            format!("ended by {by:?} {over:.2} ms later")
+            let overlap = at.duration_since(later.began).as_secs_f64() * 1e3;
+            format!("ended by {by:?} {overlap:.2} ms later")
         }
         None => "never ended".to_string(),
     };
@@ -105,9 +108,9 @@
     use super::*;
     use std::time::Duration;
 
-    /// Guards against a judge that passes over a pair, however short its overlap and whichever of the two began first.
+    /// Guards against a check that misses a pair because its overlap is short or because of the order in the log.
     #[test]
-    fn every_pair_that_was_out_at_once_is_found() {
+    fn every_pair_that_was_open_at_once_is_found() {
         let start = Instant::now();
         let at = |us: u64| start + Duration::from_micros(us);
         let attempt = |id: &str, from: u64, to: Option<u64>| Attempt {
@@ -115,19 +118,19 @@
             began: at(from),
             ended: to.map(|to| (at(to), EndedBy::Caller)),
         };
-        let judge = |all: &[Attempt]| overlapping(all, |id| Some(id.to_string())).len();
+        let count = |all: &[Attempt]| overlapping(all, |id| Some(id.to_string())).len();
         let first = attempt("a", 0, Some(1_000));
-        assert_eq!(judge(&[first.clone(), attempt("a", 1_000, Some(2_000))]), 0, "one behind the other");
-        assert_eq!(judge(&[first.clone(), attempt("a", 999, Some(2_000))]), 1, "by a microsecond");
-        assert_eq!(judge(&[attempt("a", 1_001, Some(1_002)), first.clone()]), 0, "in any order of the log");
-        // Given up, and reaching its endpoint behind the one that followed it.
-        assert_eq!(judge(&[attempt("a", 10, Some(11)), first.clone()]), 1);
-        assert_eq!(judge(&[attempt("a", 0, None), attempt("a", 9_000, Some(9_001))]), 1, "never ended");
+        assert_eq!(count(&[first.clone(), attempt("a", 1_000, Some(2_000))]), 0, "one after the other");
+        assert_eq!(count(&[first.clone(), attempt("a", 999, Some(2_000))]), 1, "by a microsecond");
+        assert_eq!(count(&[attempt("a", 1_001, Some(1_002)), first.clone()]), 0, "in any order of the log");
+        // Given up by the dispatcher, and reached its endpoint after the attempt that followed it.
+        assert_eq!(count(&[attempt("a", 10, Some(11)), first.clone()]), 1);
+        assert_eq!(count(&[attempt("a", 0, None), attempt("a", 9_000, Some(9_001))]), 1, "never ended");
         let three = [attempt("a", 0, Some(9)), attempt("a", 1, Some(2)), attempt("a", 5, Some(6))];
-        assert_eq!(judge(&three), 2, "the longest counts, not the last");
-        assert_eq!(judge(&[first.clone(), attempt("b", 10, Some(20))]), 0, "another message");
+        assert_eq!(count(&three), 2, "compared with the attempt that ends last, not with the previous one");
+        assert_eq!(count(&[first.clone(), attempt("b", 10, Some(20))]), 0, "another message");
         let key = |_: &str| Some("key".to_string());
         assert_eq!(overlapping(&[first.clone(), attempt("b", 10, Some(20))], key).len(), 1, "of one key");
-        assert_eq!(overlapping(&[first.clone(), first], |_| None).len(), 0, "not judged");
+        assert_eq!(overlapping(&[first.clone(), first], |_| None).len(), 0, "ignored without a group");
     }
 }
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that speak RESP2 and hand in what is due, whether the last answer has come or not.
+//! Open-loop RESP2 clients: they submit messages at their intended times, whether or not earlier answers have come.
 
 use crate::arrivals::{Intended, Stream};
 use std::io::{BufRead, BufReader, Write};
@@ -8,89 +8,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a message fared at the door.
+/// Whether a dispatcher accepted a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Door {
-    /// Taken on.
+    /// Accepted.
     Taken,
-    /// Refused as often as it was handed in.
+    /// Every submission was rejected.
     Refused,
-    /// Failed, or no answer came.
+    /// The submission failed or was not answered.
     Failed,
 }
 
-/// What became of one message, as its client saw it.
+/// The result of submitting one message, as its client saw it.
 #[derive(Debug, Clone, Copy)]
-pub struct Handed {
-    /// Which.
-    pub what: Intended,
-    /// How late the driver was with it.
+pub struct Submission {
+    /// The message.
+    pub message: Intended,
+    /// How late the driver submitted it.
     pub lag: Duration,
-    /// How it fared.
+    /// Whether it was accepted.
     pub door: Door,
-    /// Refusals that it met.
-    pub refusals: u32,
+    /// Number of submissions that were rejected.
+    pub rejections: u32,
 }
 
-/// How clients behave.
+/// Settings of the clients.
 #[derive(Debug, Clone)]
 pub struct Habits {
-    /// Connections at most: messages that are due while all are busy are late by the driver's fault.
+    /// Number of connections. A message that is due while all are busy is submitted late, which counts as lag of the driver.
     pub connections: usize,
-    /// How often a refused message is handed in again.
+    /// How often a rejected message is submitted again.
     pub again: u32,
-    /// A client waits so long where no wait is told.
-    pub wait: Duration,
-    /// An answer that has not come by then will not.
-    pub patience: Duration,
-    /// Where each message is written down as soon as it has fared somehow, for who must know before the end.
-    pub seen: Option<Arc<Mutex<Vec<Handed>>>>,
+    /// Wait before the next submission if the rejection names none.
+    pub default_wait: Duration,
+    /// Time after which a submission counts as unanswered.
+    pub answer_timeout: Duration,
+    /// Receives each result as soon as it is known, for readers that need it before the end of the load.
+    pub results: Option<Arc<Mutex<Vec<Submission>>>>,
 }
 
 impl Default for Habits {
     fn default() -> Habits {
-        let (wait, patience) = (Duration::from_millis(200), Duration::from_millis(400));
-        Habits { connections: 64, again: 2, wait, patience, seen: None }
+        let (default_wait, answer_timeout) = (Duration::from_millis(200), Duration::from_millis(400));
+        Habits { connections: 64, again: 2, default_wait, answer_timeout, results: None }
     }
 }
 
-/// Where a message is handed in: by its stream and number.
-pub type Route = Arc<dyn Fn(&Stream, usize) -> SocketAddr + Send + Sync>;
+/// Chooses the dispatcher to which a message is submitted, by its stream and number.
+pub type DispatcherSelector = Arc<dyn Fn(&Stream, usize) -> SocketAddr + Send + Sync>;
 
-fn command(words: &[&[u8]]) -> Vec<u8> {
-    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
-    for w in words {
-        bytes.extend(format!("${}\r\n", w.len()).bytes());
-        bytes.extend_from_slice(w);
+fn command(arguments: &[&[u8]]) -> Vec<u8> {
+    let mut bytes = format!("*{}\r\n", arguments.len()).into_bytes();
+    for argument in arguments {
+        bytes.extend(format!("${}\r\n", argument.len()).bytes());
+        bytes.extend_from_slice(argument);
         bytes.extend(b"\r\n");
     }
     bytes
 }
 
-/// Hands in once over a kept connection, or a new one where that has ended.
+/// Submits once over the kept connection, or over a new one if that has ended; the answer line, or none.
 pub(crate) fn submit(
-    kept: &mut Option<(SocketAddr, BufReader<TcpStream>)>,
-    to: SocketAddr,
-    words: &[&[u8]],
-    patience: Duration,
+    connection: &mut Option<(SocketAddr, BufReader<TcpStream>)>,
+    dispatcher: SocketAddr,
+    arguments: &[&[u8]],
+    answer_timeout: Duration,
 ) -> Option<String> {
     for _ in 0..2 {
-        if kept.as_ref().is_none_or(|k| k.0 != to) {
-            let tcp = TcpStream::connect_timeout(&to, patience).ok()?;
+        if connection.as_ref().is_none_or(|c| c.0 != dispatcher) {
+            let tcp = TcpStream::connect_timeout(&dispatcher, answer_timeout).ok()?;
             tcp.set_nodelay(true).ok()?;
-            tcp.set_read_timeout(Some(patience)).ok()?;
-            *kept = Some((to, BufReader::new(tcp)));
+            tcp.set_read_timeout(Some(answer_timeout)).ok()?;
+            *connection = Some((dispatcher, BufReader::new(tcp)));
         }
-        let (_, reader) = kept.as_mut()?;
+        let (_, reader) = connection.as_mut()?;
         let mut line = String::new();
-        let written = reader.get_mut().write_all(&command(words)).is_ok();
+        let written = reader.get_mut().write_all(&command(arguments)).is_ok();
         match reader.read_line(&mut line) {
             Ok(n) if written && n > 0 => return Some(line.trim_end().to_string()),
-            // It ended between two requests: once more on a new one. A silent one is not asked again.
-            Ok(_) => *kept = None,
-            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => *kept = None,
+            // The connection ended between two requests: submit once more over a new one. After a timeout do not.
+            Ok(_) => *connection = None,
+            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => *connection = None,
             Err(_) => {
-                *kept = None;
+                *connection = None;
                 return None;
             }
         }
@@ -98,28 +98,35 @@
     None
 }
 
-/// Hands all messages in at their times, from `start` on; returns when all have fared somehow.
+/// Submits all messages at their intended times, counted from `start`; returns when all have a result.
 pub fn drive(
     start: Instant,
     streams: &[Stream],
     messages: &[Intended],
-    route: Route,
+    select_dispatcher: DispatcherSelector,
     habits: &Habits,
-) -> Vec<Handed> {
+) -> Vec<Submission> {
     let (next, all) = (AtomicUsize::new(0), Mutex::new(Vec::with_capacity(messages.len())));
     thread::scope(|scope| {
         for _ in 0..habits.connections {
             scope.spawn(|| {
-                let mut kept = None;
+                let mut connection = None;
                 loop {
-                    let Some(what) = messages.get(next.fetch_add(1, Ordering::Relaxed)) else { return };
-                    thread::sleep((start + what.at).saturating_duration_since(Instant::now()));
-                    let handed = hand(start, &streams[what.stream], *what, &route, habits, &mut kept);
-                    if let Some(Ok(mut seen)) = habits.seen.as_ref().map(|s| s.lock()) {
-                        seen.push(handed);
+                    let Some(message) = messages.get(next.fetch_add(1, Ordering::Relaxed)) else { return };
+                    thread::sleep((start + message.at).saturating_duration_since(Instant::now()));
+                    let submission = submit_message(
+                        start,
+                        &streams[message.stream],
+                        *message,
+                        &select_dispatcher,
+                        habits,
+                        &mut connection,
+                    );
+                    if let Some(Ok(mut results)) = habits.results.as_ref().map(|r| r.lock()) {
+                        results.push(submission);
                     }
                     if let Ok(mut all) = all.lock() {
-                        all.push(handed);
+                        all.push(submission);
                     }
                 }
             });
@@ -128,57 +135,66 @@
     all.into_inner().unwrap_or_default()
 }
 
-/// Hands messages that were taken in once more, marked so, each under its next id, as clients of a dispatcher that died
-/// with its folder do; what each is answered.
-pub fn hand_in_again(
+/// Submits accepted messages again, marked with `again=1` and each under its next id, as the clients of a dispatcher that
+/// lost its state folder do; returns the new ids and the answers.
+pub fn resubmit(
     streams: &[Stream],
-    messages: &[Handed],
-    to: SocketAddr,
+    messages: &[Submission],
+    dispatcher: SocketAddr,
     habits: &Habits,
 ) -> Vec<(String, String)> {
-    let mut kept = None;
-    let one = |h: &Handed| {
-        let s = &streams[h.what.stream];
-        let id = h.what.id(h.refusals + 1);
+    let mut connection = None;
+    let one = |h: &Submission| {
+        let s = &streams[h.message.stream];
+        let id = h.message.id(h.rejections + 1);
         let left = s.deadline.as_millis();
-        let options =
-            format!("c={},t={},d={left},dest={},k={:016x},again=1", s.class, s.tenant, s.dest, h.what.number);
-        let words: [&[u8]; 5] = [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"claim"];
-        let answer = submit(&mut kept, to, &words, habits.patience).unwrap_or_default();
+        let options = format!(
+            "c={},t={},d={left},dest={},k={:016x},again=1",
+            s.class, s.tenant, s.dest, h.message.number
+        );
+        let arguments: [&[u8]; 5] =
+            [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"claim"];
+        let answer =
+            submit(&mut connection, dispatcher, &arguments, habits.answer_timeout).unwrap_or_default();
         (id, answer)
     };
     messages.iter().map(one).collect()
 }
 
-fn hand(
+/// Submits one message, and again while it is rejected, as often as `habits` allow.
+fn submit_message(
     start: Instant,
     s: &Stream,
-    what: Intended,
-    route: &Route,
+    message: Intended,
+    select_dispatcher: &DispatcherSelector,
     habits: &Habits,
-    kept: &mut Option<(SocketAddr, BufReader<TcpStream>)>,
-) -> Handed {
-    let due = start + what.at;
+    connection: &mut Option<(SocketAddr, BufReader<TcpStream>)>,
+) -> Submission {
+    let due = start + message.at;
     let lag = due.elapsed();
-    let (mut door, mut refusals) = (Door::Failed, 0);
-    for attempt in 0..=habits.again {
+    let (mut door, mut rejections) = (Door::Failed, 0);
+    for submission in 0..=habits.again {
         let left = s.deadline.saturating_sub(due.elapsed()).as_millis();
         if left == 0 {
             break;
         }
-        let id = what.id(attempt);
-        let options = format!("c={},t={},d={left},dest={},k={:016x}", s.class, s.tenant, s.dest, what.number);
-        let words: [&[u8]; 5] = [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"claim"];
-        let answer = submit(kept, route(s, what.number), &words, habits.patience).unwrap_or_default();
+        let id = message.id(submission);
+        let options =
+            format!("c={},t={},d={left},dest={},k={:016x}", s.class, s.tenant, s.dest, message.number);
+        let arguments: [&[u8]; 5] =
+            [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"claim"];
+        let answer =
+            submit(connection, select_dispatcher(s, message.number), &arguments, habits.answer_timeout)
+                .unwrap_or_default();
         let Some(wait) = answer.strip_prefix("-BUSY") else {
             door = if answer.starts_with('+') { Door::Taken } else { Door::Failed };
             break;
         };
-        (door, refusals) = (Door::Refused, refusals + 1);
-        if attempt < habits.again {
-            let told = wait.trim().parse().map(Duration::from_millis).unwrap_or(habits.wait);
-            thread::sleep(told);
+        (door, rejections) = (Door::Refused, rejections + 1);
+        if submission < habits.again {
+            let wait = wait.trim().parse().map(Duration::from_millis).unwrap_or(habits.default_wait);
+            thread::sleep(wait);
         }
     }
-    Handed { what, lag, door, refusals }
+    Submission { message, lag, door, rejections }
 }
--- a/crates/load/src/connection_fault.rs
+++ b/crates/load/src/connection_fault.rs
@@ -1,4 +1,4 @@
-//! What an endpoint does to its connections: it ends them in the middle of a call or between two, or forgets them.
+//! Faults that a stand-in endpoint causes on its connections: half-closes and resets during or between calls, and silence.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
@@ -6,23 +6,23 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An end of a connection that an endpoint makes.
+/// A connection fault that an endpoint causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionFault {
-    /// It ends its sending as the next request arrives. It still reads that request, a little later, and begins a call that
-    /// it will not answer.
+    /// The endpoint shuts down its write side as the next request arrives. It still reads that request, a little later, and
+    /// begins a call that it does not answer.
     HalfCloseAsCallCrosses,
-    /// It ends its sending in the middle of a call, which goes on.
+    /// The endpoint shuts down its write side during a call, which still takes effect.
     HalfCloseInCall,
-    /// It resets the connection in the middle of a call, which is cut off.
+    /// The endpoint resets the connection during a call, which does not take effect.
     ResetInCall,
-    /// It resets the connection as a request arrives, unread.
+    /// The endpoint resets the connection as a request arrives, without reading it.
     ResetAsCallCrosses,
-    /// It forgets the connection as a request arrives: nothing more is read or written, and it stays open.
+    /// The endpoint stops reading and writing as a request arrives; the connection stays open.
     Forget,
 }
 
-/// All of them.
+/// All connection faults.
 pub const CONNECTION_FAULTS: [ConnectionFault; 5] = [
     ConnectionFault::HalfCloseAsCallCrosses,
     ConnectionFault::HalfCloseInCall,
@@ -31,34 +31,34 @@
     ConnectionFault::Forget,
 ];
 
-/// Which faults an endpoint shows, and how often.
+/// Which faults an endpoint causes, and how often.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// One after another.
+    /// The faults, used in turn.
     pub faults: Vec<ConnectionFault>,
-    /// One in so many requests meets one, 1 or more.
+    /// One in this many requests meets a fault; 0 counts as 1.
     pub one_in: usize,
-    /// A request that crosses an end is read so much later.
+    /// Delay before the endpoint reads a request that arrived as it shut down its write side.
     pub read_later: Duration,
 }
 
 impl FaultPlan {
-    /// The fault that the `nth` request of the endpoint meets.
-    pub fn fault_of(&self, nth: usize) -> Option<ConnectionFault> {
-        let meets = nth % self.one_in.max(1) == self.one_in.max(1) - 1;
-        let turn = (nth / self.one_in.max(1)) % self.faults.len().max(1);
-        self.faults.get(turn).copied().filter(|_| meets)
+    /// The fault that the `nth` request of the endpoint meets, if any.
+    pub fn fault_for(&self, nth: usize) -> Option<ConnectionFault> {
+        let is_faulty = nth % self.one_in.max(1) == self.one_in.max(1) - 1;
+        let index = (nth / self.one_in.max(1)) % self.faults.len().max(1);
+        self.faults.get(index).copied().filter(|_| is_faulty)
     }
 }
 
-/// Waits until one of these holds on the connection, for so long at most; when it came.
-pub fn wait_for(tcp: &TcpStream, what: PollFlags, most: Duration) -> Option<Instant> {
-    let began = Instant::now();
+/// Waits for at most `timeout` until one of these events occurs on the connection; returns the time at which it did.
+pub fn wait_for_events(tcp: &TcpStream, events: PollFlags, timeout: Duration) -> Option<Instant> {
+    let start = Instant::now();
     loop {
-        let mut fds = [PollFd::new(tcp, what)];
-        let left = most.saturating_sub(began.elapsed());
-        let timeout = Timespec::try_from(left).ok()?;
-        match poll(&mut fds, Some(&timeout)) {
+        let mut fds = [PollFd::new(tcp, events)];
+        let left = timeout.saturating_sub(start.elapsed());
+        let timespec = Timespec::try_from(left).ok()?;
+        match poll(&mut fds, Some(&timespec)) {
             Ok(0) => return None,
             Ok(_) => return Some(Instant::now()),
             Err(Errno::INTR) => {}
@@ -67,17 +67,18 @@
     }
 }
 
-/// Waits for the caller's end of sending, or for the connection's end, for so long at most; when it came.
-pub fn wait_for_caller(tcp: &TcpStream, most: Duration) -> Option<Instant> {
-    wait_for(tcp, PollFlags::RDHUP, most)
+/// Waits for at most `timeout` until the remote side shuts down its write side or the connection ends; returns the time at
+/// which it did.
+pub fn wait_for_remote_close(tcp: &TcpStream, timeout: Duration) -> Option<Instant> {
+    wait_for_events(tcp, PollFlags::RDHUP, timeout)
 }
 
-/// Ends this side's sending.
+/// Shuts down the write side.
 pub fn half_close(tcp: &TcpStream) {
     let _ = tcp.shutdown(Shutdown::Write);
 }
 
-/// Has the connection reset once the last handle of it is closed.
+/// Makes the connection be reset, not closed, when its last handle is dropped.
 pub fn reset_on_close(tcp: &TcpStream) {
     let _ = set_socket_linger(tcp, Some(Duration::ZERO));
 }
@@ -87,11 +88,11 @@
     use super::*;
 
     #[test]
-    fn one_in_so_many_requests_meets_the_faults_in_turn() {
+    fn one_in_n_requests_meets_the_faults_in_turn() {
         let faults = vec![ConnectionFault::ResetInCall, ConnectionFault::Forget];
         let plan = FaultPlan { faults, one_in: 3, read_later: Duration::ZERO };
-        let met: Vec<_> = (0..9).map(|n| plan.fault_of(n)).collect();
+        let faults_met: Vec<_> = (0..9).map(|n| plan.fault_for(n)).collect();
         let (reset, forget) = (Some(ConnectionFault::ResetInCall), Some(ConnectionFault::Forget));
-        assert_eq!(met, [None, None, reset, None, None, forget, None, None, reset]);
+        assert_eq!(faults_met, [None, None, reset, None, None, forget, None, None, reset]);
     }
 }
--- a/crates/load/src/keyed.rs
+++ b/crates/load/src/keyed.rs
@@ -1,5 +1,7 @@
-//! Clients whose messages have an order: each hands in one after another under one key, follows its tenant to where it
-//! lives, and hands in again, under the same id, what was not answered. And the audit of what came of it.
+//! Clients that submit messages in order under one ordering key, and an audit of the results.
+//!
+//! Each client submits one message at a time, follows its tenant to the dispatcher that owns it, and submits an unanswered
+//! message again under the same id.
 
 use crate::attempts::{overlapping, Attempt};
 use crate::client::submit;
@@ -10,67 +12,69 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One client: a key, and what it sends under it.
+/// One client and the messages that it submits under one ordering key.
 #[derive(Debug, Clone)]
 pub struct Chain {
-    /// The key; each client has another.
+    /// The ordering key, different for each client.
     pub key: u64,
-    /// Whose messages they are.
+    /// The tenant of the messages.
     pub tenant: String,
-    /// Their class.
+    /// The class of the messages.
     pub class: String,
-    /// Where they go.
+    /// The destination of the messages.
     pub dest: u64,
-    /// From one answer to the next message.
+    /// Time between an answer and the next message.
     pub gap: Duration,
-    /// A message may be delivered for so long.
+    /// Time within which a message may be delivered.
     pub deadline: Duration,
 }
 
-/// A message and its door.
+/// A submitted message and whether a dispatcher accepted it.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    /// Its id.
+    /// The id of the last submission.
     pub id: String,
-    /// Its key.
+    /// The ordering key.
     pub key: u64,
-    /// Its place in the key's order.
+    /// Position in the order of the key.
     pub number: usize,
-    /// It was taken on; else refused or failed to the end, or nobody answered.
+    /// Whether it was accepted. Otherwise every submission was rejected, failed or stayed unanswered.
     pub taken: bool,
-    /// From the first time that it was handed in until the answer.
+    /// Time from the first submission until the answer.
     pub door: Duration,
 }
 
-/// An answer that has not come by then will not.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Before it is tried again where nobody answers.
-const AGAIN: Duration = Duration::from_millis(20);
-/// After so many failures in a row another dispatcher is asked.
-const FAILURES: usize = 5;
+/// Time after which a submission counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Wait before an unanswered submission is repeated, or one that was rejected without a wait. Submissions later than this
+/// after the first one are marked with `again=1`.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// After every this many unanswered submissions of a message, the client switches to the next dispatcher.
+const FAILURES_BEFORE_SWITCH: usize = 5;
 
-/// Hands in until it is told to stop; returns all that was handed in, in order.
+/// Submits messages until `stop` is set; returns all of them, in order.
 pub fn run(chain: &Chain, dispatchers: &[SocketAddr], stop: &AtomicBool) -> Vec<Sent> {
-    let (mut all, mut kept, mut at) = (Vec::new(), None, 0);
-    let mut to = dispatchers[0];
+    let (mut all, mut connection, mut index) = (Vec::new(), None, 0);
+    let mut dispatcher = dispatchers[0];
     for number in 0.. {
         if stop.load(Ordering::Relaxed) {
             break;
         }
-        let name = |hand: u32| format!("{:x}-{number:x}-{hand}", chain.key);
-        let (mut hand, mut id) = (0, name(0));
-        let (begun, mut failures, mut taken) = (Instant::now(), 0, false);
+        let id_of = |submission: u32| format!("{:x}-{number:x}-{submission}", chain.key);
+        let (mut submission, mut id) = (0, id_of(0));
+        let (started, mut failures, mut taken) = (Instant::now(), 0, false);
         loop {
-            let left = chain.deadline.saturating_sub(begun.elapsed()).as_millis();
+            let left = chain.deadline.saturating_sub(started.elapsed()).as_millis();
             if left == 0 {
                 break;
             }
-            let again = if begun.elapsed() > AGAIN { ",again=1" } else { "" };
+            let again = if started.elapsed() > RETRY_DELAY { ",again=1" } else { "" };
             let (class, tenant, dest) = (&chain.class, &chain.tenant, chain.dest);
-            let options = format!("c={class},t={tenant},d={left},dest={dest},k={}{again}", name(0));
+            let options = format!("c={class},t={tenant},d={left},dest={dest},k={}{again}", id_of(0));
             let key = format!("{:016x}", chain.key);
-            let words: [&[u8]; 5] = [b"SUBMIT", key.as_bytes(), id.as_bytes(), options.as_bytes(), b"claim"];
-            let answer = submit(&mut kept, to, &words, PATIENCE).unwrap_or_default();
+            let arguments: [&[u8]; 5] =
+                [b"SUBMIT", key.as_bytes(), id.as_bytes(), options.as_bytes(), b"claim"];
+            let answer = submit(&mut connection, dispatcher, &arguments, ANSWER_TIMEOUT).unwrap_or_default();
             if answer.starts_with('+') {
                 taken = true;
                 break;
@@ -80,113 +84,114 @@
                     break;
                 }
                 failures += 1;
-                if failures % FAILURES == 0 {
-                    at += 1;
-                    to = dispatchers[at % dispatchers.len()];
+                if failures % FAILURES_BEFORE_SWITCH == 0 {
+                    index += 1;
+                    dispatcher = dispatchers[index % dispatchers.len()];
                 }
-                thread::sleep(AGAIN);
+                thread::sleep(RETRY_DELAY);
                 continue;
             };
-            // Refused: the next time it is handed in under a new id. Unanswered, it keeps the one it has.
-            hand += 1;
-            id = name(hand);
-            let mut words = busy.split_whitespace();
-            let wait = words.next().and_then(|w| w.parse().ok()).map_or(AGAIN, Duration::from_millis);
+            // A rejected message is submitted again under a new id; an unanswered one keeps its id.
+            submission += 1;
+            id = id_of(submission);
+            let mut fields = busy.split_whitespace();
+            let wait = fields.next().and_then(|w| w.parse().ok()).map_or(RETRY_DELAY, Duration::from_millis);
             thread::sleep(wait);
-            if let (Some("MOVED"), _, Some(there)) = (words.next(), words.next(), words.next()) {
-                to = there.parse().unwrap_or(to);
+            if let (Some("MOVED"), _, Some(address)) = (fields.next(), fields.next(), fields.next()) {
+                dispatcher = address.parse().unwrap_or(dispatcher);
             }
         }
-        all.push(Sent { id, key: chain.key, number, taken, door: begun.elapsed() });
+        all.push(Sent { id, key: chain.key, number, taken, door: started.elapsed() });
         thread::sleep(chain.gap);
     }
     all
 }
 
-/// What is wrong, and what is not.
+/// The result of an audit: counts, and the violations found.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Audit {
-    /// Messages that were taken on.
+    /// Messages that were accepted.
     pub taken: usize,
-    /// Of them delivered.
+    /// Accepted messages that were delivered.
     pub delivered: usize,
-    /// Ends that were told as given up or handed back.
+    /// Messages for which a notice came: given up or returned.
     pub told: usize,
-    /// Taken on, not delivered, and nobody was told.
+    /// Accepted and not delivered, without a notice.
     pub lost: Vec<String>,
-    /// In a class that is never repeated, and took effect twice.
+    /// In an at-most-once class, and took effect more than once.
     pub doubled: Vec<String>,
-    /// Took effect after one that came later under its key.
+    /// Took effect after a later message of the same key.
     pub out_of_order: Vec<String>,
-    /// Attempts of one key, of the same message or of two, that were out at once in the eyes of their endpoints.
+    /// Pairs of attempts of one key, of the same message or of two, that overlapped as the endpoints saw them.
     pub overlapping: Vec<String>,
-    /// Given two final answers that differ.
+    /// Got two different final answers.
     pub told_twice: Vec<String>,
 }
 
 impl Audit {
-    /// Nothing is wrong.
+    /// Whether the audit found no violation.
     pub fn is_clean(&self) -> bool {
-        let wrong = [&self.lost, &self.doubled, &self.out_of_order, &self.overlapping, &self.told_twice];
-        wrong.iter().all(|w| w.is_empty())
+        let violations = [&self.lost, &self.doubled, &self.out_of_order, &self.overlapping, &self.told_twice];
+        violations.iter().all(|v| v.is_empty())
     }
 }
 
-/// A message's name under whichever id it was handed in: what was refused once comes again under a new one.
-fn base(id: &str) -> &str {
-    id.rsplit_once('-').map_or(id, |(base, _)| base)
+/// The part of an id that all submissions of a message share: a rejected message is submitted again under a new id.
+fn base_id(id: &str) -> &str {
+    id.rsplit_once('-').map_or(id, |(base_id, _)| base_id)
 }
 
-/// Joins what clients handed in with what members saw and did and what was told; `once` tells keys whose class is never
-/// repeated.
+/// Compares what clients submitted with the effects and attempts at the endpoints and with the notices; `once` says
+/// whether a key's class is at-most-once.
 pub fn audit(
     sent: &[Sent],
     effects: &[Effect],
     attempts: &[Attempt],
-    told: &[String],
+    notices: &[String],
     once: impl Fn(u64) -> bool,
 ) -> Audit {
     let mut audit = Audit::default();
-    let mut of: HashMap<&str, usize> = HashMap::new();
-    effects.iter().for_each(|e| *of.entry(base(&e.id)).or_default() += 1);
-    let (mut notices, mut heard) = (HashMap::<&str, BTreeSet<&str>>::new(), BTreeSet::new());
-    for line in told {
-        let word = |key: &str| line.split(&format!("\"{key}\":\"")).nth(1).and_then(|r| r.split('"').next());
-        if let Some(id) = word("message") {
-            notices.entry(id).or_default().insert(word("outcome").unwrap_or(""));
-            heard.insert(base(id));
+    let mut effect_counts: HashMap<&str, usize> = HashMap::new();
+    effects.iter().for_each(|e| *effect_counts.entry(base_id(&e.id)).or_default() += 1);
+    let (mut outcomes, mut notified) = (HashMap::<&str, BTreeSet<&str>>::new(), BTreeSet::new());
+    for line in notices {
+        let field = |key: &str| line.split(&format!("\"{key}\":\"")).nth(1).and_then(|r| r.split('"').next());
+        if let Some(id) = field("message") {
+            outcomes.entry(id).or_default().insert(field("outcome").unwrap_or(""));
+            notified.insert(base_id(id));
         }
     }
-    // A notice whose confirmation was lost is told again, the same one: it does no harm. Another answer would.
-    audit.told_twice = notices.iter().filter(|n| n.1.len() > 1).map(|n| n.0.to_string()).collect();
+    // A notice whose confirmation was lost is posted again with the same outcome, which is allowed; a different outcome is
+    // a violation.
+    audit.told_twice = outcomes.iter().filter(|n| n.1.len() > 1).map(|n| n.0.to_string()).collect();
     let mut keys: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     let mut numbers: HashMap<&str, usize> = HashMap::new();
     for s in sent {
-        let name = base(&s.id);
-        keys.entry(s.key).or_default().insert(name);
-        numbers.insert(name, s.number);
-        let ran = of.get(name).copied().unwrap_or(0);
+        let id = base_id(&s.id);
+        keys.entry(s.key).or_default().insert(id);
+        numbers.insert(id, s.number);
+        let effect_count = effect_counts.get(id).copied().unwrap_or(0);
         audit.taken += usize::from(s.taken);
-        audit.delivered += usize::from(s.taken && ran > 0);
-        audit.told += usize::from(heard.contains(name));
-        if s.taken && ran == 0 && !heard.contains(name) {
+        audit.delivered += usize::from(s.taken && effect_count > 0);
+        audit.told += usize::from(notified.contains(id));
+        if s.taken && effect_count == 0 && !notified.contains(id) {
             audit.lost.push(s.id.clone());
         }
-        if ran > 1 && once(s.key) {
+        if effect_count > 1 && once(s.key) {
             audit.doubled.push(s.id.clone());
         }
     }
     for ids in keys.values() {
-        let mut calls: Vec<&Effect> = effects.iter().filter(|e| ids.contains(base(&e.id))).collect();
-        calls.sort_by_key(|e| e.began);
-        for pair in calls.windows(2) {
-            if numbers[base(&pair[1].id)] < numbers[base(&pair[0].id)] {
+        let mut of_key: Vec<&Effect> = effects.iter().filter(|e| ids.contains(base_id(&e.id))).collect();
+        of_key.sort_by_key(|e| e.began);
+        for pair in of_key.windows(2) {
+            if numbers[base_id(&pair[1].id)] < numbers[base_id(&pair[0].id)] {
                 audit.out_of_order.push(pair[1].id.clone());
             }
         }
     }
-    let key_of: HashMap<&str, u64> = sent.iter().map(|s| (base(&s.id), s.key)).collect();
-    audit.overlapping = overlapping(attempts, |id| key_of.get(base(id)).map(u64::to_string));
+    let key_of: HashMap<&str, u64> = sent.iter().map(|s| (base_id(&s.id), s.key)).collect();
+    audit.overlapping = overlapping(attempts, |id| key_of.get(base_id(id)).map(u64::to_string));
     audit
 }
 
@@ -195,10 +200,10 @@
     use super::*;
     use crate::attempts::EndedBy;
 
-    /// Guards against an audit that finds nothing because it looks at nothing.
+    /// Guards against an audit that reports no violations because it does not detect them.
     #[test]
-    fn the_audit_sees_each_kind_of_fault() {
-        let begun = Instant::now();
+    fn the_audit_finds_each_kind_of_violation() {
+        let start = Instant::now();
         let sent = |number: usize| Sent {
             id: format!("7-{number:x}-0"),
             key: 7,
@@ -206,18 +211,23 @@
             taken: true,
             door: Duration::ZERO,
         };
-        let at = |ms: u64| begun + Duration::from_millis(ms);
-        let ran = |id: &str, from: u64, to: u64| Effect { id: id.into(), began: at(from), at: at(to) };
-        let out = |id: &str, from: u64, to: u64| Attempt {
+        let at = |ms: u64| start + Duration::from_millis(ms);
+        let effect = |id: &str, from: u64, to: u64| Effect { id: id.into(), began: at(from), at: at(to) };
+        let attempt = |id: &str, from: u64, to: u64| Attempt {
             id: id.into(),
             began: at(from),
             ended: Some((at(to), EndedBy::Answer)),
         };
         let all = [sent(0), sent(1), sent(2), sent(3)];
-        let effects = [ran("7-0-0", 0, 10), ran("7-2-0", 20, 30), ran("7-1-0", 25, 40), ran("7-0-0", 50, 60)];
-        let attempts = [out("7-0-0", 0, 10), out("7-2-0", 20, 30), out("7-1-0", 25, 40)];
-        let told = ["{\"message\":\"7-1-0\",\"outcome\":\"given_up\"}".to_string()];
-        let got = audit(&all, &effects, &attempts, &told, |_| true);
+        let effects = [
+            effect("7-0-0", 0, 10),
+            effect("7-2-0", 20, 30),
+            effect("7-1-0", 25, 40),
+            effect("7-0-0", 50, 60),
+        ];
+        let attempts = [attempt("7-0-0", 0, 10), attempt("7-2-0", 20, 30), attempt("7-1-0", 25, 40)];
+        let notices = ["{\"message\":\"7-1-0\",\"outcome\":\"given_up\"}".to_string()];
+        let got = audit(&all, &effects, &attempts, &notices, |_| true);
         assert_eq!(got.lost, ["7-3-0"]);
         assert_eq!(got.doubled, ["7-0-0"]);
         assert_eq!(got.out_of_order, ["7-1-0", "7-0-0"]);
--- a/crates/load/src/member.rs
+++ b/crates/load/src/member.rs
@@ -1,8 +1,8 @@
-//! A stand-in member: an endpoint over HTTP that records every call and every effect, and a place for notices.
+//! Stand-in endpoint over HTTP that records every call and every effect, and a stand-in receiver of notices.
 
-use crate::attempts::{Attempt, AttemptLog, EndedBy, Open};
+use crate::attempts::{Attempt, AttemptLog, EndedBy, OpenAttempt};
 use crate::connection_fault::{
-    half_close, reset_on_close, wait_for, wait_for_caller, ConnectionFault, FaultPlan,
+    half_close, reset_on_close, wait_for_events, wait_for_remote_close, ConnectionFault, FaultPlan,
 };
 use rustix::event::PollFlags;
 use std::collections::VecDeque;
@@ -12,197 +12,200 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What an endpoint is like.
+/// Capacity of an endpoint.
 #[derive(Debug, Clone)]
 pub struct Manner {
-    /// How long a call takes.
+    /// Time that a call takes.
     pub service: Duration,
-    /// Calls that it serves at once; others wait in its queue,
+    /// Number of calls that it serves at once; further calls wait in a queue.
     pub at_once: usize,
-    /// which holds so many; beyond them it answers 503.
+    /// Length of the queue; calls beyond it are answered with 503.
     pub queue: usize,
 }
 
-/// What an endpoint takes of all its callers together, and how it comes back from an outage.
+/// Rate limit of an endpoint over all dispatchers, and how it recovers from an outage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Calls in any second; what comes beyond them is answered 429 and told to wait `wait`.
+    /// Calls in any second; further calls are answered with 429 and `retry_after`.
     pub per_second: u32,
-    /// The wait that is told.
-    pub wait: Duration,
-    /// After an outage it takes so long until it serves its whole limit again,
+    /// The wait that a 429 answer asks for.
+    pub retry_after: Duration,
+    /// Time after an outage until the endpoint serves its full limit again.
     pub cold: Duration,
-    /// from this part of it on.
+    /// Fraction of the limit that it serves right after an outage.
     pub cold_from: f64,
-    /// While it is cold it falls over again when the calls of `over` are more than N + 2 x root of N + 2, N being
-    /// what it may take then times `factor`.
-    pub factor: f64,
-    /// See `factor`.
-    pub over: Duration,
-    /// So long it stays away after a fall.
-    pub away: Duration,
+    /// A cold endpoint crashes when more than N + 2 sqrt(N) + 2 calls come within `overload_window`, where N is the number
+    /// of calls that its reduced limit allows in that time, multiplied by this factor.
+    pub overload_factor: f64,
+    /// See `overload_factor`.
+    pub overload_window: Duration,
+    /// How long it stays down after a crash.
+    pub crash_time: Duration,
 }
 
 impl Limit {
-    /// Part of the limit that it serves so long after its return.
-    pub fn part(&self, since: Option<Duration>) -> f64 {
+    /// Fraction of the limit that it serves this long after its recovery; all of it if it was never down.
+    pub fn fraction(&self, since: Option<Duration>) -> f64 {
         let done = since.map_or(1.0, |s| s.as_secs_f64() / self.cold.as_secs_f64().max(1e-9)).min(1.0);
         self.cold_from + (1.0 - self.cold_from) * done
     }
 
-    /// Calls within `over` that are too many for one that may take this part.
-    pub fn fall_at(&self, part: f64) -> f64 {
-        let n = f64::from(self.per_second) * part * self.factor * self.over.as_secs_f64();
+    /// Number of calls within `overload_window` above which an endpoint that serves this fraction of its limit crashes.
+    pub fn crash_threshold(&self, fraction: f64) -> f64 {
+        let n =
+            f64::from(self.per_second) * fraction * self.overload_factor * self.overload_window.as_secs_f64();
         n + 2.0 * n.sqrt() + 2.0
     }
 }
 
-/// Where an endpoint is with its outages.
+/// Outage state of an endpoint.
 #[derive(Debug, Clone, Copy, Default)]
 enum Health {
-    /// It has never been away, or long ago.
+    /// It has not been down.
     #[default]
     Warm,
-    /// Away until it is told to come back, or until then after a fall.
-    Away(Option<Instant>),
-    /// Back since then.
-    Back(Instant),
+    /// Down until it is brought up, or, after a crash, until this time.
+    Down(Option<Instant>),
+    /// Up again since this time.
+    Recovered(Instant),
 }
 
-/// A call that took effect.
+/// The effect of a message at an endpoint.
 #[derive(Debug, Clone)]
 pub struct Effect {
     /// The id of its message.
     pub id: String,
-    /// When it began,
+    /// When its execution began.
     pub began: Instant,
-    /// and took effect.
+    /// When it took effect.
     pub at: Instant,
 }
 
-/// While a call waits for its turn its caller is looked for this often.
-const QUEUE_LOOK: Duration = Duration::from_millis(2);
-/// A connection that has been ended or forgotten is held open for its caller's end no longer than this.
-const HELD_MOST: Duration = Duration::from_secs(30);
-/// The part of a call's time after which a fault meets it.
-const FAULT_AFTER: f64 = 0.5;
+/// How often a queued call checks whether its connection has ended.
+const QUEUE_POLL: Duration = Duration::from_millis(2);
+/// How long an endpoint waits for the next request, or keeps a faulty connection open until the dispatcher closes it.
+const MAX_HOLD: Duration = Duration::from_secs(30);
+/// Fraction of a call's time after which a connection fault occurs.
+const FAULT_AFTER_FRACTION: f64 = 0.5;
 
 /// A call that is being served.
 struct Call<'a> {
     log: &'a AttemptLog,
-    open: Open,
+    open: OpenAttempt,
     tcp: &'a TcpStream,
-    /// Its caller has ended it.
-    left: bool,
+    /// Whether the dispatcher has ended the connection.
+    cancelled: bool,
 }
 
 impl Call<'_> {
-    /// Lets time pass; the end of the caller is known as it comes, also on a busy machine.
-    fn pass(&mut self, time: Duration) {
-        let began = Instant::now();
-        if !self.left && wait_for_caller(self.tcp, time).is_some() {
-            self.left = true;
+    /// Waits for `time`. Records the dispatcher's end of the connection as soon as it occurs, also on a busy machine.
+    fn wait(&mut self, time: Duration) {
+        let start = Instant::now();
+        if !self.cancelled && wait_for_remote_close(self.tcp, time).is_some() {
+            self.cancelled = true;
             self.log.end(self.open, EndedBy::Caller);
         }
-        thread::sleep(time.saturating_sub(began.elapsed()));
+        thread::sleep(time.saturating_sub(start.elapsed()));
     }
 }
 
 #[derive(Debug, Default)]
-struct Inner {
+struct State {
     serving: usize,
     queue: VecDeque<u64>,
-    ticket: u64,
+    next_ticket: u64,
     effects: Vec<Effect>,
     refused: usize,
     health: Health,
-    /// When each call came, also those that were refused.
+    /// When each call came, including refused ones.
     calls: Vec<Instant>,
-    /// Times of the calls of the last second that it took.
-    taken: VecDeque<Instant>,
-    falls: usize,
-    /// What it does to its connections, and requests that came since it was told so.
+    /// Times of the calls within the limit in the last second.
+    accepted: VecDeque<Instant>,
+    crashes: usize,
+    /// Connection faults to cause.
     faults: Option<FaultPlan>,
-    arrived: usize,
+    /// Requests since the connection faults were set.
+    requests: usize,
 }
 
-/// What becomes of a call that has come.
+/// How an incoming call is handled.
 enum Verdict {
-    /// It is served.
+    /// Serve it.
     Serve,
-    /// 429 with this wait.
-    Wait(Duration),
-    /// The connection breaks.
-    Break,
+    /// Answer 429 with this wait.
+    Refuse(Duration),
+    /// Close the connection.
+    Close,
 }
 
-impl Inner {
-    fn away(&mut self, now: Instant) -> bool {
+impl State {
+    /// Whether the endpoint is down now; ends the downtime after a crash.
+    fn is_down(&mut self, now: Instant) -> bool {
         match self.health {
-            Health::Away(Some(until)) if now >= until => {
-                self.health = Health::Back(until);
+            Health::Down(Some(until)) if now >= until => {
+                self.health = Health::Recovered(until);
                 false
             }
-            Health::Away(_) => true,
+            Health::Down(_) => true,
             _ => false,
         }
     }
 
-    /// Counts a call against the limit; a fall of a cold one is found here.
-    fn comes(&mut self, now: Instant, limit: &Limit) -> Verdict {
+    /// Counts a call against the limit, and crashes a cold endpoint that gets too many calls.
+    fn receive_call(&mut self, now: Instant, limit: &Limit) -> Verdict {
         self.calls.push(now);
         let since = match self.health {
-            Health::Back(at) => Some(now.saturating_duration_since(at)),
+            Health::Recovered(at) => Some(now.saturating_duration_since(at)),
             _ => None,
         };
-        let part = limit.part(since);
-        if part < 1.0 {
-            let from = now.checked_sub(limit.over).unwrap_or(now);
+        let fraction = limit.fraction(since);
+        if fraction < 1.0 {
+            let from = now.checked_sub(limit.overload_window).unwrap_or(now);
             let recent = self.calls.iter().rev().take_while(|t| **t > from);
-            // Calls of before its return met no process that could fall.
-            let back = now - since.unwrap_or_default();
-            if recent.filter(|t| **t >= back).count() as f64 > limit.fall_at(part) {
-                self.falls += 1;
-                self.health = Health::Away(Some(now + limit.away));
-                return Verdict::Break;
+            // Calls from before the recovery did not reach the endpoint and cannot crash it.
+            let recovered = now - since.unwrap_or_default();
+            if recent.filter(|t| **t >= recovered).count() as f64 > limit.crash_threshold(fraction) {
+                self.crashes += 1;
+                self.health = Health::Down(Some(now + limit.crash_time));
+                return Verdict::Close;
             }
         }
-        let second = now.checked_sub(Duration::from_secs(1)).unwrap_or(now);
-        while self.taken.front().is_some_and(|t| *t <= second) {
-            self.taken.pop_front();
+        let second_ago = now.checked_sub(Duration::from_secs(1)).unwrap_or(now);
+        while self.accepted.front().is_some_and(|t| *t <= second_ago) {
+            self.accepted.pop_front();
         }
-        if self.taken.len() as f64 >= (f64::from(limit.per_second) * part).max(1.0) {
+        if self.accepted.len() as f64 >= (f64::from(limit.per_second) * fraction).max(1.0) {
             self.refused += 1;
-            return Verdict::Wait(limit.wait);
+            return Verdict::Refuse(limit.retry_after);
         }
-        self.taken.push_back(now);
+        self.accepted.push_back(now);
         Verdict::Serve
     }
 }
 
-/// An endpoint.
+/// A stand-in endpoint. Clones share its state.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    inner: Arc<(Mutex<Inner>, Condvar)>,
+    state: Arc<(Mutex<State>, Condvar)>,
     attempts: AttemptLog,
     limit: Option<Limit>,
 }
 
-/// A request's first line, the values of two headers and its body.
+/// The parts of an HTTP request that the stand-ins use.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The request line, with its line end.
+    /// The request line, including its line break.
     pub line: String,
-    /// The message id of `x-txn`, or empty.
+    /// The message id from the `x-txn` header, or empty.
     pub id: String,
     /// The body, of `content-length` bytes.
     pub body: Vec<u8>,
 }
 
-/// Reads one HTTP/1.1 request; None at the end of the connection or where it does not read.
-pub fn request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
+/// Reads one HTTP/1.1 request; `None` at the end of the connection or if the request cannot be parsed.
+pub fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let (mut first, mut id, mut length) = (String::new(), String::new(), 0);
     reader.read_line(&mut first).ok().filter(|n| *n > 0)?;
     loop {
@@ -224,28 +227,28 @@
 }
 
 impl Endpoint {
-    /// Starts one on a port of the system's choice.
+    /// Starts an endpoint on a port that the system assigns.
     ///
     /// # Errors
     ///
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn start(manner: Manner) -> std::io::Result<Endpoint> {
-        Endpoint::limited(manner, None)
+        Endpoint::start_with_limit(manner, None)
     }
 
-    /// The same, with a limit on the calls of all its callers together.
+    /// Starts an endpoint with a limit on the calls of all dispatchers together.
     ///
     /// # Errors
     ///
-    /// Where no port can be had.
-    pub fn limited(manner: Manner, limit: Option<Limit>) -> std::io::Result<Endpoint> {
+    /// If no port can be bound.
+    pub fn start_with_limit(manner: Manner, limit: Option<Limit>) -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (address, attempts) = (listener.local_addr()?, AttemptLog::default());
-        let endpoint = Endpoint { address, inner: Arc::default(), attempts, limit };
-        let served = endpoint.clone();
+        let endpoint = Endpoint { address, state: Arc::default(), attempts, limit };
+        let server = endpoint.clone();
         thread::spawn(move || {
             for tcp in listener.incoming().map_while(Result::ok) {
-                let (e, manner) = (served.clone(), manner.clone());
+                let (e, manner) = (server.clone(), manner.clone());
                 thread::spawn(move || e.serve(tcp, &manner));
             }
         });
@@ -258,7 +261,7 @@
         let mut out = tcp.try_clone().ok()?;
         let mut reader = BufReader::new(tcp);
         loop {
-            wait_for(&out, PollFlags::IN | PollFlags::RDHUP, HELD_MOST)?;
+            wait_for_events(&out, PollFlags::IN | PollFlags::RDHUP, MAX_HOLD)?;
             let fault = self.next_fault();
             match fault {
                 Some((ConnectionFault::HalfCloseAsCallCrosses, read_later)) => {
@@ -270,14 +273,14 @@
                     return None;
                 }
                 Some((ConnectionFault::Forget, _)) => {
-                    thread::sleep(HELD_MOST);
+                    thread::sleep(MAX_HOLD);
                     return None;
                 }
                 _ => {}
             }
-            let r = request(&mut reader)?;
-            let probe = r.line.starts_with("GET");
-            let open = (!probe).then(|| self.attempts.begin(&r.id));
+            let r = read_request(&mut reader)?;
+            let is_probe = r.line.starts_with("GET");
+            let open = (!is_probe).then(|| self.attempts.begin(&r.id));
             let head = self.answer(r, open, manner, &out, fault.map(|f| f.0));
             let Some(head) = head else {
                 let by = if fault.is_some() { EndedBy::Endpoint } else { EndedBy::Caller };
@@ -289,32 +292,32 @@
         }
     }
 
-    /// The fault that the request which has just arrived meets, and how much later it is read then.
+    /// The fault that the request that has just arrived meets, and the delay before it is read.
     fn next_fault(&self) -> Option<(ConnectionFault, Duration)> {
-        let mut inner = self.inner.0.lock().ok()?;
-        let nth = inner.arrived;
-        inner.arrived += 1;
-        let plan = inner.faults.as_ref()?;
-        Some((plan.fault_of(nth)?, plan.read_later))
+        let mut state = self.state.0.lock().ok()?;
+        let nth = state.requests;
+        state.requests += 1;
+        let plan = state.faults.as_ref()?;
+        Some((plan.fault_for(nth)?, plan.read_later))
     }
 
-    /// The head that a request is answered with; none where its connection ends without an answer.
+    /// The status line and headers of the answer to a request; `None` if the connection ends without an answer.
     fn answer(
         &self,
         r: Request,
-        open: Option<Open>,
+        open: Option<OpenAttempt>,
         manner: &Manner,
         tcp: &TcpStream,
         fault: Option<ConnectionFault>,
     ) -> Option<String> {
         let verdict = {
-            let mut i = self.inner.0.lock().ok()?;
+            let mut state = self.state.0.lock().ok()?;
             let now = Instant::now();
             match &self.limit {
-                _ if i.away(now) => Verdict::Break,
-                Some(limit) if open.is_some() => i.comes(now, limit),
+                _ if state.is_down(now) => Verdict::Close,
+                Some(limit) if open.is_some() => state.receive_call(now, limit),
                 None if open.is_some() => {
-                    i.calls.push(now);
+                    state.calls.push(now);
                     Verdict::Serve
                 }
                 _ => Verdict::Serve,
@@ -322,18 +325,18 @@
         };
         let ok = Some("200 OK".to_string());
         match (verdict, open) {
-            (Verdict::Break, Some(open)) => {
+            (Verdict::Close, Some(open)) => {
                 self.attempts.end(open, EndedBy::Endpoint);
                 None
             }
-            (Verdict::Break, None) => None,
-            (Verdict::Wait(w), _) => {
-                Some(format!("429 Too Many Requests\r\nRetry-After: {:.3}", w.as_secs_f64()))
+            (Verdict::Close, None) => None,
+            (Verdict::Refuse(wait), _) => {
+                Some(format!("429 Too Many Requests\r\nRetry-After: {:.3}", wait.as_secs_f64()))
             }
             (Verdict::Serve, None) => ok,
             (Verdict::Serve, Some(open)) => {
-                let call = Call { log: &self.attempts, open, tcp, left: false };
-                match self.call(r.id, manner, call, fault)? {
+                let call = Call { log: &self.attempts, open, tcp, cancelled: false };
+                match self.serve_call(r.id, manner, call, fault)? {
                     true => ok,
                     false => Some("503 Full".to_string()),
                 }
@@ -341,8 +344,8 @@
         }
     }
 
-    /// Serves a call in its turn: false if there was no room for it, none if its connection ends without an answer.
-    fn call(
+    /// Serves a call when a slot is free: `false` if the queue was full, `None` if the connection ends without an answer.
+    fn serve_call(
         &self,
         id: String,
         manner: &Manner,
@@ -350,23 +353,23 @@
         fault: Option<ConnectionFault>,
     ) -> Option<bool> {
         if fault == Some(ConnectionFault::HalfCloseAsCallCrosses) {
-            // It has ended its sending: nothing comes of the call but its caller's end.
-            call.pass(Duration::ZERO);
-            wait_for_caller(call.tcp, HELD_MOST);
+            // The write side is shut down, so the call has no effect; it ends when the dispatcher closes the connection.
+            call.wait(Duration::ZERO);
+            wait_for_remote_close(call.tcp, MAX_HOLD);
             self.attempts.end(call.open, EndedBy::Caller);
             return None;
         }
-        if !self.wait_for_turn(manner, &mut call)? {
+        if !self.wait_for_slot(manner, &mut call)? {
             return Some(false);
         }
         let began = Instant::now();
         let before = match fault {
-            Some(_) => manner.service.mul_f64(FAULT_AFTER),
+            Some(_) => manner.service.mul_f64(FAULT_AFTER_FRACTION),
             None => Duration::ZERO,
         };
-        call.pass(before);
+        call.wait(before);
         if fault == Some(ConnectionFault::ResetInCall) {
-            self.leave_turn();
+            self.release_slot();
             self.attempts.end(call.open, EndedBy::Endpoint);
             reset_on_close(call.tcp);
             return None;
@@ -374,115 +377,115 @@
         if fault == Some(ConnectionFault::HalfCloseInCall) {
             half_close(call.tcp);
         }
-        call.pass(manner.service.saturating_sub(before));
-        if let Ok(mut i) = self.inner.0.lock() {
-            i.effects.push(Effect { id, began, at: Instant::now() });
+        call.wait(manner.service.saturating_sub(before));
+        if let Ok(mut state) = self.state.0.lock() {
+            state.effects.push(Effect { id, began, at: Instant::now() });
         }
-        self.leave_turn();
+        self.release_slot();
         if fault == Some(ConnectionFault::HalfCloseInCall) {
-            wait_for_caller(call.tcp, HELD_MOST);
+            wait_for_remote_close(call.tcp, MAX_HOLD);
             self.attempts.end(call.open, EndedBy::Caller);
             return None;
         }
         Some(true)
     }
 
-    /// Waits until a call is served: false if there is no room for it, none if its caller leaves before its turn.
-    fn wait_for_turn(&self, manner: &Manner, call: &mut Call) -> Option<bool> {
-        let (inner, free) = &*self.inner;
-        let mut i = inner.lock().ok()?;
-        if i.serving >= manner.at_once && i.queue.len() >= manner.queue {
-            i.refused += 1;
+    /// Waits in the queue for a free slot: `false` if the queue is full, `None` if the dispatcher ends the connection first.
+    fn wait_for_slot(&self, manner: &Manner, call: &mut Call) -> Option<bool> {
+        let (state, slot_freed) = &*self.state;
+        let mut state = state.lock().ok()?;
+        if state.serving >= manner.at_once && state.queue.len() >= manner.queue {
+            state.refused += 1;
             return Some(false);
         }
-        let ticket = i.ticket;
-        i.ticket += 1;
-        i.queue.push_back(ticket);
-        while i.serving >= manner.at_once || i.queue.front() != Some(&ticket) {
-            i = free.wait_timeout(i, QUEUE_LOOK).ok()?.0;
-            if wait_for_caller(call.tcp, Duration::ZERO).is_some() {
+        let ticket = state.next_ticket;
+        state.next_ticket += 1;
+        state.queue.push_back(ticket);
+        while state.serving >= manner.at_once || state.queue.front() != Some(&ticket) {
+            state = slot_freed.wait_timeout(state, QUEUE_POLL).ok()?.0;
+            if wait_for_remote_close(call.tcp, Duration::ZERO).is_some() {
                 self.attempts.end(call.open, EndedBy::Caller);
-                i.queue.retain(|t| *t != ticket);
-                free.notify_all();
+                state.queue.retain(|t| *t != ticket);
+                slot_freed.notify_all();
                 return None;
             }
         }
-        i.queue.pop_front();
-        i.serving += 1;
-        drop(i);
-        free.notify_all();
+        state.queue.pop_front();
+        state.serving += 1;
+        drop(state);
+        slot_freed.notify_all();
         Some(true)
     }
 
-    fn leave_turn(&self) {
-        let (inner, free) = &*self.inner;
-        if let Ok(mut i) = inner.lock() {
-            i.serving -= 1;
+    fn release_slot(&self) {
+        let (state, slot_freed) = &*self.state;
+        if let Ok(mut state) = state.lock() {
+            state.serving -= 1;
         }
-        free.notify_all();
+        slot_freed.notify_all();
     }
 
-    /// All attempts so far, as it saw them; probes are none.
+    /// All attempts so far, as the endpoint saw them; probes do not count.
     pub fn attempts(&self) -> Vec<Attempt> {
         self.attempts.all()
     }
 
-    /// From now on its connections meet these faults, or none.
+    /// Sets the faults that its connections meet from now on; `None` ends them.
     pub fn set_faults(&self, plan: Option<FaultPlan>) {
-        if let Ok(mut i) = self.inner.0.lock() {
-            (i.faults, i.arrived) = (plan, 0);
+        if let Ok(mut state) = self.state.0.lock() {
+            (state.faults, state.requests) = (plan, 0);
         }
     }
 
     /// All effects so far.
     pub fn effects(&self) -> Vec<Effect> {
-        self.inner.0.lock().map(|i| i.effects.clone()).unwrap_or_default()
+        self.state.0.lock().map(|state| state.effects.clone()).unwrap_or_default()
     }
 
-    /// It goes away: connections break and new ones are of no use, until [`Endpoint::come_back`].
-    pub fn go_away(&self) {
-        if let Ok(mut i) = self.inner.0.lock() {
-            i.health = Health::Away(None);
+    /// Starts an outage: every request ends its connection without an answer, until [`Endpoint::bring_up`].
+    pub fn take_down(&self) {
+        if let Ok(mut state) = self.state.0.lock() {
+            state.health = Health::Down(None);
         }
     }
 
-    /// It comes back, cold.
-    pub fn come_back(&self) {
-        if let Ok(mut i) = self.inner.0.lock() {
-            i.health = Health::Back(Instant::now());
+    /// Ends an outage; the endpoint is cold at first.
+    pub fn bring_up(&self) {
+        if let Ok(mut state) = self.state.0.lock() {
+            state.health = Health::Recovered(Instant::now());
         }
     }
 
-    /// When each call came, in order, also those that were refused.
+    /// When each call came, in order, including refused ones.
     pub fn calls(&self) -> Vec<Instant> {
-        self.inner.0.lock().map(|i| i.calls.clone()).unwrap_or_default()
+        self.state.0.lock().map(|state| state.calls.clone()).unwrap_or_default()
     }
 
-    /// Times that it fell over while it was cold.
-    pub fn falls(&self) -> usize {
-        self.inner.0.lock().map(|i| i.falls).unwrap_or(0)
+    /// How often it crashed while it was cold.
+    pub fn crashes(&self) -> usize {
+        self.state.0.lock().map(|state| state.crashes).unwrap_or(0)
     }
 
-    /// Calls that it had no room for.
+    /// Calls that it refused because of its limit or because its queue was full.
     pub fn refused(&self) -> usize {
-        self.inner.0.lock().map(|i| i.refused).unwrap_or(0)
+        self.state.0.lock().map(|state| state.refused).unwrap_or(0)
     }
 }
 
-/// A place for notices.
+/// Stand-in receiver of notices. Clones share the notices received.
 #[derive(Debug, Clone)]
 pub struct Notices {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Notices {
-    /// Starts one on a port of the system's choice.
+    /// Starts a receiver on a port that the system assigns.
     ///
     /// # Errors
     ///
-    /// Where no port can be had.
+    /// If no port can be bound.
     pub fn start() -> std::io::Result<Notices> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let notices = Notices { address: listener.local_addr()?, lines: Arc::default() };
@@ -493,7 +496,7 @@
                 thread::spawn(move || {
                     let mut out = tcp.try_clone().ok()?;
                     let mut reader = BufReader::new(tcp);
-                    while let Some(r) = request(&mut reader) {
+                    while let Some(r) = read_request(&mut reader) {
                         let text = String::from_utf8_lossy(&r.body).into_owned();
                         lines.lock().ok()?.extend(text.lines().map(String::from));
                         out.write_all(b"HTTP/1.1 204 Done\r\n\r\n").ok()?;
@@ -505,7 +508,7 @@
         Ok(notices)
     }
 
-    /// All lines so far, one JSON object each.
+    /// All notices so far, one JSON object each.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().map(|l| l.clone()).unwrap_or_default()
     }
@@ -515,32 +518,41 @@
 mod tests {
     use super::*;
 
-    /// Guards against a limit that counts nothing and a cold endpoint that takes any crowd: a rig that cannot see a
-    /// stampede.
+    /// Guards against a limit that does not count and a cold endpoint that accepts any load: the rig could not detect a
+    /// thundering herd.
     #[test]
-    fn a_cold_endpoint_serves_a_part_of_its_limit_and_falls_under_a_crowd() {
+    fn a_cold_endpoint_serves_a_fraction_of_its_limit_and_crashes_under_overload() {
         let limit = Limit {
             per_second: 40,
-            wait: Duration::from_millis(100),
+            retry_after: Duration::from_millis(100),
             cold: Duration::from_secs(4),
             cold_from: 0.5,
-            factor: 2.0,
-            over: Duration::from_millis(500),
-            away: Duration::from_secs(1),
+            overload_factor: 2.0,
+            overload_window: Duration::from_millis(500),
+            crash_time: Duration::from_secs(1),
         };
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut warm = Inner::default();
-        let served = (0..50).filter(|n| matches!(warm.comes(at(n * 10), &limit), Verdict::Serve)).count();
-        assert_eq!((served, warm.refused, warm.falls), (40, 10, 0));
-        let mut cold = Inner { health: Health::Back(start), ..Inner::default() };
-        let served = (0..30).filter(|n| matches!(cold.comes(at(n * 10), &limit), Verdict::Serve)).count();
-        assert!((20..23).contains(&served), "half of it and little more: {served}");
-        // N = 40 x 0.5 x 2 x 0.5 s = 20: 20 + 3 x 4.5 + 3 is passed by the 37th and more within half a second.
+        let mut warm = State::default();
+        let served =
+            (0..50).filter(|n| matches!(warm.receive_call(at(n * 10), &limit), Verdict::Serve)).count();
+        assert_eq!((served, warm.refused, warm.crashes), (40, 10, 0));
+        let mut cold = State { health: Health::Recovered(start), ..State::default() };
+        let served =
+            (0..30).filter(|n| matches!(cold.receive_call(at(n * 10), &limit), Verdict::Serve)).count();
+        assert!(
+            (20..23).contains(&served),
+            "about half of the limit, and a little more while it warms up: {served}"
+        );
+        // N = 40 x 0.5 x 2 x 0.5 s = 20, so N + 2 sqrt(N) + 2 = 31, and a little more as the endpoint warms up: 45 calls
+        // within half a second exceed it.
         (30..45).for_each(|n| {
-            cold.comes(at(n * 10), &limit);
+            cold.receive_call(at(n * 10), &limit);
         });
-        assert_eq!(cold.falls, 1);
-        assert!(cold.away(at(500)) && !cold.away(at(1_600)), "away for a second after the fall, then back");
+        assert_eq!(cold.crashes, 1);
+        assert!(
+            cold.is_down(at(500)) && !cold.is_down(at(1_600)),
+            "down for a second after the crash, then up"
+        );
     }
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,29 +1,29 @@
-//! What a run came to: doors, effects and times joined, tenant by tenant.
+//! Report on a run: joins submissions, effects and times, by tenant.
 
 use crate::arrivals::{Intended, Stream};
-use crate::client::{Door, Handed};
+use crate::client::{Door, Submission};
 use crate::member::Effect;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Later than this the driver itself disturbed what it measured.
-pub const LAG_MOST: Duration = Duration::from_millis(50);
-/// Of so many messages in a thousand it may have been later.
-const LATE_MOST: usize = 10;
+/// A message that the driver submitted later than this counts as late: the driver itself distorted the measurement.
+pub const MAX_LAG: Duration = Duration::from_millis(50);
+/// Number of late messages per thousand up to which a run is valid.
+const MAX_LATE_PER_MILLE: usize = 10;
 
-/// One tenant's part.
+/// Results of one tenant.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Messages that it meant to send.
+    /// Messages that its clients were to submit.
     pub asked: usize,
-    /// Of them refused or failed at the door to the end.
+    /// Messages that were rejected, failed or stayed unanswered at every submission.
     pub turned_away: usize,
-    /// Of them delivered.
+    /// Messages that were delivered.
     pub delivered: usize,
-    /// Part of the worth asked for that was delivered.
+    /// Delivered worth, as a share of the worth of all its messages.
     pub worth: f64,
-    /// Delay of those delivered from their intended times, in microseconds.
+    /// Delay of delivered messages from their intended times, in microseconds.
     pub delay: Histogram<u64>,
 }
 
@@ -34,61 +34,61 @@
     }
 }
 
-/// The whole.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// By name.
+    /// Results of the tenants, by name.
     pub tenants: BTreeMap<String, Tenant>,
     /// Messages that took effect more than once.
     pub doubled: usize,
-    /// Messages with two calls at one time.
+    /// Messages with two executions that overlapped.
     pub overlapping: usize,
-    /// Messages that were handed in late by the driver's own fault, and of how many.
+    /// Messages that the driver submitted late, and all messages.
     pub late: (usize, usize),
 }
 
 impl Report {
-    /// Was the driver in time? If not, the run proves nothing.
+    /// Whether the driver submitted messages in time. If not, the measurements of the run are not usable.
     pub fn is_valid(&self) -> bool {
-        self.late.0 * 1_000 <= self.late.1 * LATE_MOST
+        self.late.0 * 1_000 <= self.late.1 * MAX_LATE_PER_MILLE
     }
 }
 
-/// Joins what clients and members saw. Messages that were intended before `from` do not count.
+/// Joins what clients and endpoints saw. Messages that were intended before `from` do not count.
 pub fn join(
     start: Instant,
     from: Duration,
     streams: &[Stream],
-    handed: &[Handed],
+    submissions: &[Submission],
     effects: &[Effect],
 ) -> Report {
-    let mut of: HashMap<(usize, usize), Vec<&Effect>> = HashMap::new();
+    let mut effects_of: HashMap<(usize, usize), Vec<&Effect>> = HashMap::new();
     for e in effects {
-        if let Some(message) = Intended::of(&e.id) {
-            of.entry(message).or_default().push(e);
+        if let Some(message) = Intended::parse_id(&e.id) {
+            effects_of.entry(message).or_default().push(e);
         }
     }
     let mut report = Report { tenants: BTreeMap::new(), doubled: 0, overlapping: 0, late: (0, 0) };
     let mut asked: BTreeMap<String, f64> = BTreeMap::new();
-    for h in handed.iter().filter(|h| h.what.at >= from) {
-        let s = &streams[h.what.stream];
+    for h in submissions.iter().filter(|h| h.message.at >= from) {
+        let s = &streams[h.message.stream];
         let t = report.tenants.entry(s.tenant.clone()).or_insert_with(|| Tenant {
             asked: 0,
             turned_away: 0,
             delivered: 0,
             worth: 0.0,
-            delay: delays(),
+            delay: delay_histogram(),
         });
         t.asked += 1;
         *asked.entry(s.tenant.clone()).or_default() += 1.0;
         t.turned_away += usize::from(h.door != Door::Taken);
         report.late.1 += 1;
-        report.late.0 += usize::from(h.lag > LAG_MOST);
-        let Some(all) = of.get_mut(&(h.what.stream, h.what.number)) else { continue };
+        report.late.0 += usize::from(h.lag > MAX_LAG);
+        let Some(all) = effects_of.get_mut(&(h.message.stream, h.message.number)) else { continue };
         all.sort_by_key(|e| e.began);
         report.doubled += usize::from(all.len() > 1);
         report.overlapping += usize::from(all.windows(2).any(|w| w[1].began < w[0].at));
-        let delay = all[0].at.saturating_duration_since(start + h.what.at);
+        let delay = all[0].at.saturating_duration_since(start + h.message.at);
         t.delivered += 1;
         t.worth += worth(s, delay);
         t.delay.saturating_record(delay.as_micros() as u64);
@@ -99,12 +99,13 @@
     report
 }
 
-/// From a microsecond to ten minutes, with three digits.
-fn delays() -> Histogram<u64> {
+/// An empty histogram for delays from a microsecond to ten minutes, with three significant digits.
+fn delay_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are constants in range")
 }
 
-/// In full within the wanted time, then less and less, nothing after the deadline.
+/// The worth of a message that was delivered after `delay`: 1 within the wanted time, then decreasing linearly to 0 at the
+/// deadline.
 fn worth(s: &Stream, delay: Duration) -> f64 {
     match delay {
         d if d <= s.wanted => 1.0,
--- a/crates/rig/src/config.rs
+++ b/crates/rig/src/config.rs
@@ -1,6 +1,6 @@
-//! The platform's configuration of one dispatcher, as the rig and the tests write it.
+//! The configuration that the platform gives to a dispatcher, as the rig and the tests write it.
 
-/// Settings of the platform's kind: three classes (`safe`, `order`, `pay`), one tenant `acme`, buildings `a` and `b`.
+/// Settings like those of the platform, with three classes (`safe`, `order`, `pay`), one tenant `acme`, and zones `a` and `b`.
 const SETTINGS: &str = r#"{"balancers":BALANCERS,"round":1,
  "ceilings":{"cancel":true,"connect_timeout":1000,"keepalive":10000,"max_open":100,"max_retry_after":2000,
    "most_tries":8,"probes":true,"retry_after":true},
@@ -14,7 +14,7 @@
    "overload_factor":2,"overload_for":2000},
  "kinds":["m"],"tenants":[{"name":"acme","quota_per_s":1000}],"zones":["a","b"],"zone":"a"}"#;
 
-/// Milliseconds within which a message of a class is wanted, and after which it is worth nothing, as in the settings.
+/// The wanted time and the deadline of a class in milliseconds, as in the settings.
 pub fn times(class: &str) -> (u64, u64) {
     match class {
         "safe" => (1_000, 6_000),
@@ -23,9 +23,9 @@
     }
 }
 
-/// The JSON of one dispatcher: its name, seed (hex), folder's limit in MB, how many the platform runs, the
-/// milliseconds for which a returning member is cold, and the value of
-/// `discovery` (JSON: `null`, or an address in quotes).
+/// The JSON configuration of one dispatcher. `seed` is hexadecimal, `disk_mb` the size limit of the state folder in megabytes,
+/// `balancers` the number of dispatchers that the platform runs, `cold_ms` the time in milliseconds for which an endpoint is
+/// cold after an outage, and `discovery` a JSON value: `null`, or an address in quotes.
 pub fn platform(
     name: &str,
     seed: &str,
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -1,40 +1,43 @@
-//! What the soak judges beside the audit: ends that come late without an excuse, and what the dispatchers' logs must not tell.
+//! Checks of a run in addition to the audit: final answers that come late without an outage as the cause, and log lines that report
+//! violations or panics.
 
 use crate::scenario::{FaultName, PathName, Scenario};
 use std::path::{Path, PathBuf};
 
-/// A final answer may come so long after its time: 300 ms by the protocol, and what a busy machine adds.
-const LATE_MOST: u64 = 1_300;
-/// After its time in which a message's end may be late for a trouble that is over: connections are opened anew, and no notice
-/// is overdue until 1.5 s after a dispatcher is ready again.
-const RECOVERY: u64 = 3_500;
+/// Time after a message's deadline within which its final answer has to come, in milliseconds: 300 ms by the protocol, and an
+/// allowance for a busy machine.
+const MAX_LATE_MS: u64 = 1_300;
+/// A late final answer is excused if the message was due at most this many milliseconds after the end of an outage: connections
+/// have to be opened again, and no notice is overdue until 1.5 s after a dispatcher is ready again.
+const RECOVERY_MS: u64 = 3_500;
 
-/// A message that was taken on, and its ends, in milliseconds from the start of the load.
+/// An accepted message and its first final answer; times are in milliseconds from the start of the load.
 #[derive(Debug, Clone)]
-pub(crate) struct Ending {
+pub(crate) struct FinalAnswer {
     pub(crate) id: String,
     pub(crate) dispatcher: usize,
-    /// When its time is up.
+    /// The message's deadline.
     pub(crate) due: u64,
-    /// The first effect or notice.
+    /// When the first effect or notice came.
     pub(crate) ended: u64,
 }
 
-/// Spans in which a dispatcher cannot be asked to end messages in time: its process is away, or its path to the platform, or
-/// none of its connections comes up. `played` says when each step of the timeline had been played.
-pub(crate) fn excuses(
+/// Spans in which a dispatcher cannot be expected to end messages in time: its process is down, its path to the registry has a
+/// fault, or its system calls fail. `step_done_ms` holds the time at which each step of the timeline was done, `down` the spans
+/// in which the process was down.
+pub(crate) fn outages(
     scenario: &Scenario,
-    played: &[u64],
+    step_done_ms: &[u64],
     dispatcher: usize,
-    away: &[(u64, u64)],
+    down: &[(u64, u64)],
 ) -> Vec<(u64, u64)> {
-    let mut spans = away.to_vec();
+    let mut spans = down.to_vec();
     let mut since = None;
-    for (step, played) in scenario.timeline().into_iter().zip(played) {
-        let named = step.of.is_empty() || step.of.contains(&dispatcher);
+    for (step, done_ms) in scenario.timeline().into_iter().zip(step_done_ms) {
+        let is_named = step.of.is_empty() || step.of.contains(&dispatcher);
         match step.fault {
-            Some(_) if step.path != Some(PathName::Registry) || !named => {}
-            Some(FaultName::Pass) => spans.extend(since.take().map(|from| (from, *played))),
+            Some(_) if step.path != Some(PathName::Registry) || !is_named => {}
+            Some(FaultName::Pass) => spans.extend(since.take().map(|from| (from, *done_ms))),
             Some(_) => since = since.or(Some(step.ms)),
             None => {}
         }
@@ -42,7 +45,7 @@
     let schedule = scenario.faults.as_ref().and_then(|f| f.schedules.get(dispatcher));
     for fault in schedule.iter().flat_map(|s| s.split(';')) {
         if let [kind, from, until, ..] = fault.split_whitespace().collect::<Vec<_>>().as_slice() {
-            // Without an open folder no process starts; in a stop of connections no notice goes out.
+            // `eio` and `fail`: a process does not start if it cannot open its folder. `connect` and `late`: no notice can be posted.
             if ["connect", "late", "eio", "fail"].contains(kind) {
                 spans.extend(from.parse().ok().zip(until.parse().ok()));
             }
@@ -51,8 +54,8 @@
     spans
 }
 
-/// Does the dispatcher take no new connection at some moment of this span, by its schedule of faults?
-pub(crate) fn refuses_clients(scenario: &Scenario, dispatcher: usize, from: u64, until: u64) -> bool {
+/// Whether the dispatcher's fault schedule keeps it from accepting connections at any time in this span.
+pub(crate) fn cannot_accept(scenario: &Scenario, dispatcher: usize, from: u64, until: u64) -> bool {
     let schedule = scenario.faults.as_ref().and_then(|f| f.schedules.get(dispatcher));
     let span = |fault: &str| match fault.split_whitespace().collect::<Vec<_>>().as_slice() {
         ["accept", begin, end, ..] => begin.parse().ok().zip(end.parse().ok()),
@@ -62,40 +65,44 @@
     spans.any(|(begin, end): (u64, u64)| begin <= until && from <= end)
 }
 
-/// Those that ended too late, without an excuse near their time.
-pub(crate) fn late(endings: &[Ending], excuses: impl Fn(usize) -> Vec<(u64, u64)>) -> Vec<String> {
-    let excused = |e: &Ending| {
-        excuses(e.dispatcher).iter().any(|(from, until)| *from <= e.ended && e.due <= until + RECOVERY)
+/// Describes the final answers that came too late without an outage of their dispatcher near that time.
+pub(crate) fn late_answers(
+    answers: &[FinalAnswer],
+    outages: impl Fn(usize) -> Vec<(u64, u64)>,
+) -> Vec<String> {
+    let is_excused = |e: &FinalAnswer| {
+        outages(e.dispatcher).iter().any(|(from, until)| *from <= e.ended && e.due <= until + RECOVERY_MS)
     };
-    let late = endings.iter().filter(|e| e.ended > e.due + LATE_MOST && !excused(e));
+    let late = answers.iter().filter(|e| e.ended > e.due + MAX_LATE_MS && !is_excused(e));
     late.map(|e| format!("{} of n{}: {} ms late", e.id, e.dispatcher, e.ended - e.due)).collect()
 }
 
-/// What the dispatchers' logs tell that must not be.
+/// Log lines of the dispatchers that report rule violations or panics.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Logged {
+pub(crate) struct LogFindings {
     pub(crate) violations: Vec<String>,
     pub(crate) panics: Vec<String>,
 }
 
-/// Looks through the logs.
-pub(crate) fn logged(logs: &[PathBuf]) -> Logged {
-    let mut found = Logged::default();
+/// Searches the logs for lines that report violations or panics.
+pub(crate) fn scan_logs(logs: &[PathBuf]) -> LogFindings {
+    let mut found = LogFindings::default();
     for path in logs {
         let text = std::fs::read_to_string(path).unwrap_or_default();
-        let named = |line: &str| format!("{}: {line}", name_of(path));
+        let with_name = |line: &str| format!("{}: {line}", folder_name(path));
         for line in text.lines() {
             if line.contains("panicked at") {
-                found.panics.push(named(line));
+                found.panics.push(with_name(line));
             } else if line.contains("\"violations\":{\"") {
-                found.violations.push(named(line));
+                found.violations.push(with_name(line));
             }
         }
     }
     found
 }
 
-fn name_of(log: &Path) -> String {
+/// The name of the log's folder, which is the dispatcher's name.
+fn folder_name(log: &Path) -> String {
     let folder = log.parent().and_then(Path::file_name);
     folder.map(|n| n.to_string_lossy().into_owned()).unwrap_or_default()
 }
@@ -104,14 +111,18 @@
 mod tests {
     use super::*;
 
-    /// Guards against a judge that excuses everything, or nothing.
+    /// Guards against a check that excuses every late answer, or none.
     #[test]
-    fn an_end_is_late_unless_its_dispatcher_was_away() {
-        let ending = |due, ended| Ending { id: "m".into(), dispatcher: 0, due, ended };
+    fn an_answer_is_late_unless_its_dispatcher_had_an_outage() {
+        let answer = |due, ended| FinalAnswer { id: "m".into(), dispatcher: 0, due, ended };
         let none = |_| Vec::new();
-        assert!(late(&[ending(4_000, 4_300), ending(4_000, 2_000)], none).is_empty());
-        assert_eq!(late(&[ending(4_000, 9_000)], none).len(), 1);
-        assert!(late(&[ending(4_000, 9_000)], |_| vec![(3_000, 5_000)]).is_empty());
-        assert_eq!(late(&[ending(9_000, 12_000)], |_| vec![(3_000, 5_000)]).len(), 1, "long over");
+        assert!(late_answers(&[answer(4_000, 4_300), answer(4_000, 2_000)], none).is_empty());
+        assert_eq!(late_answers(&[answer(4_000, 9_000)], none).len(), 1);
+        assert!(late_answers(&[answer(4_000, 9_000)], |_| vec![(3_000, 5_000)]).is_empty());
+        assert_eq!(
+            late_answers(&[answer(9_000, 12_000)], |_| vec![(3_000, 5_000)]).len(),
+            1,
+            "the outage ended long before"
+        );
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,8 +1,8 @@
-//! A fault rig for many processes of the dispatcher on loopback.
+//! A fault-injection rig for many dispatcher processes on loopback.
 //!
-//! [`Proxy`] stands on one path (dispatcher to member, to registry, later to another dispatcher) and delays, resets or
-//! swallows what passes, as the test says from moment to moment. What clients were told is held against what members
-//! did by the audit of `lilacbank-load` (`keyed::audit`). [`Registry`] is the platform's registry and notice place.
+//! A [`Proxy`] sits on one path (from a dispatcher to an endpoint, to the registry or to a peer) and delays, resets or drops
+//! traffic as the test sets it over time. [`Registry`] is a stand-in for the platform's registry and its receiver of notices.
+//! The audit of `lilacbank-load` (`keyed::audit`) compares the answers that clients got with the effects at the endpoints.
 
 #![forbid(unsafe_code)]
 
--- a/crates/rig/src/measure.rs
+++ b/crates/rig/src/measure.rs
@@ -1,83 +1,84 @@
-//! What is measured in a play: the delivered share, time to full service, peaks of calls over limits, latencies.
+//! Measurements of a run: delivered share, time to full service, peaks of calls over limits, latencies.
 
 use hdrhistogram::Histogram;
 use lilacbank_load::arrivals::Stream;
-use lilacbank_load::client::Handed;
+use lilacbank_load::client::Submission;
 use lilacbank_load::member::{Effect, Limit};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Buckets of the delivered share, in milliseconds.
+/// Length of a bucket of the time series, in milliseconds.
 pub const BUCKET_MS: u64 = 500;
-/// Full service: the share within this of its level before the first step,
-const FULL_WITHIN: f64 = 0.02;
-/// for so many buckets in a row (5 s).
-const FULL_FOR: usize = 10;
-/// The first second is the rig's own start, not the level before the fault.
-const WARM_MS: u64 = 1_000;
-/// Peaks of calls are looked for so long from the wave on.
+/// In full service, the delivered share is at most this far below its level before the first step.
+const FULL_SERVICE_TOLERANCE: f64 = 0.02;
+/// Number of consecutive buckets (5 s) for which the share has to be in tolerance for full service.
+const FULL_SERVICE_BUCKETS: usize = 10;
+/// The first second, in milliseconds, is not part of the level before the first step, as the rig itself is starting.
+const WARM_UP_MS: u64 = 1_000;
+/// Time from the last kill or SIGTERM in which the peak of calls is searched.
 const PEAK_SPAN: Duration = Duration::from_secs(10);
-/// Percentiles of the latency that are reported.
+/// Percentiles of the latency in the report.
 const PERCENTILES: [f64; 5] = [50.0, 90.0, 99.0, 99.9, 100.0];
 
-/// The first effect of each message, by its name without the number of its hand-in.
+/// Time of the first effect of each message, by the part of its id that all its submissions share.
 pub(crate) fn first_effects(effects: &[Effect]) -> HashMap<String, Instant> {
     let mut first: HashMap<String, Instant> = HashMap::new();
     for e in effects {
-        let base = e.id.rsplit_once('-').map_or(e.id.as_str(), |(b, _)| b).to_string();
-        first.entry(base).and_modify(|t| *t = (*t).min(e.at)).or_insert(e.at);
+        let base_id = e.id.rsplit_once('-').map_or(e.id.as_str(), |(b, _)| b).to_string();
+        first.entry(base_id).and_modify(|t| *t = (*t).min(e.at)).or_insert(e.at);
     }
     first
 }
 
-fn name(h: &Handed) -> String {
-    let id = h.what.id(0);
+/// The part of a message's id that all its submissions share.
+fn base_id(h: &Submission) -> String {
+    let id = h.message.id(0);
     id.rsplit_once('-').map_or(id.clone(), |(b, _)| b.to_string())
 }
 
-/// Share of the messages handed in each bucket (by intended time) that took effect within their wanted time.
+/// For each bucket, the share of the messages submitted in it (by intended time) that took effect within their wanted time.
 pub(crate) fn shares(
     start: Instant,
     run_ms: u64,
     streams: &[Stream],
-    handed: &[Handed],
+    submissions: &[Submission],
     first: &HashMap<String, Instant>,
 ) -> Vec<f64> {
     let buckets = run_ms.div_ceil(BUCKET_MS) as usize;
-    let (mut all, mut good) = (vec![0usize; buckets], vec![0usize; buckets]);
-    for h in handed {
-        let b = (h.what.at.as_millis() as u64 / BUCKET_MS) as usize;
+    let (mut all, mut in_time) = (vec![0usize; buckets], vec![0usize; buckets]);
+    for h in submissions {
+        let b = (h.message.at.as_millis() as u64 / BUCKET_MS) as usize;
         let Some(n) = all.get_mut(b) else { continue };
         *n += 1;
-        let due = start + h.what.at + streams[h.what.stream].wanted;
-        if first.get(&name(h)).is_some_and(|at| *at <= due) {
-            good[b] += 1;
+        let due = start + h.message.at + streams[h.message.stream].wanted;
+        if first.get(&base_id(h)).is_some_and(|at| *at <= due) {
+            in_time[b] += 1;
         }
     }
-    all.iter().zip(&good).map(|(a, g)| if *a == 0 { 1.0 } else { *g as f64 / *a as f64 }).collect()
+    all.iter().zip(&in_time).map(|(a, g)| if *a == 0 { 1.0 } else { *g as f64 / *a as f64 }).collect()
 }
 
-/// Latencies of what was delivered, from the intended times, as percentiles in milliseconds.
+/// Percentiles of the latencies of delivered messages, from their intended times, in milliseconds.
 pub(crate) fn latencies(
     start: Instant,
-    handed: &[Handed],
+    submissions: &[Submission],
     first: &HashMap<String, Instant>,
 ) -> Vec<(f64, f64)> {
     let Ok(mut delays) = Histogram::<u64>::new(3) else { return Vec::new() };
-    for h in handed {
-        if let Some(at) = first.get(&name(h)) {
-            let _ = delays.record(at.saturating_duration_since(start + h.what.at).as_micros() as u64);
+    for h in submissions {
+        if let Some(at) = first.get(&base_id(h)) {
+            let _ = delays.record(at.saturating_duration_since(start + h.message.at).as_micros() as u64);
         }
     }
     PERCENTILES.iter().map(|p| (*p, delays.value_at_percentile(*p) as f64 / 1_000.0)).collect()
 }
 
-/// The level of the share before the first step.
+/// Mean of the delivered share before the first step.
 pub(crate) fn level(share: &[f64], first_step: u64) -> f64 {
     let before: Vec<f64> = share
         .iter()
         .enumerate()
-        .filter(|(b, _)| (*b as u64) * BUCKET_MS >= WARM_MS && (*b as u64 + 1) * BUCKET_MS <= first_step)
+        .filter(|(b, _)| (*b as u64) * BUCKET_MS >= WARM_UP_MS && (*b as u64 + 1) * BUCKET_MS <= first_step)
         .map(|(_, s)| *s)
         .collect();
     if before.is_empty() {
@@ -87,39 +88,43 @@
     }
 }
 
-/// Milliseconds from `from` until the share stays within [`FULL_WITHIN`] of `level` for [`FULL_FOR`] buckets.
+/// Milliseconds from `from` until the share stays at most [`FULL_SERVICE_TOLERANCE`] below `level` for
+/// [`FULL_SERVICE_BUCKETS`] buckets.
 pub(crate) fn full_service(share: &[f64], level: f64, from: u64) -> Option<u64> {
     let first = from.div_ceil(BUCKET_MS) as usize;
-    (first..share.len().saturating_sub(FULL_FOR - 1))
-        .find(|b| share[*b..*b + FULL_FOR].iter().all(|s| *s >= level - FULL_WITHIN))
+    (first..share.len().saturating_sub(FULL_SERVICE_BUCKETS - 1))
+        .find(|b| share[*b..*b + FULL_SERVICE_BUCKETS].iter().all(|s| *s >= level - FULL_SERVICE_TOLERANCE))
         .map(|b| b as u64 * BUCKET_MS - from)
 }
 
-/// Calls of the busiest second that begins within 10 s of `from`, over the limit.
+/// Number of calls in the busiest second that begins within 10 s of `from`, divided by the limit.
 pub(crate) fn peak(calls: &[Instant], from: Instant, limit: &Limit) -> f64 {
     busiest(calls, from, from + PEAK_SPAN, Duration::from_secs(1)) as f64 / f64::from(limit.per_second.max(1))
 }
 
-/// Calls of the busiest `over` of a cold span, over what makes a cold one fall at its beginning: at 1.0 it falls.
-pub(crate) fn cold_peak(calls: &[Instant], back: Instant, limit: &Limit) -> f64 {
-    busiest(calls, back, back + limit.cold, limit.over) as f64 / limit.fall_at(limit.cold_from)
+/// Number of calls in the busiest `overload_window` while an endpoint is cold, divided by the threshold above which it crashes
+/// right after its recovery.
+pub(crate) fn cold_peak(calls: &[Instant], recovered: Instant, limit: &Limit) -> f64 {
+    busiest(calls, recovered, recovered + limit.cold, limit.overload_window) as f64
+        / limit.crash_threshold(limit.cold_from)
 }
 
+/// Largest number of calls in a span of this length that begins with a call between `from` and `until`.
 fn busiest(calls: &[Instant], from: Instant, until: Instant, span: Duration) -> usize {
     let inside: Vec<Instant> = calls.iter().copied().filter(|c| *c >= from && *c < until + span).collect();
-    let mut last = 0;
-    let mut most = 0;
+    let mut end = 0;
+    let mut max = 0;
     for (n, at) in inside.iter().enumerate().filter(|(_, at)| **at < until) {
-        while inside.get(last).is_some_and(|c| *c < *at + span) {
-            last += 1;
+        while inside.get(end).is_some_and(|c| *c < *at + span) {
+            end += 1;
         }
-        most = most.max(last - n);
+        max = max.max(end - n);
     }
-    most
+    max
 }
 
-/// How many of these times lie in each bucket of the run.
-pub(crate) fn buckets(start: Instant, run_ms: u64, times: &[Instant]) -> Vec<usize> {
+/// Number of these times in each bucket of the run.
+pub(crate) fn count_by_bucket(start: Instant, run_ms: u64, times: &[Instant]) -> Vec<usize> {
     let mut all = vec![0; run_ms.div_ceil(BUCKET_MS) as usize];
     for t in times.iter().filter(|t| **t >= start) {
         let b = (t.duration_since(start).as_millis() as u64 / BUCKET_MS) as usize;
@@ -132,18 +137,18 @@
 mod tests {
     use super::*;
 
-    /// Guards against a time to full service that counts a single good bucket, or one before the restart.
+    /// Guards against a time to full service that counts a single bucket within tolerance, or one before the restart.
     #[test]
-    fn full_service_waits_for_five_seconds_in_a_row_after_the_start() {
+    fn full_service_needs_five_consecutive_seconds_after_the_start() {
         let mut share = vec![1.0; 40];
         share[10..14].iter_mut().for_each(|s| *s = 0.2);
         share[16] = 0.5;
-        // From the start at 5,000 ms: buckets 10 to 16 are short; 17 begins ten good ones.
+        // The start is at 5,000 ms. Buckets 10 to 13 and 16 are below tolerance; ten buckets within it begin at 17.
         assert_eq!(full_service(&share, 0.99, 5_000), Some(17 * BUCKET_MS - 5_000));
-        assert_eq!(full_service(&share[..25], 0.99, 5_000), None, "not five seconds of it left");
+        assert_eq!(full_service(&share[..25], 0.99, 5_000), None, "less than five seconds are left");
     }
 
-    /// Guards against a peak that counts a fixed grid of seconds, or calls from before the wave.
+    /// Guards against a peak that uses a fixed grid of seconds, or counts calls from before the span.
     #[test]
     fn the_busiest_second_is_found_wherever_it_begins() {
         let start = Instant::now();
@@ -153,6 +158,6 @@
         assert_eq!(busiest(&calls, at(0), at(10_000), second), 4);
         assert_eq!(busiest(&calls, at(1_000), at(10_000), second), 3, "1.9 s to 2.8 s");
         assert_eq!(busiest(&calls, at(350), at(1_000), second), 1);
-        assert_eq!(buckets(start, 3_000, &calls), [4, 0, 0, 1, 1, 1]);
+        assert_eq!(count_by_bucket(start, 3_000, &calls), [4, 0, 0, 1, 1, 1]);
     }
 }
--- a/crates/rig/src/proxy.rs
+++ b/crates/rig/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP fault proxy: each connection to it is joined to one to its target, and bytes pass as the fault in force says.
+//! A TCP proxy that injects faults: it forwards each connection to its target, subject to the fault that is set.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,116 +7,121 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the proxy does to what passes, from the moment it is set.
+/// A fault of the proxy, in force from the moment it is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Bytes pass as they come.
+    /// No fault: bytes are forwarded as they come.
     Pass,
-    /// Each piece of bytes, and the end of a sending, waits so long before it passes, either way.
+    /// Each chunk of bytes, and the end of the stream, is forwarded after this delay, in both directions.
     Delay(Duration),
-    /// Connections are cut, the ones open and each new one.
+    /// Open and new connections are closed.
     Reset,
-    /// Connections are taken and bytes read, but nothing passes either way until the fault is lifted: a partition, which
-    /// TCP outlives by sending again; what was held then passes late, in order, unless the connection was reset meanwhile.
+    /// Connections are accepted and bytes read, but nothing is forwarded in either direction until the fault is lifted. This is a
+    /// partition that TCP survives by retransmission: the held bytes are then forwarded, in order, unless the connection was
+    /// reset meanwhile.
     Blackhole,
-    /// Bytes are read and thrown away; a connection that lost some is cut once the fault is lifted, as one that TCP gave
-    /// up on.
+    /// Bytes are read and discarded. A connection that lost bytes is closed once the fault is lifted, like one on which TCP gave
+    /// up retransmission.
     Drop,
-    /// So many bytes a second at most pass each way on each connection.
+    /// At most this many bytes per second are forwarded in each direction on each connection.
     Bandwidth(u64),
-    /// Half of each piece of an answer passes, and then the connection is cut.
+    /// Half of the first chunk of an answer is forwarded, then the connection is closed.
     Truncate,
 }
 
 #[derive(Debug)]
 struct Shared {
     fault: Mutex<Fault>,
-    /// Bumped by each [`Fault::Reset`]: connections of an earlier round are cut.
-    round: AtomicUsize,
+    /// Incremented by each [`Fault::Reset`]: connections of an earlier generation are closed.
+    generation: AtomicUsize,
     connections: AtomicUsize,
-    /// Bytes that passed towards the target.
-    forward: AtomicUsize,
+    /// Bytes forwarded to the target.
+    bytes_to_target: AtomicUsize,
 }
 
-/// A proxy on a port that the OS gave, in front of one target.
+/// A proxy in front of one target, on a port that the system assigns. Clones share their state.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    /// Where clients of the target connect instead.
+    /// The address that clients of the target connect to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Proxy {
-    /// Listens on loopback and joins each connection to `target`; bytes pass until a fault is set.
+    /// Starts a proxy on loopback that forwards each connection to `target`, without a fault at first.
     ///
     /// # Errors
     ///
-    /// No port can be had on loopback.
+    /// If no port can be bound on loopback.
     pub fn start(target: SocketAddr) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let shared = Arc::new(Shared {
             fault: Mutex::new(Fault::Pass),
-            round: AtomicUsize::new(0),
+            generation: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
-            forward: AtomicUsize::new(0),
+            bytes_to_target: AtomicUsize::new(0),
         });
         let proxy = Proxy { address: listener.local_addr()?, shared };
         let accepting = proxy.clone();
         thread::spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
-                accepting.join(client, target);
+                accepting.forward(client, target);
             }
         });
         Ok(proxy)
     }
 
-    /// Sets what is done from now on; a reset cuts what is open at once.
+    /// Sets the fault in force from now on; a reset closes open connections at once.
     pub fn set(&self, fault: Fault) {
         *self.shared.fault.lock().unwrap_or_else(|e| e.into_inner()) = fault;
         if fault == Fault::Reset {
-            self.shared.round.fetch_add(1, Ordering::SeqCst);
+            self.shared.generation.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    /// Connections taken since the start.
+    /// Connections accepted since the start.
     pub fn connections(&self) -> usize {
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Bytes passed towards the target since the start.
+    /// Bytes forwarded to the target since the start.
     pub fn forwarded(&self) -> usize {
-        self.shared.forward.load(Ordering::SeqCst)
+        self.shared.bytes_to_target.load(Ordering::SeqCst)
     }
 
     fn fault(&self) -> Fault {
         *self.shared.fault.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn join(&self, client: TcpStream, target: SocketAddr) {
+    /// Connects to the target and starts one thread for each direction.
+    fn forward(&self, client: TcpStream, target: SocketAddr) {
         self.shared.connections.fetch_add(1, Ordering::SeqCst);
         let fault = self.fault();
         if fault == Fault::Reset {
             return drop(client.shutdown(Shutdown::Both));
         }
         let Ok(server) = TcpStream::connect_timeout(&target, Duration::from_secs(2)) else { return };
-        let round = self.shared.round.load(Ordering::SeqCst);
-        for (from, to, forward) in [(&client, &server, true), (&server, &client, false)] {
+        let generation = self.shared.generation.load(Ordering::SeqCst);
+        for (from, to, to_target) in [(&client, &server, true), (&server, &client, false)] {
             let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { return };
             let proxy = self.clone();
-            thread::spawn(move || proxy.pump(from, to, forward, round));
+            thread::spawn(move || proxy.copy(from, to, to_target, generation));
         }
     }
 
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, forward: bool, round: usize) {
+    /// Copies bytes in one direction until the connection ends or a fault closes it.
+    fn copy(&self, mut from: TcpStream, mut to: TcpStream, to_target: bool, generation: usize) {
         let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
         let mut buffer = [0u8; 16 << 10];
-        let mut thrown = false;
+        let mut discarded = false;
         loop {
-            if self.shared.round.load(Ordering::SeqCst) != round || (thrown && self.fault() != Fault::Drop) {
+            if self.shared.generation.load(Ordering::SeqCst) != generation
+                || (discarded && self.fault() != Fault::Drop)
+            {
                 break;
             }
             let n = match from.read(&mut buffer) {
-                Ok(0) => return self.pass_end(&to, round),
+                Ok(0) => return self.forward_end(&to, generation),
                 Ok(n) => n,
                 Err(e)
                     if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) =>
@@ -125,29 +130,29 @@
                 }
                 Err(_) => break,
             };
-            // A sender that has reset its connection sends nothing again. One that has only ended its sending still does.
-            if self.hold(round) && was_reset(&from) {
+            // After a reset the sender does not retransmit. One that has only shut down its write side still does.
+            if self.wait_for_blackhole_end(generation) && was_reset(&from) {
                 break;
             }
             match self.fault() {
                 Fault::Pass | Fault::Blackhole => {}
                 Fault::Delay(d) => thread::sleep(d),
                 Fault::Drop => {
-                    thrown = true;
+                    discarded = true;
                     continue;
                 }
                 Fault::Bandwidth(rate) => {
                     thread::sleep(Duration::from_secs_f64(n as f64 / rate.max(1) as f64))
                 }
                 Fault::Reset => break,
-                Fault::Truncate if forward => {}
+                Fault::Truncate if to_target => {}
                 Fault::Truncate => {
                     let _ = to.write_all(&buffer[..n / 2]);
                     break;
                 }
             }
-            if forward {
-                self.shared.forward.fetch_add(n, Ordering::SeqCst);
+            if to_target {
+                self.shared.bytes_to_target.fetch_add(n, Ordering::SeqCst);
             }
             if to.write_all(&buffer[..n]).is_err() {
                 break;
@@ -157,19 +162,20 @@
         let _ = to.shutdown(Shutdown::Both);
     }
 
-    /// Waits while the path is a black hole, unless a reset cuts it; true if it was one.
-    fn hold(&self, round: usize) -> bool {
+    /// Waits while the fault is a black hole, unless a reset closes the connection; true if it was one.
+    fn wait_for_blackhole_end(&self, generation: usize) -> bool {
         let mut held = false;
-        while self.fault() == Fault::Blackhole && self.shared.round.load(Ordering::SeqCst) == round {
+        while self.fault() == Fault::Blackhole && self.shared.generation.load(Ordering::SeqCst) == generation
+        {
             held = true;
             thread::sleep(Duration::from_millis(5));
         }
         held
     }
 
-    /// One side has ended its sending: the other hears of it behind all bytes, and may go on with its own.
-    fn pass_end(&self, to: &TcpStream, round: usize) {
-        self.hold(round);
+    /// Forwards the end of the stream of one side, after all its bytes; the other side may go on sending.
+    fn forward_end(&self, to: &TcpStream, generation: usize) {
+        self.wait_for_blackhole_end(generation);
         match self.fault() {
             Fault::Delay(d) => thread::sleep(d),
             Fault::Drop => return,
@@ -179,8 +185,8 @@
     }
 }
 
-/// Has the peer reset the connection? After a reset the system knows no peer any more; reading tells nothing of one behind
-/// an end of sending.
+/// Whether the remote side has reset the connection. After a reset the system no longer has its address; a read would not show
+/// a reset that follows the end of the stream.
 fn was_reset(tcp: &TcpStream) -> bool {
     tcp.peer_addr().is_err()
 }
@@ -206,7 +212,7 @@
         at
     }
 
-    fn ask(at: SocketAddr) -> Option<String> {
+    fn send_hello(at: SocketAddr) -> Option<String> {
         let mut s = TcpStream::connect(at).ok()?;
         s.set_read_timeout(Some(Duration::from_millis(400))).ok()?;
         s.write_all(b"hello\n").ok()?;
@@ -215,34 +221,37 @@
         Some(line)
     }
 
-    /// Guards against a proxy that passes what it should swallow, or swallows what it should pass.
+    /// Guards against a proxy that forwards bytes that a fault should stop, or stops bytes that it should forward.
     #[test]
-    fn bytes_pass_and_stop_as_the_fault_says() {
+    fn bytes_are_forwarded_or_stopped_as_the_fault_says() {
         let proxy = Proxy::start(echo()).unwrap();
-        assert_eq!(ask(proxy.address).as_deref(), Some("hello\n"));
+        assert_eq!(send_hello(proxy.address).as_deref(), Some("hello\n"));
         proxy.set(Fault::Blackhole);
         let mut held = TcpStream::connect(proxy.address).unwrap();
         held.write_all(b"later\n").unwrap();
-        assert_eq!(ask(proxy.address), None, "silence");
+        assert_eq!(send_hello(proxy.address), None, "no answer");
         proxy.set(Fault::Pass);
         let mut line = String::new();
         BufReader::new(held).read_line(&mut line).unwrap();
-        assert_eq!(line, "later\n", "held, then passed");
+        assert_eq!(line, "later\n", "held, then forwarded");
         proxy.set(Fault::Bandwidth(60));
         let start = std::time::Instant::now();
-        assert_eq!(ask(proxy.address).as_deref(), Some("hello\n"));
-        assert!(start.elapsed() >= Duration::from_millis(200), "six bytes at sixty a second, there and back");
+        assert_eq!(send_hello(proxy.address).as_deref(), Some("hello\n"));
+        assert!(
+            start.elapsed() >= Duration::from_millis(200),
+            "six bytes at sixty per second in each direction"
+        );
         proxy.set(Fault::Drop);
-        assert_eq!(ask(proxy.address), None, "thrown away");
+        assert_eq!(send_hello(proxy.address), None, "discarded");
         proxy.set(Fault::Reset);
-        assert_eq!(ask(proxy.address), None, "cut");
+        assert_eq!(send_hello(proxy.address), None, "closed");
         proxy.set(Fault::Pass);
-        assert_eq!(ask(proxy.address).as_deref(), Some("hello\n"));
+        assert_eq!(send_hello(proxy.address).as_deref(), Some("hello\n"));
         assert_eq!(proxy.connections(), 7);
-        // The silent asker's greeting passes too if its connection was still open when the hole closed.
+        // The greeting that got no answer is forwarded too if its connection was still open when the black hole ended.
         assert!(
             [24, 30].contains(&proxy.forwarded()),
-            "three greetings and what was held: {}",
+            "three greetings and the held bytes: {}",
             proxy.forwarded()
         );
     }
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -1,73 +1,73 @@
-//! What a play showed, and the sum of many.
+//! The report of one run, and the summary of several.
 
-/// What one play showed.
+/// The report of one run.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Report {
-    /// Messages handed in.
+    /// Messages that clients submitted.
     pub handed: usize,
-    /// Taken with `+OK`.
+    /// Messages accepted with `+OK`.
     pub taken: usize,
-    /// Taken and delivered.
+    /// Accepted messages that were delivered.
     pub delivered: usize,
-    /// Taken and given up with a notice.
+    /// Messages for which a notice came: given up or returned.
     pub told: usize,
-    /// Ids of what was taken and never answered.
+    /// Ids of accepted messages without a final answer.
     pub lost: Vec<String>,
-    /// Ids of unsafe messages that took effect more than once.
+    /// Ids of at-most-once messages that took effect more than once.
     pub doubled: Vec<String>,
-    /// Pairs of calls of one key that overlapped.
+    /// Pairs of attempts of one key that overlapped.
     pub overlapping: Vec<String>,
-    /// Ids told two final answers that differ.
+    /// Ids of messages that got two different final answers.
     pub told_twice: Vec<String>,
-    /// Ids of what got its end long after its time.
+    /// Ids of messages whose final answer came long after their deadline.
     pub late: Vec<String>,
-    /// Clients that misbehaved and whose connection stayed open beyond its time.
+    /// Misbehaving clients whose connection stayed open too long.
     pub hanging: Vec<String>,
-    /// Dispatchers whose folder held more than its limit at some moment.
+    /// Dispatchers whose state folder exceeded its limit at any time.
     pub over_disk: Vec<String>,
-    /// Lines of the dispatchers' logs that count what their own rules forbid and was done all the same.
+    /// Log lines of the dispatchers that count violations of their own rules.
     pub violations: Vec<String>,
-    /// Lines of their logs that tell of a panic.
+    /// Log lines of the dispatchers that report a panic.
     pub panics: Vec<String>,
-    /// The registry's askings.
+    /// Watch requests at the registry.
     pub asks: usize,
-    /// The most askings in any 10 ms.
+    /// Largest number of watch requests in any 10 ms.
     pub asks_in_10ms: usize,
-    /// When each asking came, in milliseconds from the start of the load (those of the first starts are below 0).
+    /// When each watch request came, in milliseconds from the start of the load (negative for those of the first starts).
     pub asks_at_ms: Vec<i64>,
-    /// Share of the messages handed in each bucket that were delivered within their wanted time.
+    /// For each bucket, the share of the messages submitted in it that were delivered within their wanted time.
     pub share: Vec<f64>,
-    /// The share before the first step (after the first second).
+    /// Mean of `share` before the first step, without the first second.
     pub level: f64,
     /// Milliseconds from the last start of the timeline to the first delivery after it.
     pub first_delivery_ms: Option<u64>,
-    /// Milliseconds from the last start of the timeline until the share stays within 2% of `level` for 5 s.
+    /// Milliseconds from the last start of the timeline until `share` stays at most 0.02 below `level` for 5 s.
     pub full_service_ms: Option<u64>,
-    /// Starts that failed (no address within 15 s).
+    /// Starts that failed (the process did not listen within 15 s).
     pub failed_starts: usize,
-    /// Calls of the busiest second from the last kill on (10 s long) at any member, over its limit; none without a limit.
+    /// Largest number of calls at any endpoint in one second that begins within 10 s of the last kill or SIGTERM, divided by the
+    /// limit; `None` without a limit.
     pub peak_over_limit: Option<f64>,
-    /// The same over a cold member's reduced limit, in the spans in which one was cold.
+    /// Largest number of calls at any cold endpoint within its overload window, divided by its crash threshold.
     pub cold_peak_over_limit: Option<f64>,
-    /// Times that a member fell over while it was cold.
+    /// Crashes of cold endpoints.
     pub falls: usize,
-    /// Calls that members refused for their limit or for want of room.
+    /// Calls that endpoints refused because of their limit or because their queue was full.
     pub refused: usize,
-    /// Milliseconds from the intended time of a message to its effect, by percentile (hdrhistogram).
+    /// Percentiles of the time from a message's intended time to its effect, in milliseconds.
     pub latency_ms: Vec<(f64, f64)>,
-    /// Calls at each member in each bucket.
+    /// Calls at each endpoint, by bucket.
     pub calls: Vec<Vec<usize>>,
-    /// Dispatchers that took clients at the start of each bucket.
+    /// Dispatchers that accepted clients at the start of each bucket.
     pub serving: Vec<usize>,
-    /// Messages handed in again at dispatchers whose folder was lost, and of these the ones that got their final answer
-    /// without a call.
+    /// Messages submitted again to dispatchers whose state folder was removed.
     pub again: usize,
-    /// See `again`.
+    /// Messages of `again` that got their final answer as the reply to the submission, without a call.
     pub again_without_call: usize,
 }
 
 impl Report {
-    /// No rule was broken and every start succeeded.
+    /// Whether no invariant was broken and every start succeeded.
     pub fn clean(&self) -> bool {
         self.lost.is_empty()
             && self.doubled.is_empty()
@@ -82,49 +82,49 @@
     }
 }
 
-/// What many plays of one scenario showed, summed; times by quantile over the plays that reached them.
+/// Summary of several runs of one scenario: sums, and quantiles over the runs that have a value.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Trials {
-    /// Plays.
+    /// Number of runs.
     pub trials: usize,
-    /// Messages taken in all plays.
+    /// Messages accepted in all runs.
     pub taken: usize,
-    /// Delivered.
+    /// Accepted messages that were delivered.
     pub delivered: usize,
-    /// Told as given up.
+    /// Messages for which a notice came: given up or returned.
     pub told: usize,
-    /// Lost.
+    /// Accepted messages without a final answer.
     pub lost: usize,
-    /// Doubled unsafe effects.
+    /// At-most-once messages that took effect more than once.
     pub doubled: usize,
-    /// Overlapping calls of a key.
+    /// Pairs of attempts of one key that overlapped.
     pub overlapping: usize,
-    /// Told more than once.
+    /// Messages that got two different final answers.
     pub told_twice: usize,
-    /// Plays that never reached full service.
+    /// Runs that did not reach full service.
     pub never_full: usize,
-    /// Milliseconds to full service: median (nearest rank) of the plays that reached it,
+    /// Milliseconds to full service: median (nearest rank) of the runs that reached it.
     pub full_service_p50_ms: Option<u64>,
-    /// and the 99th percentile.
+    /// Milliseconds to full service: 99th percentile (nearest rank) of the runs that reached it.
     pub full_service_p99_ms: Option<u64>,
-    /// The most askings of the registry in 10 ms, in any play.
+    /// Largest number of watch requests at the registry in any 10 ms of any run.
     pub asks_in_10ms: usize,
-    /// The highest peak over a member's limit after the wave: median over the plays,
+    /// `peak_over_limit`: median over the runs.
     pub peak_p50: Option<f64>,
-    /// and the highest of all.
+    /// `peak_over_limit`: maximum over the runs.
     pub peak_most: Option<f64>,
-    /// Falls of cold members.
+    /// Crashes of cold endpoints.
     pub falls: usize,
-    /// Messages handed in again where a folder was lost,
+    /// Messages submitted again to dispatchers whose state folder was removed.
     pub again: usize,
-    /// and of these answered without a call.
+    /// Messages of `again` that got their final answer without a call.
     pub again_without_call: usize,
     /// Starts that failed.
     pub failed_starts: usize,
 }
 
 impl Trials {
-    /// The sum of these reports.
+    /// Summarizes these reports.
     pub fn of(reports: &[Report]) -> Trials {
         let mut full: Vec<u64> = reports.iter().filter_map(|r| r.full_service_ms).collect();
         full.sort_unstable();
--- a/crates/rig/src/room.rs
+++ b/crates/rig/src/room.rs
@@ -1,33 +1,35 @@
-//! How much the dispatchers' folders hold while a play is on, against the limit of their configuration.
+//! Checks during a run that the dispatchers' state folders stay within the size limit of their configuration.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
 
-/// Between two looks: a compaction's two files stand beside each other for a few milliseconds.
-const EACH: Duration = Duration::from_millis(5);
-/// Each file counts in whole blocks.
-const BLOCK: u64 = 512;
+/// Time between two measurements. It is short because the two files of a compaction exist together only for a few
+/// milliseconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The size of a file is rounded up to whole blocks of this many bytes.
+const BLOCK_BYTES: u64 = 512;
 
-/// Bytes of the folder's files.
+/// Bytes of the files in the folder, in whole blocks.
 fn size(folder: &Path) -> u64 {
     let files = std::fs::read_dir(folder).into_iter().flatten().flatten();
     let sizes = files.filter_map(|f| f.metadata().ok()).filter(|m| m.is_file()).map(|m| m.len());
-    sizes.map(|bytes| bytes.div_ceil(BLOCK) * BLOCK).sum()
+    sizes.map(|bytes| bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES).sum()
 }
 
-/// Looks at the folders until told to stop; those that held more than the limit at some moment, with the most that was seen.
+/// Measures the folders until `stop` is set; describes those that exceeded the limit at any time, with the largest size
+/// measured.
 pub(crate) fn over_limit(folders: &[PathBuf], limit: u64, stop: &AtomicBool) -> Vec<String> {
-    let mut most = vec![0; folders.len()];
+    let mut peaks = vec![0; folders.len()];
     while !stop.load(Ordering::Relaxed) {
-        for (most, folder) in most.iter_mut().zip(folders) {
-            *most = size(folder).max(*most);
+        for (peak, folder) in peaks.iter_mut().zip(folders) {
+            *peak = size(folder).max(*peak);
         }
-        thread::sleep(EACH);
+        thread::sleep(POLL_INTERVAL);
     }
-    let over = most.iter().enumerate().filter(|(_, most)| **most > limit);
-    over.map(|(n, most)| format!("n{n}: {most} bytes of {limit}")).collect()
+    let over = peaks.iter().enumerate().filter(|(_, peak)| **peak > limit);
+    over.map(|(n, peak)| format!("n{n}: {peak} bytes of {limit}")).collect()
 }
 
 #[cfg(test)]
@@ -35,17 +37,17 @@
     use super::*;
 
     #[test]
-    fn a_folder_over_its_limit_for_a_moment_is_seen() {
+    fn a_folder_over_its_limit_for_a_moment_is_reported() {
         let folder = std::env::temp_dir().join(format!("lilacbank-room-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let (stop, folders) = (AtomicBool::new(false), [folder.clone()]);
         let over = thread::scope(|scope| {
-            let looking = scope.spawn(|| over_limit(&folders, 1_000, &stop));
+            let measuring = scope.spawn(|| over_limit(&folders, 1_000, &stop));
             std::fs::write(folder.join("journal"), [0; 600]).unwrap();
             thread::sleep(Duration::from_millis(100));
             std::fs::remove_file(folder.join("journal")).unwrap();
             stop.store(true, Ordering::Relaxed);
-            looking.join().unwrap()
+            measuring.join().unwrap()
         });
         std::fs::remove_dir_all(folder).unwrap();
         assert_eq!(over, ["n0: 1024 bytes of 1000"]);
--- a/crates/rig/src/rude.rs
+++ b/crates/rig/src/rude.rs
@@ -1,5 +1,5 @@
-//! Clients that misbehave: they say nothing, stop in the middle of a command, talk nonsense, or send much at once and go.
-//! Those that stay are owed an error or an end within three seconds.
+//! Misbehaving clients: they send nothing, half a command or invalid bytes, or send a burst of commands and disconnect. The
+//! dispatcher has to close those that stay connected within three seconds. Also holds idle clients connected.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,80 +9,82 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client that stays is closed within this: 3 s by the operators' pages, and what a busy machine adds.
-const OWED: Duration = Duration::from_millis(3_700);
-/// It is given up on after this.
-const GIVEN_UP: Duration = Duration::from_millis(6_000);
-/// The time between two visits.
-const GAP: Duration = Duration::from_millis(120);
-/// Commands that are sent at once.
+/// Time within which the dispatcher has to close the connection: 3 s by the operators' documentation, and an allowance for a
+/// busy machine.
+const MAX_OPEN: Duration = Duration::from_millis(3_700);
+/// Time after which a client stops waiting for the dispatcher to close the connection.
+const GIVE_UP_AFTER: Duration = Duration::from_millis(6_000);
+/// Time between the starts of two visits.
+const VISIT_GAP: Duration = Duration::from_millis(120);
+/// Number of commands in a burst.
 const BURST: usize = 40;
 
-/// Where a dispatcher takes clients now.
+/// The address on which a dispatcher accepts clients now.
 type Address = Arc<Mutex<Option<SocketAddr>>>;
 
 /// How a client misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Manner {
+enum Misbehavior {
     Silent,
     HalfCommand,
     Nonsense,
     Burst,
 }
 
-const MANNERS: [Manner; 4] = [Manner::Silent, Manner::HalfCommand, Manner::Nonsense, Manner::Burst];
+const MISBEHAVIORS: [Misbehavior; 4] =
+    [Misbehavior::Silent, Misbehavior::HalfCommand, Misbehavior::Nonsense, Misbehavior::Burst];
 
-/// One visit, in milliseconds from the start of the load.
+/// One connection of a misbehaving client; times are in milliseconds from the start of the load.
 #[derive(Debug, Clone)]
 pub(crate) struct Visit {
     dispatcher: usize,
-    manner: Manner,
+    misbehavior: Misbehavior,
     from: u64,
-    /// When its connection ended; none: it was still open when the client gave up.
+    /// When the connection ended; `None` if it was still open when the client gave up.
     until: Option<u64>,
 }
 
-/// Visits one dispatcher after another until the end.
-pub(crate) fn visit(seed: u64, dispatchers: &[Address], start: Instant, end: Instant) -> Vec<Visit> {
-    let mut random = StdRng::seed_from_u64(seed ^ 0x5EED);
+/// Connects misbehaving clients to random dispatchers until `end`.
+pub(crate) fn run_visits(seed: u64, dispatchers: &[Address], start: Instant, end: Instant) -> Vec<Visit> {
+    let mut rng = StdRng::seed_from_u64(seed ^ 0x5EED);
     let visits = Mutex::new(Vec::new());
     thread::scope(|scope| {
         while Instant::now() < end {
-            let dispatcher = random.random_range(0..dispatchers.len());
-            let manner = MANNERS[random.random_range(0..MANNERS.len())];
-            let at = *dispatchers[dispatcher].lock().unwrap_or_else(|e| e.into_inner());
+            let dispatcher = rng.random_range(0..dispatchers.len());
+            let misbehavior = MISBEHAVIORS[rng.random_range(0..MISBEHAVIORS.len())];
+            let address = *dispatchers[dispatcher].lock().unwrap_or_else(|e| e.into_inner());
             let visits = &visits;
             scope.spawn(move || {
                 let from = start.elapsed().as_millis() as u64;
-                if let Some(ended) = at.and_then(|at| misbehave(at, manner, from)) {
+                if let Some(ended) = address.and_then(|address| misbehave(address, misbehavior, from)) {
                     let until = ended.then(|| start.elapsed().as_millis() as u64);
-                    let visit = Visit { dispatcher, manner, from, until };
+                    let visit = Visit { dispatcher, misbehavior, from, until };
                     visits.lock().unwrap_or_else(|e| e.into_inner()).push(visit);
                 }
             });
-            thread::sleep(GAP);
+            thread::sleep(VISIT_GAP);
         }
     });
     visits.into_inner().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Between two looks of the crowd at its connections.
-const CROWD_LOOK: Duration = Duration::from_millis(250);
+/// Time between two checks of the idle clients' connections.
+const IDLE_POLL: Duration = Duration::from_millis(250);
 
-/// So many idle clients stay at each dispatcher until the end; one whose connection has ended comes again.
-pub(crate) fn crowd(dispatchers: &[Address], each: usize, end: Instant) {
+/// Holds this many idle clients connected to each dispatcher until `end`; one whose connection has ended connects again.
+pub(crate) fn hold_idle_clients(dispatchers: &[Address], clients_each: usize, end: Instant) {
     let mut clients: Vec<(usize, Option<TcpStream>)> =
-        (0..dispatchers.len() * each).map(|n| (n % dispatchers.len(), None)).collect();
+        (0..dispatchers.len() * clients_each).map(|n| (n % dispatchers.len(), None)).collect();
     while Instant::now() < end {
         for (dispatcher, client) in &mut clients {
             if client.as_ref().is_some_and(is_open) {
                 continue;
             }
-            let at = *dispatchers[*dispatcher].lock().unwrap_or_else(|e| e.into_inner());
-            *client = at.and_then(|at| TcpStream::connect_timeout(&at, CROWD_LOOK).ok());
+            let address = *dispatchers[*dispatcher].lock().unwrap_or_else(|e| e.into_inner());
+            *client = address.and_then(|address| TcpStream::connect_timeout(&address, IDLE_POLL).ok());
             client.iter().for_each(|c| drop(c.set_nonblocking(true)));
         }
-        thread::sleep(CROWD_LOOK);
+        thread::sleep(IDLE_POLL);
     }
 }
 
@@ -96,23 +98,23 @@
     format!("*5\r\n{parts}").into_bytes()
 }
 
-/// None: it did not get in. Else: did the connection end while it waited?
-fn misbehave(at: SocketAddr, manner: Manner, number: u64) -> Option<bool> {
-    let mut tcp = TcpStream::connect_timeout(&at, Duration::from_millis(300)).ok()?;
+/// Connects and misbehaves. `None` if it could not connect, otherwise whether the connection ended before it gave up.
+fn misbehave(address: SocketAddr, misbehavior: Misbehavior, number: u64) -> Option<bool> {
+    let mut tcp = TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok()?;
     tcp.set_read_timeout(Some(Duration::from_millis(100))).ok()?;
-    let begun = Instant::now();
-    let bytes = match manner {
-        Manner::Silent => Vec::new(),
-        Manner::HalfCommand => command("rude")[..20].to_vec(),
-        Manner::Nonsense => b"GET / HTTP/1.1\r\nHost: nobody\r\n\r\n".to_vec(),
-        Manner::Burst => (0..BURST).flat_map(|n| command(&format!("rude-{number}-{n}"))).collect(),
+    let started = Instant::now();
+    let bytes = match misbehavior {
+        Misbehavior::Silent => Vec::new(),
+        Misbehavior::HalfCommand => command("rude")[..20].to_vec(),
+        Misbehavior::Nonsense => b"GET / HTTP/1.1\r\nHost: nobody\r\n\r\n".to_vec(),
+        Misbehavior::Burst => (0..BURST).flat_map(|n| command(&format!("rude-{number}-{n}"))).collect(),
     };
     let _ = tcp.write_all(&bytes);
-    if manner == Manner::Burst {
+    if misbehavior == Misbehavior::Burst {
         return Some(true);
     }
     let mut buffer = [0; 256];
-    while begun.elapsed() < GIVEN_UP {
+    while started.elapsed() < GIVE_UP_AFTER {
         match tcp.read(&mut buffer) {
             Ok(0) => return Some(true),
             Ok(_) => {}
@@ -123,15 +125,16 @@
     Some(false)
 }
 
-/// Those whose connection stayed open beyond its time, but where the dispatcher took no connections meanwhile.
-pub(crate) fn hanging(visits: &[Visit], refuses: impl Fn(usize, u64, u64) -> bool) -> Vec<String> {
-    let most = OWED.as_millis() as u64;
-    let open = |v: &&Visit| v.until.is_none_or(|until| until - v.from > most);
-    let owed = |v: &&Visit| !refuses(v.dispatcher, v.from, v.from + most);
-    let told = |v: &Visit| {
-        format!("{:?} at n{} from {} ms, open until {:?}", v.manner, v.dispatcher, v.from, v.until)
+/// Describes the visits whose connection stayed open too long, except those at dispatchers that could not accept connections
+/// meanwhile.
+pub(crate) fn hanging(visits: &[Visit], cannot_accept: impl Fn(usize, u64, u64) -> bool) -> Vec<String> {
+    let max_open = MAX_OPEN.as_millis() as u64;
+    let too_long = |v: &&Visit| v.until.is_none_or(|until| until - v.from > max_open);
+    let could_accept = |v: &&Visit| !cannot_accept(v.dispatcher, v.from, v.from + max_open);
+    let describe = |v: &Visit| {
+        format!("{:?} at n{} from {} ms, open until {:?}", v.misbehavior, v.dispatcher, v.from, v.until)
     };
-    visits.iter().filter(open).filter(owed).map(told).collect()
+    visits.iter().filter(too_long).filter(could_accept).map(describe).collect()
 }
 
 #[cfg(test)]
@@ -153,13 +156,13 @@
         at
     }
 
-    /// Guards against a judge that finds nobody hanging.
+    /// Guards against a check that finds no connection that stays open too long.
     #[test]
-    fn a_server_that_keeps_a_silent_client_is_found_and_one_that_closes_is_not() {
+    fn a_server_that_keeps_a_silent_client_is_reported_and_one_that_closes_it_is_not() {
         let visits = |closes: bool| {
-            let at = Arc::new(Mutex::new(Some(server(closes))));
+            let address = Arc::new(Mutex::new(Some(server(closes))));
             let start = Instant::now();
-            visit(3, &[at], start, start + Duration::from_millis(500))
+            run_visits(3, &[address], start, start + Duration::from_millis(500))
         };
         let (closed, kept) = thread::scope(|scope| {
             let kept = scope.spawn(|| visits(false));
@@ -167,6 +170,6 @@
         });
         assert!(closed.len() >= 3 && hanging(&closed, |_, _, _| false).is_empty(), "{closed:?}");
         assert!(!hanging(&kept, |_, _, _| false).is_empty(), "{kept:?}");
-        assert!(hanging(&kept, |_, _, _| true).is_empty(), "it took no connections");
+        assert!(hanging(&kept, |_, _, _| true).is_empty(), "it could not accept connections");
     }
 }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,14 +1,14 @@
-//! Plays a scenario: starts the registry, the members and the dispatchers, hands in the load, plays the timeline, waits
-//! for the final answers and audits what clients, the members and the platform saw.
+//! Runs a scenario: starts the registry, the endpoints and the dispatchers, submits the load, applies the steps of the timeline,
+//! waits for the final answers and audits what clients, endpoints and the receiver of notices saw.
 
 use crate::measure;
-use crate::process::Process;
+use crate::process::Dispatcher;
 use crate::report::Report;
 use crate::scenario::{Scenario, Step};
-use crate::stage::{limit_of, Stage};
+use crate::stage::{endpoint_limit, Environment};
 use crate::{config, judge, room, rude};
 use lilacbank_load::arrivals::{poisson, Intended, Stream};
-use lilacbank_load::client::{drive, hand_in_again, Door, Habits, Handed, Route};
+use lilacbank_load::client::{drive, resubmit, DispatcherSelector, Door, Habits, Submission};
 use lilacbank_load::keyed::{audit, Audit, Sent};
 use lilacbank_load::member::Endpoint;
 use std::collections::HashMap;
@@ -19,24 +19,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// After the load, final answers are awaited for so long at most (the longest deadline and its slack).
-const SETTLE_MOST: Duration = Duration::from_secs(25);
-/// Messages taken within so long before a folder was lost are handed in again.
-const AGAIN_SPAN: Duration = Duration::from_secs(10);
+/// Longest wait for final answers after the load: the longest deadline and some slack.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(25);
+/// Messages that were accepted within this time before a state folder was lost are submitted again.
+const RESUBMIT_SPAN: Duration = Duration::from_secs(10);
 
-/// The load's streams: for each dispatcher and class one for each member, then those of a surge, if there is one.
+/// The streams of the load: for each dispatcher and class, one for each destination, then those of the surge, if there is one.
 fn streams(scenario: &Scenario) -> Vec<Stream> {
-    let (classes, members) = (&scenario.load.classes, scenario.member.count);
-    let rate = scenario.load.per_second / (classes.len() * members) as f64;
+    let (classes, destinations) = (&scenario.load.classes, scenario.member.count);
+    let rate = scenario.load.per_second / (classes.len() * destinations) as f64;
     let mut all = Vec::new();
     for _ in 0..scenario.dispatchers {
         for class in classes {
             let (wanted, deadline) = config::times(class);
             let deadline = scenario.deadline_ms.unwrap_or(deadline);
             let usual = (0, scenario.run_ms, rate);
-            let more = scenario.load.surge.as_ref().map(|s| (s.from_ms, s.until_ms, rate * (s.times - 1.0)));
-            for (from, until, rate) in [usual].into_iter().chain(more) {
-                all.extend((1..=members as u64).map(|dest| Stream {
+            let surge = scenario.load.surge.as_ref().map(|s| (s.from_ms, s.until_ms, rate * (s.times - 1.0)));
+            for (from, until, rate) in [usual].into_iter().chain(surge) {
+                all.extend((1..=destinations as u64).map(|dest| Stream {
                     tenant: "acme".into(),
                     class: class.clone(),
                     dest,
@@ -52,239 +52,256 @@
     all
 }
 
-/// Plays the scenario with this program in a folder of its own under `work`, which is removed at the end unless it is to
-/// be kept.
+/// Runs the scenario with this program, in a new folder under `work`. The folder is removed at the end unless `keep` is set; a
+/// run with misbehaving clients (a soak) keeps it only if an invariant was broken or a start failed.
 ///
 /// # Errors
 ///
-/// The folder, a port or a member cannot be had.
+/// If the folder cannot be created, or a port cannot be bound.
 pub fn play(scenario: &Scenario, program: &Path, work: &Path, keep: bool) -> std::io::Result<Report> {
-    static PLAYS: AtomicUsize = AtomicUsize::new(0);
-    // Plays of one process may be on at a time, also of one seed.
-    let number = PLAYS.fetch_add(1, Ordering::Relaxed);
-    let folder = work.join(format!("lilacbank-rig-{}-{number}-{}", std::process::id(), scenario.seed));
+    static RUNS: AtomicUsize = AtomicUsize::new(0);
+    // Several runs may be active in one process, also with the same seed.
+    let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
+    let folder = work.join(format!("lilacbank-rig-{}-{run_number}-{}", std::process::id(), scenario.seed));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
-    let mut stage = Stage::set(scenario, &folder, number)?;
+    let mut environment = Environment::new(scenario, &folder, run_number)?;
     let all: Vec<usize> = (0..scenario.dispatchers).collect();
-    stage.start(&all, program, &Step::default());
+    environment.start_dispatchers(&all, program, &Step::default());
     let streams = streams(scenario);
-    let per = streams.len() / scenario.dispatchers;
+    let streams_each = streams.len() / scenario.dispatchers;
     let messages: Vec<Intended> = poisson(scenario.seed, &streams);
-    // Each dispatcher has clients of its own; one that is down refuses them at its old address.
-    let routes: Vec<Route> = stage
-        .processes
+    // Each dispatcher has its own clients. While it is down they still connect to its last address, which refuses them.
+    let selectors: Vec<DispatcherSelector> = environment
+        .dispatchers
         .iter()
-        .map(|p| {
-            let a = p.address.clone();
-            let r: Route = Arc::new(move |_, _| {
-                a.lock().unwrap_or_else(|e| e.into_inner()).unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)))
+        .map(|d| {
+            let address = d.address.clone();
+            let selector: DispatcherSelector = Arc::new(move |_, _| {
+                address
+                    .lock()
+                    .unwrap_or_else(|e| e.into_inner())
+                    .unwrap_or(SocketAddr::from(([127, 0, 0, 1], 9)))
             });
-            r
+            selector
         })
         .collect();
     let start = Instant::now();
-    let (mut last_start, mut wave) = (None, None);
-    let seen: Arc<Mutex<Vec<Handed>>> = Arc::default();
-    let addresses: Vec<_> = stage.processes.iter().map(|p| p.address.clone()).collect();
-    let states: Vec<PathBuf> = stage.processes.iter().map(|p| p.folder.join("state")).collect();
+    let (mut last_start, mut last_stop) = (None, None);
+    let results: Arc<Mutex<Vec<Submission>>> = Arc::default();
+    let addresses: Vec<_> = environment.dispatchers.iter().map(|d| d.address.clone()).collect();
+    let state_folders: Vec<PathBuf> =
+        environment.dispatchers.iter().map(|d| d.folder.join("state")).collect();
     let limit = (scenario.disk_mb * 1e6) as u64;
-    let played = AtomicBool::new(false);
-    let (handed, again, rude, over_disk) = thread::scope(|scope| {
-        let room = scope.spawn(|| room::over_limit(&states, limit, &played));
+    let done = AtomicBool::new(false);
+    let (submissions, resubmissions, visits, over_disk) = thread::scope(|scope| {
+        let over_disk = scope.spawn(|| room::over_limit(&state_folders, limit, &done));
         let end = start + Duration::from_millis(scenario.run_ms);
-        let crowd = (scenario.crowd > 0).then(|| {
+        let idle_clients = (scenario.crowd > 0).then(|| {
             let addresses = addresses.clone();
-            scope.spawn(move || rude::crowd(&addresses, scenario.crowd, end))
+            scope.spawn(move || rude::hold_idle_clients(&addresses, scenario.crowd, end))
         });
-        let rude =
-            scenario.rude.then(|| scope.spawn(move || rude::visit(scenario.seed, &addresses, start, end)));
+        let visits = scenario
+            .rude
+            .then(|| scope.spawn(move || rude::run_visits(scenario.seed, &addresses, start, end)));
         let load = scope.spawn(|| {
             let parts: Vec<_> = (0..scenario.dispatchers)
                 .map(|d| {
-                    let mine: Vec<Intended> =
-                        messages.iter().filter(|m| m.stream / per == d).copied().collect();
-                    let (streams, route) = (&streams, routes[d].clone());
-                    let habits = Habits { connections: 16, seen: Some(seen.clone()), ..Habits::default() };
-                    scope.spawn(move || drive(start, streams, &mine, route, &habits))
+                    let own: Vec<Intended> =
+                        messages.iter().filter(|m| m.stream / streams_each == d).copied().collect();
+                    let (streams, selector) = (&streams, selectors[d].clone());
+                    let habits =
+                        Habits { connections: 16, results: Some(results.clone()), ..Habits::default() };
+                    scope.spawn(move || drive(start, streams, &own, selector, &habits))
                 })
                 .collect();
-            parts.into_iter().flat_map(|p| p.join().unwrap_or_default()).collect::<Vec<Handed>>()
+            parts.into_iter().flat_map(|p| p.join().unwrap_or_default()).collect::<Vec<Submission>>()
         });
-        let mut again = Vec::new();
+        let mut resubmitting = Vec::new();
         for step in scenario.timeline() {
             thread::sleep((start + Duration::from_millis(step.ms)).saturating_duration_since(Instant::now()));
             if !step.start.is_empty() || !step.upgrade.is_empty() {
                 last_start = Some(step.ms);
             }
             if !step.kill.is_empty() || !step.term.is_empty() {
-                wave = Some(Instant::now());
+                last_stop = Some(Instant::now());
             }
-            stage.play(&step, program, scenario.seed);
-            stage.played.push(start.elapsed().as_millis() as u64);
-            let back: Vec<usize> = stage.wiped.iter().copied().filter(|d| step.start.contains(d)).collect();
-            stage.wiped.retain(|d| !back.contains(d));
-            for d in back {
-                let until = wave.unwrap_or(start).saturating_duration_since(start);
-                let mine = |h: &&Handed| {
-                    h.what.stream / per == d
+            environment.apply_step(&step, program, scenario.seed);
+            environment.step_done_ms.push(start.elapsed().as_millis() as u64);
+            let restarted: Vec<usize> =
+                environment.wiped.iter().copied().filter(|d| step.start.contains(d)).collect();
+            environment.wiped.retain(|d| !restarted.contains(d));
+            for d in restarted {
+                let until = last_stop.unwrap_or(start).saturating_duration_since(start);
+                let is_affected = |h: &&Submission| {
+                    h.message.stream / streams_each == d
                         && h.door == Door::Taken
-                        && h.what.at < until
-                        && h.what.at + AGAIN_SPAN > until
+                        && h.message.at < until
+                        && h.message.at + RESUBMIT_SPAN > until
                 };
-                let mine: Vec<Handed> = lock(&seen).iter().filter(mine).copied().collect();
-                let at = *stage.processes[d].address.lock().unwrap_or_else(|e| e.into_inner());
+                let affected: Vec<Submission> = lock(&results).iter().filter(is_affected).copied().collect();
+                let address = *environment.dispatchers[d].address.lock().unwrap_or_else(|e| e.into_inner());
                 let streams = &streams;
-                let hand = move |at| hand_in_again(streams, &mine, at, &Habits::default());
-                again.extend(at.map(|at| scope.spawn(move || hand(at))));
+                let submit = move |address| resubmit(streams, &affected, address, &Habits::default());
+                resubmitting.extend(address.map(|address| scope.spawn(move || submit(address))));
             }
         }
-        let again: Vec<_> = again.into_iter().flat_map(|h| h.join().unwrap_or_default()).collect();
-        let rude = rude.and_then(|r| r.join().ok()).unwrap_or_default();
-        crowd.into_iter().for_each(|c| drop(c.join()));
-        let handed = load.join().unwrap_or_default();
-        played.store(true, Ordering::Relaxed);
-        (handed, again, rude, room.join().unwrap_or_default())
+        let resubmissions: Vec<_> =
+            resubmitting.into_iter().flat_map(|h| h.join().unwrap_or_default()).collect();
+        let visits = visits.and_then(|v| v.join().ok()).unwrap_or_default();
+        idle_clients.into_iter().for_each(|c| drop(c.join()));
+        let submissions = load.join().unwrap_or_default();
+        done.store(true, Ordering::Relaxed);
+        (submissions, resubmissions, visits, over_disk.join().unwrap_or_default())
     });
-    let found = settle(scenario, &handed, &again, &stage, per);
-    stage.processes.iter().for_each(Process::count);
+    let found = wait_for_final_answers(scenario, &submissions, &resubmissions, &environment, streams_each);
+    environment.dispatchers.iter().for_each(Dispatcher::dump_counters);
     thread::sleep(Duration::from_millis(200));
-    stage.processes.iter_mut().for_each(Process::kill);
-    let logged = judge::logged(&stage.processes.iter().map(|p| p.folder.join("log")).collect::<Vec<_>>());
-    let mut report = report(scenario, &stage, &streams, &handed, found, (start, wave, last_start));
-    report.hanging = rude::hanging(&rude, |n, from, until| judge::refuses_clients(scenario, n, from, until));
-    report.late = late_ends(scenario, &stage, &handed, per, start);
+    environment.dispatchers.iter_mut().for_each(Dispatcher::kill);
+    let logged =
+        judge::scan_logs(&environment.dispatchers.iter().map(|d| d.folder.join("log")).collect::<Vec<_>>());
+    let mut report =
+        report(scenario, &environment, &streams, &submissions, found, (start, last_stop, last_start));
+    report.hanging = rude::hanging(&visits, |n, from, until| judge::cannot_accept(scenario, n, from, until));
+    report.late = late_messages(scenario, &environment, &submissions, streams_each, start);
     report.over_disk = over_disk;
     (report.violations, report.panics) = (logged.violations, logged.panics);
-    report.again = again.len();
-    report.again_without_call = again.iter().filter(|(_, answer)| failed(answer)).count();
-    // A soak keeps the plays that are worth a look.
+    report.again = resubmissions.len();
+    report.again_without_call = resubmissions.iter().filter(|(_, answer)| is_final(answer)).count();
+    // A soak keeps only the folders of runs that failed.
     if keep && !(scenario.rude && report.clean()) {
-        eprintln!("the folders and logs are kept in {}", folder.display());
+        eprintln!("folders and logs are kept in {}", folder.display());
     } else {
         let _ = std::fs::remove_dir_all(&folder);
     }
     Ok(report)
 }
 
-/// It is a final answer: neither taken, nor refused for now, nor none.
-fn failed(answer: &str) -> bool {
+/// Whether this reply to a submission is the final answer: an error other than `-BUSY`, not an acceptance and not empty.
+fn is_final(answer: &str) -> bool {
     answer.starts_with('-') && !answer.starts_with("-BUSY")
 }
 
-/// Waits until each message taken has its final answer, or will not get one any more.
-fn settle(
+/// Waits until each accepted message has its final answer, at most [`SETTLE_TIMEOUT`]; returns the audit.
+fn wait_for_final_answers(
     scenario: &Scenario,
-    handed: &[Handed],
-    again: &[(String, String)],
-    stage: &Stage,
-    per: usize,
+    submissions: &[Submission],
+    resubmissions: &[(String, String)],
+    environment: &Environment,
+    streams_each: usize,
 ) -> Audit {
-    let sent: Vec<Sent> = handed
+    let sent: Vec<Sent> = submissions
         .iter()
         .map(|h| Sent {
-            id: h.what.id(h.refusals),
-            key: ((h.what.stream as u64) << 32) | h.what.number as u64,
-            number: h.what.number,
+            id: h.message.id(h.rejections),
+            key: ((h.message.stream as u64) << 32) | h.message.number as u64,
+            number: h.message.number,
             taken: h.door == Door::Taken,
             door: h.lag,
         })
         .collect();
-    let each = per / scenario.load.classes.len();
-    let once = |key: u64| scenario.load.classes[(key >> 32) as usize % per / each] == "pay";
-    // A failure at the door is the message's final answer, as a notice is.
-    let said = again.iter().filter(|(_, answer)| failed(answer));
-    let said: Vec<String> = said.map(|(id, _)| format!("{{\"message\":\"{id}\"}}")).collect();
-    let settled = Instant::now();
+    let streams_per_class = streams_each / scenario.load.classes.len();
+    let once =
+        |key: u64| scenario.load.classes[(key >> 32) as usize % streams_each / streams_per_class] == "pay";
+    // An error reply to a submission is a final answer, like a notice.
+    let errors = resubmissions.iter().filter(|(_, answer)| is_final(answer));
+    let errors: Vec<String> = errors.map(|(id, _)| format!("{{\"message\":\"{id}\"}}")).collect();
+    let waiting_since = Instant::now();
     loop {
-        let effects: Vec<_> = stage.members.iter().flat_map(Endpoint::effects).collect();
-        let told = [lock(&stage.registry.notices), said.clone()].concat();
-        let attempts: Vec<_> = stage.members.iter().flat_map(Endpoint::attempts).collect();
-        let found = audit(&sent, &effects, &attempts, &told, once);
-        if found.lost.is_empty() || settled.elapsed() > SETTLE_MOST {
+        let effects: Vec<_> = environment.endpoints.iter().flat_map(Endpoint::effects).collect();
+        let notices = [lock(&environment.registry.notices), errors.clone()].concat();
+        let attempts: Vec<_> = environment.endpoints.iter().flat_map(Endpoint::attempts).collect();
+        let found = audit(&sent, &effects, &attempts, &notices, once);
+        if found.lost.is_empty() || waiting_since.elapsed() > SETTLE_TIMEOUT {
             return found;
         }
         thread::sleep(Duration::from_millis(100));
     }
 }
 
-/// Messages that got their end long after their time; only where all have the same time.
-fn late_ends(
+/// Describes the messages whose final answer came long after their deadline; only if the scenario sets one deadline for all.
+fn late_messages(
     scenario: &Scenario,
-    stage: &Stage,
-    handed: &[Handed],
-    per: usize,
+    environment: &Environment,
+    submissions: &[Submission],
+    streams_each: usize,
     start: Instant,
 ) -> Vec<String> {
     let Some(deadline) = scenario.deadline_ms else { return Vec::new() };
     let since = |at: Instant| at.saturating_duration_since(start).as_millis() as u64;
-    let mut ended: HashMap<String, u64> = HashMap::new();
-    let mut end = |id: &str, at: u64| {
-        ended.entry(id.to_string()).and_modify(|known| *known = at.min(*known)).or_insert(at);
+    let mut first_answers: HashMap<String, u64> = HashMap::new();
+    let mut add_answer = |id: &str, at: u64| {
+        first_answers.entry(id.to_string()).and_modify(|known| *known = at.min(*known)).or_insert(at);
     };
-    for effect in stage.members.iter().flat_map(Endpoint::effects) {
-        end(&effect.id, since(effect.at));
+    for effect in environment.endpoints.iter().flat_map(Endpoint::effects) {
+        add_answer(&effect.id, since(effect.at));
     }
-    for (line, at) in lock(&stage.registry.notices).iter().zip(lock(&stage.registry.noticed_at)) {
+    for (line, at) in lock(&environment.registry.notices).iter().zip(lock(&environment.registry.notice_times))
+    {
         let id = line.split("\"message\":\"").nth(1).and_then(|rest| rest.split('"').next());
-        id.into_iter().for_each(|id| end(id, since(at)));
+        id.into_iter().for_each(|id| add_answer(id, since(at)));
     }
-    let ending = |h: &Handed| {
-        let id = h.what.id(h.refusals);
-        let ended = *ended.get(&id)?;
-        let due = h.what.at.as_millis() as u64 + deadline;
-        Some(judge::Ending { id, dispatcher: h.what.stream / per, due, ended })
+    let answer = |h: &Submission| {
+        let id = h.message.id(h.rejections);
+        let ended = *first_answers.get(&id)?;
+        let due = h.message.at.as_millis() as u64 + deadline;
+        Some(judge::FinalAnswer { id, dispatcher: h.message.stream / streams_each, due, ended })
     };
-    let endings: Vec<judge::Ending> =
-        handed.iter().filter(|h| h.door == Door::Taken).filter_map(ending).collect();
-    let away = |n: usize| -> Vec<(u64, u64)> {
-        let lives = &stage.processes[n].lives;
-        lives.windows(2).filter_map(|w| Some((since(w[0].1?), since(w[1].0)))).collect()
+    let answers: Vec<judge::FinalAnswer> =
+        submissions.iter().filter(|h| h.door == Door::Taken).filter_map(answer).collect();
+    let down = |n: usize| -> Vec<(u64, u64)> {
+        let serving = &environment.dispatchers[n].serving;
+        serving.windows(2).filter_map(|w| Some((since(w[0].1?), since(w[1].0)))).collect()
     };
-    judge::late(&endings, |n| judge::excuses(scenario, &stage.played, n, &away(n)))
+    judge::late_answers(&answers, |n| judge::outages(scenario, &environment.step_done_ms, n, &down(n)))
 }
 
+/// Builds the report of a run from the audit and the measurements; the fields of the other checks stay empty.
 fn report(
     scenario: &Scenario,
-    stage: &Stage,
+    environment: &Environment,
     streams: &[Stream],
-    handed: &[Handed],
+    submissions: &[Submission],
     found: Audit,
-    (start, wave, last_start): (Instant, Option<Instant>, Option<u64>),
+    (start, last_stop, last_start): (Instant, Option<Instant>, Option<u64>),
 ) -> Report {
     let run_ms = scenario.run_ms;
-    let effects: Vec<_> = stage.members.iter().flat_map(Endpoint::effects).collect();
+    let effects: Vec<_> = environment.endpoints.iter().flat_map(Endpoint::effects).collect();
     let first = measure::first_effects(&effects);
-    let share = measure::shares(start, run_ms, streams, handed, &first);
+    let share = measure::shares(start, run_ms, streams, submissions, &first);
     let level = measure::level(&share, scenario.timeline().first().map_or(run_ms, |s| s.ms));
     let first_delivery_ms = last_start.and_then(|at| {
         let from = start + Duration::from_millis(at);
         effects.iter().filter(|e| e.at >= from).map(|e| e.at.duration_since(from).as_millis() as u64).min()
     });
-    let (asks_in_10ms, asks) = stage.registry.busiest(Duration::from_millis(10));
+    let (asks_in_10ms, asks) = environment.registry.busiest(Duration::from_millis(10));
     let since = |t: &Instant| match t.checked_duration_since(start) {
         Some(d) => d.as_millis() as i64,
         None => -(start.duration_since(*t).as_millis() as i64),
     };
-    let calls: Vec<Vec<Instant>> = stage.members.iter().map(Endpoint::calls).collect();
-    let most = |peaks: Vec<f64>| peaks.into_iter().reduce(f64::max);
-    let limit = limit_of(scenario);
-    let peak_over_limit = limit
-        .zip(wave)
-        .and_then(|(limit, wave)| most(calls.iter().map(|c| measure::peak(c, wave, &limit)).collect()));
+    let calls: Vec<Vec<Instant>> = environment.endpoints.iter().map(Endpoint::calls).collect();
+    let max = |peaks: Vec<f64>| peaks.into_iter().reduce(f64::max);
+    let limit = endpoint_limit(scenario);
+    let peak_over_limit = limit.zip(last_stop).and_then(|(limit, last_stop)| {
+        max(calls.iter().map(|c| measure::peak(c, last_stop, &limit)).collect())
+    });
     let cold_peak_over_limit = limit.and_then(|limit| {
-        most(stage.back.iter().map(|(n, at)| measure::cold_peak(&calls[*n], *at, &limit)).collect())
+        max(environment
+            .recoveries
+            .iter()
+            .map(|(n, at)| measure::cold_peak(&calls[*n], *at, &limit))
+            .collect())
     });
     let serving = (0..run_ms.div_ceil(measure::BUCKET_MS))
         .map(|b| {
             let at = start + Duration::from_millis(b * measure::BUCKET_MS);
-            let lives =
-                |p: &&Process| p.lives.iter().any(|(from, to)| *from <= at && to.is_none_or(|t| t > at));
-            stage.processes.iter().filter(lives).count()
+            let is_serving =
+                |d: &&Dispatcher| d.serving.iter().any(|(from, to)| *from <= at && to.is_none_or(|t| t > at));
+            environment.dispatchers.iter().filter(is_serving).count()
         })
         .collect();
     Report {
-        handed: handed.len(),
+        handed: submissions.len(),
         taken: found.taken,
         delivered: found.delivered,
         told: found.told,
@@ -294,18 +311,18 @@
         told_twice: found.told_twice,
         asks,
         asks_in_10ms,
-        asks_at_ms: lock(&stage.registry.asks).iter().map(since).collect(),
+        asks_at_ms: lock(&environment.registry.asks).iter().map(since).collect(),
         full_service_ms: last_start.and_then(|at| measure::full_service(&share, level, at)),
         share,
         level,
         first_delivery_ms,
-        failed_starts: stage.failed_starts,
+        failed_starts: environment.failed_starts,
         peak_over_limit,
         cold_peak_over_limit,
-        falls: stage.members.iter().map(Endpoint::falls).sum(),
-        refused: stage.members.iter().map(Endpoint::refused).sum(),
-        latency_ms: measure::latencies(start, handed, &first),
-        calls: calls.iter().map(|c| measure::buckets(start, run_ms, c)).collect(),
+        falls: environment.endpoints.iter().map(Endpoint::crashes).sum(),
+        refused: environment.endpoints.iter().map(Endpoint::refused).sum(),
+        latency_ms: measure::latencies(start, submissions, &first),
+        calls: calls.iter().map(|c| measure::count_by_bucket(start, run_ms, c)).collect(),
         serving,
         hanging: Vec::new(),
         over_disk: Vec::new(),
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,12 +1,12 @@
-//! A scenario of the rig: how many dispatchers, the member, the load, and a timeline of faults. TOML, read with serde
-//! and checked in one place; a fault names the file, line and key and says what to do.
+//! A scenario of the rig: the dispatchers, the destinations, the load and a timeline of faults. Scenarios are TOML files; an error
+//! names the file, line and key, and says how to correct it.
 
 use lilacbank_load::connection_fault::ConnectionFault;
 use serde::Deserialize;
 use std::path::Path;
 
-/// The scenario that `lilacbank-rig run` plays when it is given no file.
-pub const DEFAULT: &str = r#"# Three dispatchers; two are SIGKILLed within 100 ms while the member is silent, and start again within 1 s.
+/// The scenario that `lilacbank-rig run` uses without a file.
+pub const DEFAULT: &str = r#"# Three dispatchers; two get SIGKILL within 100 ms while the member does not answer, and are started again within 1 s.
 seed = 7
 dispatchers = 3
 run_ms = 8000
@@ -40,51 +40,51 @@
 path = "member"
 "#;
 
-/// Dispatchers that keep copies for each other, at most: as many as their file may name, and one.
-const MATES_MOST: usize = 33;
+/// Largest number of dispatchers with replication: the number of peers that the operators' file may name, plus one.
+const MAX_REPLICATING_DISPATCHERS: usize = 33;
 
-/// What a scenario holds.
+/// A scenario.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Draws of the load and the dispatchers' seeds hang on it.
+    /// Seed of the random draws of the load, and of the dispatchers' own seeds.
     pub seed: u64,
-    /// Processes of the program, 1 to 128.
+    /// Number of dispatchers, 1 to 128.
     pub dispatchers: usize,
-    /// How many dispatchers the platform says it runs; by default as many as there are.
+    /// Number of dispatchers that the platform's configuration names; by default the actual number.
     #[serde(default)]
     pub balancers: Option<usize>,
-    /// Milliseconds of load; the rig then waits for the last final answers.
+    /// Duration of the load in milliseconds; the rig then waits for the last final answers.
     pub run_ms: u64,
-    /// Megabytes that the folder of a dispatcher may hold; 3 as on the platform.
+    /// Size limit of each state folder in megabytes; by default 3, as on the platform.
     #[serde(default = "three")]
     pub disk_mb: f64,
-    /// The dispatchers come back as `[recovery]` of the operators' file says, with its defaults.
+    /// Enables `[recovery]` in the operators' file, with its defaults.
     #[serde(default)]
     pub recovery: bool,
-    /// The dispatchers keep copies for each other as `[replication]` of the operators' file says, with its defaults,
+    /// Enables `[replication]` in the operators' file, with its defaults: the dispatchers keep copies for each other.
     #[serde(default)]
     pub replication: bool,
-    /// and with its `ack`.
+    /// Sets `ack` of `[replication]`.
     #[serde(default)]
     pub ack: bool,
-    /// The members behind all, alike.
+    /// The destinations, which are all alike.
     pub member: Member,
-    /// Messages handed in.
+    /// The messages that clients submit.
     pub load: Load,
-    /// Idle clients at each dispatcher, which stay and hand in nothing.
+    /// Number of idle clients connected to each dispatcher, which submit nothing.
     #[serde(skip)]
     pub crowd: usize,
-    /// Clients that misbehave come all the time, drawn from the seed; see `crate::rude`.
+    /// Whether misbehaving clients connect during the load, drawn from the seed; see `crate::rude`.
     #[serde(skip)]
     pub rude: bool,
-    /// Milliseconds for which each message may be delivered; those of its class where it is none.
+    /// Deadline of every message in milliseconds; without it the deadline of the message's class.
     #[serde(skip)]
     pub deadline_ms: Option<u64>,
-    /// The library of `crates/faults`, and the schedule of each dispatcher; see `crate::soak`.
+    /// System calls that fail; see `crate::soak`.
     #[serde(skip)]
     pub faults: Option<Faults>,
-    /// The timeline, in any order; steps of one time go in the order written.
+    /// The steps of the timeline, in any order; steps at the same time are applied in the order written.
     #[serde(default, rename = "at")]
     pub steps: Vec<toml::Spanned<Step>>,
 }
@@ -92,34 +92,35 @@
 /// System calls that fail in the dispatchers' processes.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// The library of `crates/faults`.
+    /// Path of the library of `crates/faults`.
     pub library: std::path::PathBuf,
-    /// What fails when, for each dispatcher; times count from the start of the load.
+    /// The fault schedule of each dispatcher; times are milliseconds from the creation of its folder, just before the first start.
     pub schedules: Vec<String>,
 }
 
-/// The stand-in member.
+/// The stand-in destinations.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Milliseconds that a call takes.
+    /// Time that a call takes in milliseconds.
     pub service_ms: u64,
-    /// Calls served at once,
+    /// Number of calls that an endpoint serves at once; further calls wait in a queue.
     pub at_once: usize,
-    /// and waiting; beyond them it answers 503.
+    /// Length of the queue; calls beyond it are answered with 503.
     pub queue: usize,
-    /// How many there are; the load is spread evenly over them.
+    /// Number of destinations; the load is spread evenly over them.
     #[serde(default = "one")]
     pub count: usize,
-    /// Endpoints of each, every one with paths of its own: those of the first member, then those of the second, and so on.
+    /// Number of endpoints of each destination, each with its own paths. Endpoints are numbered by destination: first those of the
+    /// first one, then those of the second one, and so on.
     #[serde(skip, default = "one")]
     pub each: usize,
-    /// Calls a second that each takes of all dispatchers together; beyond them it answers 429 with a wait. Without it
-    /// there is no limit, no cold return and no fall.
+    /// Rate limit of each endpoint over all dispatchers, in calls per second; further calls are answered with 429 and a
+    /// retry-after. Without it there is no limit, and endpoints are never cold and do not crash.
     #[serde(default)]
     pub per_second: Option<u32>,
-    /// Milliseconds after an outage until it serves its whole limit again, from half of it on; as the platform's
-    /// `cold` is told.
+    /// Time in milliseconds after an outage until an endpoint, which starts at half of its limit, serves all of it. The platform's
+    /// `cold` setting has the same value.
     #[serde(default = "cold")]
     pub cold_ms: u64,
 }
@@ -140,78 +141,79 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Messages a second at each dispatcher, over all classes.
+    /// Messages per second at each dispatcher, over all classes.
     pub per_second: f64,
-    /// Classes, among `safe`, `order` (approval orders) and `pay` (reimbursements, never repeated).
+    /// Classes of the messages: `safe` (idempotent), `order` (approval orders, deduplicated) and `pay` (reimbursements,
+    /// at-most-once).
     pub classes: Vec<String>,
-    /// A span with more of it: a month's end.
+    /// A span with more load, such as the end of a month.
     #[serde(default)]
     pub surge: Option<Surge>,
 }
 
-/// A span in which the load is so many times the usual.
+/// A span in which the load is a multiple of the usual load.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Surge {
-    /// Milliseconds from the start of the load,
+    /// Start in milliseconds from the start of the load.
     pub from_ms: u64,
-    /// until when.
+    /// End in milliseconds from the start of the load.
     pub until_ms: u64,
-    /// Times the usual load, more than 1.
+    /// Multiple of the usual load, more than 1.
     pub times: f64,
 }
 
-/// Where a fault is put.
+/// The path on which a fault is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PathName {
-    /// Between the dispatchers and the member.
+    /// Between the dispatchers and the endpoints.
     Member,
     /// Between the dispatchers and the registry.
     Registry,
-    /// Between the dispatchers themselves: with `of`, between those and all others, either way.
+    /// Between the dispatchers: with `of`, in both directions between those and all others; otherwise between all.
     Mate,
 }
 
-/// A fault of a path.
+/// A fault on a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultName {
-    /// Bytes pass.
+    /// No fault.
     Pass,
-    /// Bytes wait `delay_ms`.
+    /// Bytes are delayed by `delay_ms`.
     Delay,
-    /// Connections are cut.
+    /// Connections are closed.
     Reset,
-    /// Nothing passes, nothing is answered; what was held passes late.
+    /// Nothing is forwarded until the fault is lifted; held bytes are then forwarded.
     Blackhole,
-    /// Bytes are thrown away.
+    /// Bytes are discarded.
     Drop,
-    /// `bytes_per_s` pass on each connection.
+    /// At most `bytes_per_s` are forwarded in each direction on each connection.
     Bandwidth,
-    /// Answers are cut in their middle, and the connection with them.
+    /// Half of an answer is forwarded, then the connection is closed.
     Truncate,
 }
 
-/// What happens to a member.
+/// A change of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberStep {
-    /// It goes away: its connections break.
+    /// An outage begins: requests end their connections without an answer.
     Down,
-    /// It comes back, cold.
+    /// The outage ends; the endpoint is cold.
     Up,
 }
 
-/// What the registry tells from now on.
+/// A change of what the registry publishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RegistryStep {
-    /// Its list was changed: the next revision.
+    /// Publishes a new revision for each endpoint, with its entry unchanged.
     Change,
-    /// It was set back: new watches get the first revision, whole, and nothing after it.
+    /// Restored from a backup: new watches get a whole list with revision 1 and nothing after it.
     Older,
-    /// It tells its newest again.
+    /// Publishes the newest revisions again.
     Newest,
 }
 
@@ -219,33 +221,33 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// Milliseconds from the start of the load.
+    /// Time in milliseconds from the start of the load.
     pub ms: u64,
-    /// Dispatchers to SIGKILL, spread over `spread_ms`.
+    /// Dispatchers that get SIGKILL, spread over `spread_ms`.
     #[serde(default)]
     pub kill: Vec<usize>,
-    /// Dispatchers to send SIGTERM.
+    /// Dispatchers that get SIGTERM.
     #[serde(default)]
     pub term: Vec<usize>,
     /// Dispatchers to start again, spread over `spread_ms`.
     #[serde(default)]
     pub start: Vec<usize>,
-    /// Folders to remove whole, of dispatchers that are not running.
+    /// Dispatchers whose state folder is removed; they are stopped first.
     #[serde(default)]
     pub wipe: Vec<usize>,
-    /// Journals to damage by a bit in a record of their middle, of dispatchers that are not running.
+    /// Dispatchers in whose journal a bit of the middle record is flipped; they are stopped first.
     #[serde(default)]
     pub flip: Vec<usize>,
-    /// Journals to cut off at a byte drawn from the seed, of dispatchers that are not running.
+    /// Dispatchers whose journal is truncated at a byte drawn from the seed; they are stopped first.
     #[serde(default)]
     pub tear: Vec<usize>,
-    /// Dispatchers to upgrade: a second process starts beside the first, which is then sent SIGTERM.
+    /// Dispatchers to upgrade: a sibling process starts, then the first one gets SIGTERM.
     #[serde(default)]
     pub upgrade: Vec<usize>,
-    /// Dispatchers whose configuration is read again (SIGHUP): discovery moves to the other of its two addresses.
+    /// Dispatchers that read their configuration again (SIGHUP), which switches between the registry's own address and its proxy's.
     #[serde(default)]
     pub reload: Vec<usize>,
-    /// Milliseconds by which the clock of the processes that this step starts is off.
+    /// Clock offset in milliseconds of the processes that this step starts.
     #[serde(default)]
     pub clock_ms: i64,
     /// Milliseconds over which the kills or starts of this step are spread.
@@ -254,34 +256,34 @@
     /// A fault to set on `path`.
     #[serde(default)]
     pub fault: Option<FaultName>,
-    /// The path of `fault`.
+    /// The path on which `fault` is set.
     #[serde(default)]
     pub path: Option<PathName>,
-    /// The dispatchers whose path it is; all where none is named. A fault on both paths of some splits the fleet.
+    /// The dispatchers whose paths get the fault; all if empty. Faults on both paths of some dispatchers partition the fleet.
     #[serde(default)]
     pub of: Vec<usize>,
-    /// Milliseconds of a `delay`.
+    /// Delay in milliseconds of the fault `delay`.
     #[serde(default)]
     pub delay_ms: Option<u64>,
-    /// Bytes a second of a `bandwidth`.
+    /// Bytes per second of the fault `bandwidth`.
     #[serde(default)]
     pub bytes_per_s: Option<u64>,
-    /// What happens to the members named in `members` (all where none is named).
+    /// A change of the endpoints in `members` (all if empty).
     #[serde(default)]
     pub member: Option<MemberStep>,
-    /// See `member`.
+    /// Endpoints, by number, that `fault`, `member`, `connections` and `drain` affect; all if empty.
     #[serde(default)]
     pub members: Vec<usize>,
-    /// What the registry tells from now on.
+    /// A change of what the registry publishes.
     #[serde(default)]
     pub registry: Option<RegistryStep>,
-    /// What the endpoints named in `members` (all where none is named) do to their connections from now on; nothing if empty.
+    /// Connection faults that the endpoints in `members` (all if empty) cause from now on; an empty list ends the faults.
     #[serde(skip)]
     pub connections: Option<Vec<ConnectionFault>>,
-    /// The registry tells of the endpoints named in `members` (all where none is named) that they drain, or serve again.
+    /// Whether the registry lists the endpoints in `members` (all if empty) as draining or, if false, as in service.
     #[serde(skip)]
     pub drain: Option<bool>,
-    /// Signals that the dispatchers named in `of` get one after another, this many milliseconds apart.
+    /// Signals that the dispatchers in `of` get one after another.
     #[serde(skip)]
     pub signals: Vec<Signal>,
 }
@@ -292,103 +294,108 @@
     /// Read the configuration again.
     Hangup,
     /// Write the counters to the log.
-    Count,
-    /// Leave.
+    DumpCounters,
+    /// Drain and end.
     Terminate,
 }
 
 impl Signal {
-    /// The option of `kill`.
-    pub(crate) fn option(self) -> &'static str {
+    /// The option of the `kill` command.
+    pub(crate) fn kill_option(self) -> &'static str {
         match self {
             Signal::Hangup => "-HUP",
-            Signal::Count => "-USR1",
+            Signal::DumpCounters => "-USR1",
             Signal::Terminate => "-TERM",
         }
     }
 }
 
-/// Line of a byte of the text, from 1.
-fn line_of(text: &str, at: usize) -> usize {
-    text[..at.min(text.len())].bytes().filter(|b| *b == b'\n').count() + 1
+/// Line number of a byte offset in the text, from 1.
+fn line_of(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].bytes().filter(|b| *b == b'\n').count() + 1
 }
 
 impl Scenario {
-    /// Reads and checks a scenario's text; `file` names it in faults.
+    /// Parses and validates a scenario; `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// `FILE:LINE: key `KEY`: what is wrong; what to do`, for the first fault.
+    /// `FILE:LINE: key `KEY`: what is wrong; how to correct it`, for the first error.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
             let line = e.span().map_or(1, |s| line_of(text, s.start));
             let key = text.lines().nth(line - 1).and_then(|l| l.split_once('=')).map(|(k, _)| k.trim());
             let key = key.map_or(String::new(), |k| format!("key `{k}`: "));
             let what = e.message().trim();
-            format!("{file}:{line}: {key}{what}; see `lilacbank-rig default` for a scenario that reads")
+            format!("{file}:{line}: {key}{what}; see `lilacbank-rig default` for a valid scenario")
         })?;
-        let fault = |line: usize, key: &str, what: &str| Err(format!("{file}:{line}: key `{key}`: {what}"));
-        // The line of a key in its section, else the section's own.
-        let within = |section: &str, key: &str| {
+        let error = |line: usize, key: &str, what: &str| Err(format!("{file}:{line}: key `{key}`: {what}"));
+        // The line of a key in its section, or the line of the section header if the key is missing.
+        let section_line = |section: &str, key: &str| {
             let from = text.lines().position(|l| l.trim() == format!("[{section}]")).unwrap_or(0);
             let body = text.lines().enumerate().skip(from + 1);
             let mut body = body.take_while(|(_, l)| !l.trim_start().starts_with('['));
             body.find(|(_, l)| l.trim_start().starts_with(key)).map_or(from, |(n, _)| n) + 1
         };
-        let top = |key: &str| text.lines().position(|l| l.trim_start().starts_with(key)).map_or(1, |n| n + 1);
+        let top_level_line =
+            |key: &str| text.lines().position(|l| l.trim_start().starts_with(key)).map_or(1, |n| n + 1);
         if !(1..=128).contains(&scenario.dispatchers) {
-            return fault(
-                top("dispatchers"),
+            return error(
+                top_level_line("dispatchers"),
                 "dispatchers",
-                "1 to 128 processes; give a number in that range",
+                "must be a number of dispatchers from 1 to 128",
             );
         }
-        if scenario.replication && scenario.dispatchers > MATES_MOST {
-            let what = format!("with `replication` {MATES_MOST} at most; give fewer, or leave it out");
-            return fault(top("dispatchers"), "dispatchers", &what);
+        if scenario.replication && scenario.dispatchers > MAX_REPLICATING_DISPATCHERS {
+            let what = format!("at most {MAX_REPLICATING_DISPATCHERS} with `replication`; use fewer, or remove `replication`");
+            return error(top_level_line("dispatchers"), "dispatchers", &what);
         }
         if scenario.ack && !scenario.replication {
-            return fault(
-                top("ack"),
+            return error(
+                top_level_line("ack"),
                 "ack",
-                "it says nothing without `replication = true`; add that, or leave it out",
+                "has no effect without `replication = true`; add that, or remove `ack`",
             );
         }
         if !(0.05..=1_000.0).contains(&scenario.disk_mb) {
-            return fault(top("disk_mb"), "disk_mb", "0.05 to 1000 megabytes; give a number in that range");
+            return error(top_level_line("disk_mb"), "disk_mb", "must be from 0.05 to 1000 megabytes");
         }
         if !(1..=16).contains(&scenario.member.count) {
-            return fault(
-                within("member", "count"),
+            return error(
+                section_line("member", "count"),
                 "member.count",
-                "1 to 16 members; give a number in that range",
+                "must be a number of members from 1 to 16",
             );
         }
         if scenario.member.per_second == Some(0) {
-            return fault(
-                within("member", "per_second"),
+            return error(
+                section_line("member", "per_second"),
                 "member.per_second",
-                "at least 1 call a second; leave it out for no limit",
+                "must be at least 1 call per second; remove it for no limit",
             );
         }
         if scenario.balancers.is_some_and(|b| b == 0) {
-            return fault(top("balancers"), "balancers", "at least 1; leave it out for as many as there are");
+            return error(
+                top_level_line("balancers"),
+                "balancers",
+                "must be at least 1; remove it to use the number of dispatchers",
+            );
         }
         if !(scenario.load.per_second > 0.0 && scenario.load.per_second <= 2_000.0) {
-            return fault(
-                within("load", "per_second"),
+            return error(
+                section_line("load", "per_second"),
                 "load.per_second",
-                "more than 0 and at most 2000 a second",
+                "must be more than 0 and at most 2000 messages per second",
             );
         }
         let known = ["safe", "order", "pay"];
         if scenario.load.classes.is_empty()
             || scenario.load.classes.iter().any(|c| !known.contains(&c.as_str()))
         {
-            return fault(
-                within("load", "classes"),
+            return error(
+                section_line("load", "classes"),
                 "load.classes",
-                "one or more of \"safe\", \"order\", \"pay\"",
+                "must have one or more of \"safe\", \"order\", \"pay\"",
             );
         }
         if scenario
@@ -397,15 +404,15 @@
             .as_ref()
             .is_some_and(|s| s.from_ms >= s.until_ms || !(s.times > 1.0 && s.times <= 100.0))
         {
-            let what = "a span from before until, and 1 to 100 times the load (more than 1)";
-            return fault(within("load", "surge"), "load.surge", what);
+            let what = "from_ms must be less than until_ms, and times more than 1 and at most 100";
+            return error(section_line("load", "surge"), "load.surge", what);
         }
         if scenario.member.at_once == 0 {
-            return fault(within("member", "at_once"), "member.at_once", "at least 1 call at once");
+            return error(section_line("member", "at_once"), "member.at_once", "must be at least 1");
         }
         for step in &scenario.steps {
             let span = step.span();
-            // The line of the key in the step (from its header to the next one), else the step's own.
+            // The line of the key in the step (between its header and the next one), or the step's own line if it is missing.
             let line = |key: &str| {
                 let from = line_of(text, span.start);
                 let body = text.lines().enumerate().skip(from);
@@ -413,7 +420,7 @@
                 body.find(|(_, l)| l.trim_start().starts_with(key)).map_or(from, |(n, _)| n + 1)
             };
             let s = step.get_ref();
-            let all = [
+            let dispatcher_lists = [
                 ("kill", &s.kill),
                 ("term", &s.term),
                 ("start", &s.start),
@@ -424,68 +431,66 @@
                 ("reload", &s.reload),
                 ("of", &s.of),
             ];
-            if let Some((key, _)) = all.iter().find(|(_, ns)| ns.iter().any(|n| *n >= scenario.dispatchers)) {
+            if let Some((key, _)) =
+                dispatcher_lists.iter().find(|(_, ns)| ns.iter().any(|n| *n >= scenario.dispatchers))
+            {
                 let what =
                     format!("dispatchers are numbered 0 to {}; name one of them", scenario.dispatchers - 1);
-                return fault(line(key), &format!("at.{key}"), &what);
+                return error(line(key), &format!("at.{key}"), &what);
             }
             if s.path == Some(PathName::Mate) && !scenario.replication {
-                let what = "dispatchers talk to each other only with `replication = true`; add that, or name another path";
-                return fault(line("path"), "at.path", what);
+                let what = "dispatchers connect to each other only with `replication = true`; add that, or use another path";
+                return error(line("path"), "at.path", what);
             }
             if s.fault.is_some() != s.path.is_some() {
-                return fault(
+                return error(
                     line(if s.fault.is_some() { "fault" } else { "path" }),
                     "at.path",
-                    "a fault needs its path and a path its fault: give both or neither",
+                    "`fault` and `path` are needed together; set both or neither",
                 );
             }
             if s.fault == Some(FaultName::Delay) && s.delay_ms.is_none() {
-                return fault(line("fault"), "at.delay_ms", "a delay needs its milliseconds");
+                return error(line("fault"), "at.delay_ms", "the fault `delay` needs `delay_ms`");
             }
             if s.fault == Some(FaultName::Bandwidth) && s.bytes_per_s.is_none_or(|b| b == 0) {
-                return fault(
+                return error(
                     line("fault"),
                     "at.bytes_per_s",
-                    "a bandwidth needs its bytes a second, 1 or more",
+                    "the fault `bandwidth` needs `bytes_per_s`, 1 or more",
                 );
             }
             if s.members.iter().any(|n| *n >= scenario.member.count) {
                 let what =
                     format!("members are numbered 0 to {}; name one of them", scenario.member.count - 1);
-                return fault(line("members"), "at.members", &what);
+                return error(line("members"), "at.members", &what);
             }
             if s.member == Some(MemberStep::Down) && scenario.member.per_second.is_none() {
-                return fault(
+                return error(
                     line("member"),
                     "at.member",
-                    "a member without `member.per_second` has no outage; give it a limit, or use a fault of its path",
+                    "outages need `member.per_second`; set that limit, or use a fault on the path `member`",
                 );
             }
             if s.ms > scenario.run_ms {
-                return fault(
-                    line("ms"),
-                    "at.ms",
-                    "a step after the end of the load (run_ms) is never played",
-                );
+                return error(line("ms"), "at.ms", "the step is after the end of the load (run_ms)");
             }
         }
         Ok(scenario)
     }
 
-    /// Reads a scenario's file.
+    /// Reads a scenario from a file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or as [`Scenario::parse`].
+    /// If the file cannot be read, or as for [`Scenario::parse`].
     pub fn read(path: &Path) -> Result<Scenario, String> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|e| format!("{name}: {e}; give the path of a TOML file"))?;
+            .map_err(|e| format!("{name}: {e}; expected the path of a TOML file"))?;
         Scenario::parse(&name, &text)
     }
 
-    /// The steps in the order in which they are played.
+    /// The steps in the order in which they are applied.
     pub fn timeline(&self) -> Vec<Step> {
         let mut steps: Vec<Step> = self.steps.iter().map(|s| s.get_ref().clone()).collect();
         steps.sort_by_key(|s| s.ms);
@@ -497,9 +502,9 @@
 mod tests {
     use super::*;
 
-    /// Guards against a default that does not read, and against faults without their line and key.
+    /// Guards against a default scenario that cannot be parsed, and against errors that do not name line and key.
     #[test]
-    fn the_default_reads_and_faults_name_line_and_key() {
+    fn the_default_scenario_is_valid_and_errors_name_line_and_key() {
         let s = Scenario::parse("default", DEFAULT).unwrap();
         assert_eq!((s.dispatchers, s.timeline().len()), (3, 4));
         let bad = DEFAULT.replace("kill = [0, 1]", "reload = [3]");
