--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,67 +1,72 @@
-//! Plays drawn from a seed: troubles of many kinds that overlap in time, judged by the invariants of [`crate::report`].
+//! Scenarios drawn from a seed, with faults of many kinds that overlap in time, checked against the invariants of
+//! [`crate::report`].
 //!
-//! A trouble is a few steps of a timeline, or a span in the schedule of failing system calls of some dispatchers
-//! (`crates/faults`). All are over a while before the load ends, so that what was taken on has to get its end.
+//! A fault is a few steps of the timeline, or a span in the schedule of failing system calls of some dispatchers
+//! (`crates/faults`). All faults are over some time before the load ends, so that every accepted message has to get its final
+//! answer.
 
 mod draw;
 
 use crate::scenario::{Faults, Load, Member, Scenario, Surge};
-use draw::{Draw, TROUBLES};
+use draw::{Generator, FAULT_KINDS};
 use rand::RngExt;
 use std::path::PathBuf;
 
-/// What is asked of a soak.
+/// Parameters of a soak scenario.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// All draws hang on it.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Processes of the program.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Milliseconds of load.
+    /// Duration of the load in milliseconds.
     pub run_ms: u64,
-    /// Troubles begin one after another, on average this many at once.
+    /// Average number of faults that are active at the same time.
     pub at_once: f64,
-    /// The library of `crates/faults`; without it no system call fails.
+    /// Path of the library of `crates/faults`; without it no system call fails.
     pub library: Option<PathBuf>,
 }
 
-/// Milliseconds in which nothing happens yet, at the start of a play.
-const QUIET_FIRST: u64 = 1_500;
-/// Troubles are over so long before the load ends.
-const QUIET_LAST: u64 = 1_500;
-/// A trouble lasts so many milliseconds.
-const LEAST: u64 = 400;
-const MOST: u64 = 3_000;
-/// Endpoints of each member,
+/// Time without faults at the start of the load, in milliseconds.
+const LEAD_IN_MS: u64 = 1_500;
+/// Time without faults before the end of the load, in milliseconds.
+const LEAD_OUT_MS: u64 = 1_500;
+/// Shortest duration of a fault in milliseconds.
+const MIN_FAULT_MS: u64 = 400;
+/// Longest duration of a fault in milliseconds.
+const MAX_FAULT_MS: u64 = 3_000;
+/// Number of endpoints of each destination.
 const ENDPOINTS_EACH: usize = 2;
-/// and members.
-const MEMBERS: usize = 2;
-/// Milliseconds that a call takes at the endpoints of a play, drawn from these.
+/// Number of destinations.
+const DESTINATIONS: usize = 2;
+/// Times that a call takes at the endpoints, in milliseconds; each scenario draws one of them.
 const SERVICE_MS: [u64; 3] = [5, 20, 45];
-/// One play in so many has a crowd: that many times the load in its middle, and idle clients at each dispatcher.
-const CROWD_EACH: u64 = 4;
-const CROWD_TIMES: f64 = 5.0;
-const CROWD_IDLE: usize = 60;
-/// Messages may be delivered for so long: many times are up within a play.
-const DEADLINE: u64 = 4_000;
+/// One scenario in this many has a surge of load in its middle, and idle clients.
+const SURGE_ONE_IN: u64 = 4;
+/// Load during a surge, as a multiple of the usual load.
+const SURGE_FACTOR: f64 = 5.0;
+/// Number of idle clients at each dispatcher, in scenarios with a surge.
+const IDLE_CLIENTS: usize = 60;
+/// Deadline of every message in milliseconds, short enough that many deadlines pass within a run.
+const DEADLINE_MS: u64 = 4_000;
 
-/// The play of a seed.
+/// Draws the scenario of a seed.
 pub fn scenario(spec: &Spec) -> Scenario {
-    let mut draw = Draw::new(spec.seed, spec.dispatchers);
-    let last = spec.run_ms.saturating_sub(QUIET_LAST);
-    let gap = ((LEAST + MOST) as f64 / 2.0 / spec.at_once.max(0.1)) as u64;
-    let mut at = QUIET_FIRST;
-    while at + LEAST < last {
-        let trouble = TROUBLES[draw.random.random_range(0..TROUBLES.len())];
-        let until = (at + draw.random.random_range(LEAST..MOST)).min(last);
-        draw.add(trouble, at, until);
-        at += draw.random.random_range(1..2 * gap.max(2));
+    let mut generator = Generator::new(spec.seed, spec.dispatchers);
+    let last_end = spec.run_ms.saturating_sub(LEAD_OUT_MS);
+    let gap = ((MIN_FAULT_MS + MAX_FAULT_MS) as f64 / 2.0 / spec.at_once.max(0.1)) as u64;
+    let mut at = LEAD_IN_MS;
+    while at + MIN_FAULT_MS < last_end {
+        let kind = FAULT_KINDS[generator.rng.random_range(0..FAULT_KINDS.len())];
+        let until = (at + generator.rng.random_range(MIN_FAULT_MS..MAX_FAULT_MS)).min(last_end);
+        generator.add_fault(kind, at, until);
+        at += generator.rng.random_range(1..2 * gap.max(2));
     }
-    let schedules = draw.schedules.iter().map(|s| s.join("; ")).collect();
-    let service_ms = SERVICE_MS[draw.random.random_range(0..SERVICE_MS.len())];
-    let crowded = spec.seed.is_multiple_of(CROWD_EACH);
+    let schedules = generator.schedules.iter().map(|s| s.join("; ")).collect();
+    let service_ms = SERVICE_MS[generator.rng.random_range(0..SERVICE_MS.len())];
+    let has_surge = spec.seed.is_multiple_of(SURGE_ONE_IN);
     let (from_ms, until_ms) = (spec.run_ms / 3, spec.run_ms / 2);
-    let surge = crowded.then_some(Surge { from_ms, until_ms, times: CROWD_TIMES });
+    let surge = has_surge.then_some(Surge { from_ms, until_ms, times: SURGE_FACTOR });
     Scenario {
         seed: spec.seed,
         dispatchers: spec.dispatchers,
@@ -75,17 +80,17 @@
             service_ms,
             at_once: 32,
             queue: 256,
-            count: MEMBERS,
+            count: DESTINATIONS,
             each: ENDPOINTS_EACH,
             per_second: None,
             cold_ms: 1_000,
         },
         load: Load { per_second: 12.0, classes: vec!["safe".into(), "order".into(), "pay".into()], surge },
-        crowd: if crowded { CROWD_IDLE } else { 0 },
+        crowd: if has_surge { IDLE_CLIENTS } else { 0 },
         rude: true,
-        deadline_ms: Some(DEADLINE),
+        deadline_ms: Some(DEADLINE_MS),
         faults: spec.library.clone().map(|library| Faults { library, schedules }),
-        steps: draw.steps.into_iter().map(|s| toml::Spanned::new(0..0, s)).collect(),
+        steps: generator.steps.into_iter().map(|s| toml::Spanned::new(0..0, s)).collect(),
     }
 }
 
@@ -94,9 +99,9 @@
     use super::*;
     use crate::scenario::{FaultName, Step};
 
-    /// Guards against plays that cannot be played again, and against troubles that last beyond the load.
+    /// Guards against scenarios that a seed does not reproduce, and against path faults that are never lifted.
     #[test]
-    fn a_seed_draws_the_same_play_each_time_and_its_troubles_end() {
+    fn a_seed_draws_the_same_scenario_each_time_and_its_faults_end() {
         for seed in 0..50 {
             let library = Some(PathBuf::from("library"));
             let spec = Spec { seed, dispatchers: 6, run_ms: 12_000, at_once: 2.5, library };
@@ -104,14 +109,14 @@
             assert_eq!(format!("{a:?}"), format!("{b:?}"));
             assert!(a.steps.len() + a.faults.iter().flat_map(|f| &f.schedules).count() > 4);
             let paths = |s: &Step| (s.path.map(|p| p as usize), s.of.clone(), s.members.clone());
-            let mut cut = std::collections::BTreeSet::new();
+            let mut faulty = std::collections::BTreeSet::new();
             for step in a.timeline().iter().filter(|s| s.fault.is_some()) {
                 match step.fault {
-                    Some(FaultName::Pass) => cut.remove(&paths(step)),
-                    _ => cut.insert(paths(step)),
+                    Some(FaultName::Pass) => faulty.remove(&paths(step)),
+                    _ => faulty.insert(paths(step)),
                 };
             }
-            assert!(cut.is_empty(), "{cut:?}");
+            assert!(faulty.is_empty(), "{faulty:?}");
         }
     }
 }
--- a/crates/rig/src/stage.rs
+++ b/crates/rig/src/stage.rs
@@ -1,6 +1,7 @@
-//! What stands round the dispatchers of a play, and what the steps of its timeline do to it.
+//! The environment of the dispatchers in a run (stand-in endpoints, registry, proxies, processes), and how the steps of the
+//! timeline change it.
 
-use crate::process::Process;
+use crate::process::Dispatcher;
 use crate::scenario::{FaultName, Faults, MemberStep, PathName, RegistryStep, Scenario, Step};
 use crate::{config, Fault, Proxy, Registry};
 use lilacbank_load::connection_fault::FaultPlan;
@@ -12,89 +13,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Part of its limit that a member serves when it has just come back, as the settings tell dispatchers.
+/// Fraction of its limit that an endpoint serves right after an outage, the same as in the dispatchers' settings.
 const COLD_FROM: f64 = 0.5;
-/// A cold member falls over when more than so many times its reduced limit come,
-const FALL_FACTOR: f64 = 2.0;
-/// within this span, and stays away
-const FALL_OVER: Duration = Duration::from_millis(2_000);
-/// for so long.
-const FALL_AWAY: Duration = Duration::from_secs(3);
-/// The wait that a member over its limit tells.
-const LIMIT_WAIT: Duration = Duration::from_millis(300);
+/// Multiple of its reduced limit above which a cold endpoint crashes.
+const OVERLOAD_FACTOR: f64 = 2.0;
+/// Time over which the calls to a cold endpoint are counted.
+const OVERLOAD_WINDOW: Duration = Duration::from_millis(2_000);
+/// Time for which an endpoint stays down after a crash.
+const CRASH_TIME: Duration = Duration::from_secs(3);
+/// The retry-after that an endpoint over its limit answers with.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Of the requests at an endpoint that ends its connections one in so many meets such an end,
+/// At an endpoint with connection faults, one in this many requests meets a fault.
 const CONNECTION_FAULT_ONE_IN: usize = 4;
-/// and is read so much later, where it crosses the end.
+/// Delay before an endpoint reads a request that arrived as it shut down its write side.
 const READ_LATER: Duration = Duration::from_millis(15);
-/// Between two signals of a series.
+/// Time between two signals of a series.
 const SIGNAL_GAP: Duration = Duration::from_millis(30);
 
-/// The paths of one dispatcher.
+/// The proxies and the registry of one dispatcher.
 struct Paths {
-    /// The registry as it sees it,
+    /// The registry, which lists this dispatcher's proxies as the endpoints.
     registry: Registry,
-    /// the proxy before that,
+    /// The proxy in front of the registry.
     to_registry: Proxy,
-    /// and one before each endpoint.
-    to_members: Vec<Proxy>,
+    /// The proxies in front of the endpoints.
+    to_endpoints: Vec<Proxy>,
 }
 
-/// What stands round the dispatchers of a play.
-pub(crate) struct Stage {
-    pub(crate) members: Vec<Endpoint>,
-    /// Endpoints of each member.
-    each: usize,
+/// The dispatchers of a run and their environment.
+pub(crate) struct Environment {
+    pub(crate) endpoints: Vec<Endpoint>,
+    /// Number of endpoints of each destination.
+    endpoints_each: usize,
     pub(crate) registry: Registry,
     /// The paths of each dispatcher.
     paths: Vec<Paths>,
-    pub(crate) processes: Vec<Process>,
-    /// The proxies between dispatchers, by who connects to whom.
-    mates: Vec<(usize, usize, Proxy)>,
-    /// When each member came back from an outage.
-    pub(crate) back: Vec<(usize, Instant)>,
+    pub(crate) dispatchers: Vec<Dispatcher>,
+    /// The proxies between dispatchers, with the index of the connecting dispatcher and of its peer.
+    peer_proxies: Vec<(usize, usize, Proxy)>,
+    /// The index of each endpoint that was brought up after an outage, and when.
+    pub(crate) recoveries: Vec<(usize, Instant)>,
     pub(crate) failed_starts: usize,
-    /// Whether a dispatcher's configuration names the registry itself or the proxy before it.
-    direct: Vec<bool>,
-    /// Dispatchers whose folder was wiped and that have not started since.
+    /// For each dispatcher, whether its configuration names the registry itself and not the proxy in front of it.
+    uses_registry_directly: Vec<bool>,
+    /// Dispatchers whose state folder was removed and that have not started since.
     pub(crate) wiped: Vec<usize>,
-    /// When each step of the timeline had been played, in milliseconds from the start of the load: one that starts a process
-    /// waits for it, and what is behind it comes later than it says.
-    pub(crate) played: Vec<u64>,
+    /// When each step of the timeline was done, in milliseconds from the start of the load. A step that starts a process waits
+    /// until the process is ready, so later steps can be applied later than scheduled.
+    pub(crate) step_done_ms: Vec<u64>,
 }
 
-/// The limit of each member, if it has one.
-pub(crate) fn limit_of(scenario: &Scenario) -> Option<Limit> {
+/// The rate limit of each endpoint, if the scenario has one.
+pub(crate) fn endpoint_limit(scenario: &Scenario) -> Option<Limit> {
     let m = &scenario.member;
     m.per_second.map(|per_second| Limit {
         per_second,
-        wait: LIMIT_WAIT,
+        retry_after: RETRY_AFTER,
         cold: Duration::from_millis(m.cold_ms),
         cold_from: COLD_FROM,
-        factor: FALL_FACTOR,
-        over: FALL_OVER,
-        away: FALL_AWAY,
+        overload_factor: OVERLOAD_FACTOR,
+        overload_window: OVERLOAD_WINDOW,
+        crash_time: CRASH_TIME,
     })
 }
 
-impl Stage {
-    /// Starts all but the dispatchers, whose folders are laid.
-    pub(crate) fn set(scenario: &Scenario, folder: &Path, number: usize) -> std::io::Result<Stage> {
+impl Environment {
+    /// Starts everything but the dispatchers, and creates their folders and configurations.
+    pub(crate) fn new(scenario: &Scenario, folder: &Path, run_number: usize) -> std::io::Result<Environment> {
         let m = &scenario.member;
         let manner =
             Manner { service: Duration::from_millis(m.service_ms), at_once: m.at_once, queue: m.queue };
-        let members = (0..m.count * m.each)
-            .map(|_| Endpoint::limited(manner.clone(), limit_of(scenario)))
+        let endpoints = (0..m.count * m.each)
+            .map(|_| Endpoint::start_with_limit(manner.clone(), endpoint_limit(scenario)))
             .collect::<std::io::Result<Vec<_>>>()?;
         let registry = Registry::start(&[])?;
         let balancers = scenario.balancers.unwrap_or(scenario.dispatchers);
-        let (mut paths, mut processes) = (Vec::new(), Vec::new());
+        let (mut paths, mut dispatchers) = (Vec::new(), Vec::new());
         for n in 0..scenario.dispatchers {
-            let to_members =
-                members.iter().map(|e| Proxy::start(e.address)).collect::<std::io::Result<Vec<_>>>()?;
-            let registry = registry.beside(&entries(&to_members, m.each))?;
+            let to_endpoints =
+                endpoints.iter().map(|e| Proxy::start(e.address)).collect::<std::io::Result<Vec<_>>>()?;
+            let registry = registry.start_view(&list_entries(&to_endpoints, m.each))?;
             let to_registry = Proxy::start(registry.address)?;
-            paths.push(Paths { registry, to_registry, to_members });
+            paths.push(Paths { registry, to_registry, to_endpoints });
             let (name, dir) = (format!("n{n}"), folder.join(format!("n{n}")));
             let seed = format!("{:x}", scenario.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (n as u64 + 1));
             let config = dir.join("config.json");
@@ -102,112 +103,112 @@
             std::fs::create_dir_all(&dir)?;
             std::fs::write(&config, text)?;
             let together = (scenario.recovery || scenario.replication).then(|| dir.join("together.toml"));
-            let mut process = Process::new((number, n), dir, config, together);
+            let mut dispatcher = Dispatcher::new((run_number, n), dir, config, together);
             if let Some(faults) = &scenario.faults {
-                process.variables = variables(faults, n, &process.folder);
+                dispatcher.variables = fault_variables(faults, n, &dispatcher.folder);
             }
-            processes.push(process);
+            dispatchers.push(dispatcher);
         }
-        let mates = together_files(scenario, &processes)?;
-        Ok(Stage {
-            mates,
-            members,
-            each: m.each,
+        let peer_proxies = write_together_files(scenario, &dispatchers)?;
+        Ok(Environment {
+            peer_proxies,
+            endpoints,
+            endpoints_each: m.each,
             registry,
             paths,
-            processes,
-            back: Vec::new(),
+            dispatchers,
+            recoveries: Vec::new(),
             failed_starts: 0,
-            direct: vec![false; scenario.dispatchers],
+            uses_registry_directly: vec![false; scenario.dispatchers],
             wiped: Vec::new(),
-            played: Vec::new(),
+            step_done_ms: Vec::new(),
         })
     }
 
-    /// Starts these dispatchers, each in its time of the span.
-    pub(crate) fn start(&mut self, which: &[usize], program: &Path, step: &Step) {
+    /// Starts these dispatchers, spread over `spread_ms` of the step.
+    pub(crate) fn start_dispatchers(&mut self, which: &[usize], program: &Path, step: &Step) {
         let gap = Duration::from_millis(step.spread_ms) / which.len().max(1) as u32;
         let paths = &self.paths;
         let failed = thread::scope(|scope| {
             let starting: Vec<_> = self
-                .processes
+                .dispatchers
                 .iter_mut()
                 .enumerate()
-                .filter_map(|(n, p)| Some((which.iter().position(|w| *w == n)?, n, p)))
-                .map(|(turn, n, p)| {
+                .filter_map(|(n, d)| Some((which.iter().position(|w| *w == n)?, n, d)))
+                .map(|(position, n, d)| {
                     scope.spawn(move || {
-                        thread::sleep(gap * turn as u32);
-                        p.start(program, paths[n].to_registry.address, step.clock_ms)
+                        thread::sleep(gap * position as u32);
+                        d.start(program, paths[n].to_registry.address, step.clock_ms)
                     })
                 })
                 .collect();
-            starting.into_iter().map(|h| h.join().unwrap_or(false)).filter(|came| !came).count()
+            starting.into_iter().map(|h| h.join().unwrap_or(false)).filter(|started| !started).count()
         });
         self.failed_starts += failed;
     }
 
-    /// Plays one step.
-    pub(crate) fn play(&mut self, step: &Step, program: &Path, seed: u64) {
-        self.play_ends(step);
-        self.play_reloads(step);
-        self.play_damage(step, seed);
+    /// Applies one step of the timeline.
+    pub(crate) fn apply_step(&mut self, step: &Step, program: &Path, seed: u64) {
+        self.stop_dispatchers(step);
+        self.reload_configurations(step);
+        self.damage_folders(step, seed);
         if let (Some(fault), Some(path)) = (step.fault, step.path) {
-            self.play_fault(step, fault, path);
+            self.set_path_fault(step, fault, path);
         }
-        self.play_members(step);
-        self.play_connections(step);
+        self.change_endpoints(step);
+        self.set_connection_faults(step);
         for &d in step.of.iter().filter(|_| !step.signals.is_empty()) {
-            self.processes[d].signals(&step.signals, SIGNAL_GAP);
+            self.dispatchers[d].send_signals(&step.signals, SIGNAL_GAP);
         }
-        self.play_registry(step);
+        self.change_registry(step);
         for &d in &step.upgrade {
-            let at = self.paths[d].to_registry.address;
-            self.failed_starts += usize::from(!self.processes[d].upgrade(program, at, step.clock_ms));
+            let registry = self.paths[d].to_registry.address;
+            self.failed_starts += usize::from(!self.dispatchers[d].upgrade(program, registry, step.clock_ms));
         }
-        self.start(&step.start, program, step);
+        self.start_dispatchers(&step.start, program, step);
     }
 
-    /// Kills processes, and tells processes to leave.
-    fn play_ends(&mut self, step: &Step) {
+    /// Sends SIGKILL to some dispatchers and SIGTERM to others.
+    fn stop_dispatchers(&mut self, step: &Step) {
         let gap = Duration::from_millis(step.spread_ms) / step.kill.len().max(1) as u32;
         for &d in &step.kill {
-            self.processes[d].kill();
+            self.dispatchers[d].kill();
             thread::sleep(gap);
         }
-        step.term.iter().for_each(|&d| self.processes[d].term());
+        step.term.iter().for_each(|&d| self.dispatchers[d].terminate());
     }
 
-    /// Has configurations read again, each with the other of the registry's two addresses.
-    fn play_reloads(&mut self, step: &Step) {
+    /// Makes dispatchers read their configuration again, switched between the registry's own address and its proxy's.
+    fn reload_configurations(&mut self, step: &Step) {
         for &d in &step.reload {
             let Paths { registry, to_registry, .. } = &self.paths[d];
-            self.direct[d] = !self.direct[d];
-            let to = if self.direct[d] { registry.address } else { to_registry.address };
-            if let Err(e) = self.processes[d].reload(to) {
-                eprintln!("the configuration of n{d} cannot be written: {e}");
+            self.uses_registry_directly[d] = !self.uses_registry_directly[d];
+            let address = if self.uses_registry_directly[d] { registry.address } else { to_registry.address };
+            if let Err(e) = self.dispatchers[d].reload(address) {
+                eprintln!("cannot write the configuration of n{d}: {e}");
             }
         }
     }
 
-    /// Damages folders of processes that are not running.
-    fn play_damage(&mut self, step: &Step, seed: u64) {
+    /// Damages state folders, of dispatchers that it stops before.
+    fn damage_folders(&mut self, step: &Step, seed: u64) {
         for &d in &step.wipe {
-            self.processes[d].stop();
-            let _ = std::fs::remove_dir_all(self.processes[d].folder.join("state"));
+            self.dispatchers[d].stop();
+            let _ = std::fs::remove_dir_all(self.dispatchers[d].folder.join("state"));
             self.wiped.push(d);
         }
         for &d in &step.flip {
-            self.processes[d].stop();
-            self.processes[d].flip(seed ^ d as u64);
+            self.dispatchers[d].stop();
+            self.dispatchers[d].flip_journal_bit(seed ^ d as u64);
         }
         for &d in &step.tear {
-            self.processes[d].stop();
-            self.processes[d].tear(seed ^ d as u64);
+            self.dispatchers[d].stop();
+            self.dispatchers[d].truncate_journal(seed ^ d as u64);
         }
     }
 
-    /// Sets a fault on paths.
-    fn play_fault(&self, step: &Step, fault: FaultName, path: PathName) {
+    /// Sets a fault on the paths that the step names.
+    fn set_path_fault(&self, step: &Step, fault: FaultName, path: PathName) {
         let fault = match fault {
             FaultName::Pass => Fault::Pass,
             FaultName::Delay => Fault::Delay(Duration::from_millis(step.delay_ms.unwrap_or(0))),
@@ -217,19 +218,20 @@
             FaultName::Bandwidth => Fault::Bandwidth(step.bytes_per_s.unwrap_or(1)),
             FaultName::Truncate => Fault::Truncate,
         };
-        let of = |n: &usize| step.of.is_empty() || step.of.contains(n);
-        let between = |(a, b, _): &&(usize, usize, Proxy)| {
+        let is_named = |n: &usize| step.of.is_empty() || step.of.contains(n);
+        let crosses = |(a, b, _): &&(usize, usize, Proxy)| {
             step.of.is_empty() || step.of.contains(a) != step.of.contains(b)
         };
         if path == PathName::Mate {
-            self.mates.iter().filter(between).for_each(|m| m.2.set(fault));
+            self.peer_proxies.iter().filter(crosses).for_each(|p| p.2.set(fault));
         }
-        for Paths { to_registry, to_members, .. } in (0..self.paths.len()).filter(of).map(|n| &self.paths[n])
+        for Paths { to_registry, to_endpoints, .. } in
+            (0..self.paths.len()).filter(is_named).map(|n| &self.paths[n])
         {
             match path {
                 PathName::Member => {
-                    let named = |n: &usize| step.members.is_empty() || step.members.contains(n);
-                    (0..to_members.len()).filter(named).for_each(|n| to_members[n].set(fault));
+                    let is_named = |n: &usize| step.members.is_empty() || step.members.contains(n);
+                    (0..to_endpoints.len()).filter(is_named).for_each(|n| to_endpoints[n].set(fault));
                 }
                 PathName::Registry => to_registry.set(fault),
                 PathName::Mate => {}
@@ -237,25 +239,25 @@
         }
     }
 
-    /// Members go away and come back.
-    fn play_members(&mut self, step: &Step) {
-        let Some(what) = step.member else { return };
-        let named = |n: &usize| step.members.is_empty() || step.members.contains(n);
-        for n in (0..self.members.len()).filter(named) {
-            match what {
-                MemberStep::Down => self.members[n].go_away(),
+    /// Starts and ends outages of endpoints.
+    fn change_endpoints(&mut self, step: &Step) {
+        let Some(change) = step.member else { return };
+        let is_named = |n: &usize| step.members.is_empty() || step.members.contains(n);
+        for n in (0..self.endpoints.len()).filter(is_named) {
+            match change {
+                MemberStep::Down => self.endpoints[n].take_down(),
                 MemberStep::Up => {
-                    self.members[n].come_back();
-                    self.back.push((n, Instant::now()));
+                    self.endpoints[n].bring_up();
+                    self.recoveries.push((n, Instant::now()));
                 }
             }
         }
     }
 
-    /// The registry tells something else.
-    fn play_registry(&self, step: &Step) {
-        for Paths { registry, to_members, .. } in &self.paths {
-            let entries = || entries(to_members, self.each);
+    /// Changes what the registry publishes.
+    fn change_registry(&self, step: &Step) {
+        for Paths { registry, to_endpoints, .. } in &self.paths {
+            let entries = || list_entries(to_endpoints, self.endpoints_each);
             match step.registry {
                 Some(RegistryStep::Change) => entries().iter().for_each(|e| registry.push(e)),
                 Some(RegistryStep::Older) => registry.set_back(Some((1, &entries()))),
@@ -265,30 +267,30 @@
         }
     }
 
-    /// What endpoints do to their connections, and which of them drain.
-    fn play_connections(&self, step: &Step) {
-        let named = |n: &usize| step.members.is_empty() || step.members.contains(n);
-        for n in (0..self.members.len()).filter(named) {
+    /// Sets the connection faults of endpoints, and which endpoints drain.
+    fn set_connection_faults(&self, step: &Step) {
+        let is_named = |n: &usize| step.members.is_empty() || step.members.contains(n);
+        for n in (0..self.endpoints.len()).filter(is_named) {
             if let Some(faults) = &step.connections {
                 let plan = FaultPlan {
                     faults: faults.clone(),
                     one_in: CONNECTION_FAULT_ONE_IN,
                     read_later: READ_LATER,
                 };
-                self.members[n].set_faults(Some(plan).filter(|p| !p.faults.is_empty()));
+                self.endpoints[n].set_faults(Some(plan).filter(|p| !p.faults.is_empty()));
             }
             if let Some(drains) = step.drain {
                 let state = if drains { "terminating" } else { "in_service" };
-                for Paths { registry, to_members, .. } in &self.paths {
-                    registry.push(&entry_of(to_members, n, self.each, state));
+                for Paths { registry, to_endpoints, .. } in &self.paths {
+                    registry.push(&list_entry(to_endpoints, n, self.endpoints_each, state));
                 }
             }
         }
     }
 }
 
-/// What loads the faults into a dispatcher's processes; the time of the schedule begins now.
-fn variables(faults: &Faults, n: usize, folder: &Path) -> Vec<(String, String)> {
+/// Environment variables that load the fault library into a dispatcher's processes; the schedule's epoch is now.
+fn fault_variables(faults: &Faults, n: usize, folder: &Path) -> Vec<(String, String)> {
     let now = clock_gettime(ClockId::Monotonic);
     let epoch = now.tv_sec as f64 * 1e3 + now.tv_nsec as f64 / 1e6;
     let schedule = faults.schedules.get(n).cloned().unwrap_or_default();
@@ -302,42 +304,45 @@
     .to_vec()
 }
 
-/// Ports of dispatchers for each other: no two of one process of the rig.
+/// Counter for the ports on which dispatchers listen for peers, so that no two dispatchers of one rig process share a port.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Writes the operators' file of each dispatcher; returns the proxies between them.
-fn together_files(scenario: &Scenario, processes: &[Process]) -> std::io::Result<Vec<(usize, usize, Proxy)>> {
+/// Writes the operators' `together.toml` of each dispatcher; returns the proxies between the dispatchers.
+fn write_together_files(
+    scenario: &Scenario,
+    dispatchers: &[Dispatcher],
+) -> std::io::Result<Vec<(usize, usize, Proxy)>> {
     let port = |_| 20_000 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % 10_000;
-    let at: Vec<SocketAddr> = processes.iter().map(|p| p.at(port(p))).collect();
+    let addresses: Vec<SocketAddr> = dispatchers.iter().map(|d| d.with_port(port(d))).collect();
     let mut proxies = Vec::new();
-    for (n, process) in processes.iter().enumerate() {
+    for (n, dispatcher) in dispatchers.iter().enumerate() {
         let mut text = format!("[recovery]\nenabled = {}\n", scenario.recovery);
         if scenario.replication {
-            let (listen, ack) = (at[n], scenario.ack);
+            let (listen, ack) = (addresses[n], scenario.ack);
             text += &format!(
                 "[replication]\nenabled = true\nlisten = \"{listen}\"\ninstallation = \"rig\"\nack = {ack}\n"
             );
-            for (m, target) in at.iter().enumerate().filter(|(m, _)| *m != n) {
+            for (m, target) in addresses.iter().enumerate().filter(|(m, _)| *m != n) {
                 let proxy = Proxy::start(*target)?;
                 let address = proxy.address;
                 text += &format!("[[replication.peers]]\nname = \"n{m}\"\naddress = \"{address}\"\n");
                 proxies.push((n, m, proxy));
             }
         }
-        if let Some(path) = &process.together {
+        if let Some(path) = &dispatcher.together {
             std::fs::write(path, text)?;
         }
     }
     Ok(proxies)
 }
 
-/// The list as one dispatcher sees it: a destination of its own for each member, from 1, with so many endpoints.
-fn entries(proxies: &[Proxy], each: usize) -> Vec<String> {
-    (0..proxies.len()).map(|n| entry_of(proxies, n, each, "in_service")).collect()
+/// The endpoint list as one dispatcher sees it: destinations numbered from 1, with `endpoints_each` consecutive endpoints.
+fn list_entries(proxies: &[Proxy], endpoints_each: usize) -> Vec<String> {
+    (0..proxies.len()).map(|n| list_entry(proxies, n, endpoints_each, "in_service")).collect()
 }
 
-/// The `n`th endpoint's entry.
-fn entry_of(proxies: &[Proxy], n: usize, each: usize, state: &str) -> String {
-    let (address, dest) = (proxies[n].address.to_string(), (n / each) as u64 + 1);
+/// The entry of the `n`th endpoint in the endpoint list.
+fn list_entry(proxies: &[Proxy], n: usize, endpoints_each: usize, state: &str) -> String {
+    let (address, dest) = (proxies[n].address.to_string(), (n / endpoints_each) as u64 + 1);
     crate::entry(&format!("w{}", n + 1), &address, "a", dest, state)
 }
