--- a/crates/rig/examples/ages.rs
+++ b/crates/rig/examples/ages.rs
@@ -1,5 +1,5 @@
-//! Starts from kept lists of 0 s to 1 h of age with the registry unreachable, and an empty start beside them: the delivered
-//! share over the first eight seconds, and a plot of it by second.
+//! Measures starts with cached endpoint lists from 0 s to 1 h old, and with empty state folders, while the registry is unreachable.
+//! Prints the delivered share over the first eight seconds and plots it over time.
 //!
 //! `cargo run --release -p lilacbank-rig --example ages -- target/release/lilacbank docs/design/together-ages.svg`
 
@@ -8,14 +8,16 @@
 use plotters::prelude::*;
 use std::path::Path;
 
+/// When the dispatchers are started again, in milliseconds from the start of the load.
 const START_MS: u64 = 5_000;
+/// Duration of the load in milliseconds.
 const RUN_MS: u64 = 13_000;
 
-/// Five dispatchers killed at once while the registry falls silent, and started again on a clock that is `ahead` by so
-/// much; or with their folders wiped.
-fn scenario(ahead: Option<u64>) -> String {
+/// A scenario in which the registry stops answering, and five dispatchers get SIGKILL at once and are started again. Their clocks
+/// are then ahead by `clock_ms`, so that their cached endpoint lists appear that old; without it their state folders are removed.
+fn scenario(clock_ms: Option<u64>) -> String {
     let all = "[0, 1, 2, 3, 4]";
-    let back = match ahead {
+    let restart = match clock_ms {
         Some(ms) => format!("start = {all}\nclock_ms = {ms}\n"),
         None => format!("wipe = {all}\nstart = {all}\n"),
     };
@@ -24,7 +26,7 @@
          [member]\nservice_ms = 5\nat_once = 32\nqueue = 256\n\
          [load]\nper_second = 20\nclasses = [\"safe\", \"pay\"]\n\
          [[at]]\nms = 4000\nfault = \"blackhole\"\npath = \"registry\"\n\
-         [[at]]\nms = 4100\nkill = {all}\n[[at]]\nms = {START_MS}\n{back}"
+         [[at]]\nms = 4100\nkill = {all}\n[[at]]\nms = {START_MS}\n{restart}"
     )
 }
 
@@ -42,8 +44,8 @@
         ("empty", None),
     ];
     let mut reports: Vec<(&str, Report)> = Vec::new();
-    for (name, ahead) in cases {
-        let scenario = Scenario::parse(name, &scenario(ahead))?;
+    for (name, clock_ms) in cases {
+        let scenario = Scenario::parse(name, &scenario(clock_ms))?;
         let report = lilacbank_rig::run::play(&scenario, Path::new(&program), &std::env::temp_dir(), false)?;
         let from = (START_MS / 500) as usize;
         let after = &report.share[from..];
@@ -60,7 +62,10 @@
     let root = SVGBackend::new(&svg, (900, 420)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
-        .caption("delivered share by age of the kept list, registry unreachable", ("sans-serif", 16))
+        .caption(
+            "delivered share by age of the cached endpoint list, registry unreachable",
+            ("sans-serif", 16),
+        )
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(44)
--- a/crates/rig/src/bin/lilacbank-rig.rs
+++ b/crates/rig/src/bin/lilacbank-rig.rs
@@ -1,4 +1,4 @@
-//! `lilacbank-rig`: plays a scenario of many dispatchers with faults between them, and reports what the rules say.
+//! `lilacbank-rig`: runs scenarios of many dispatchers with injected faults, and reports broken invariants.
 
 use clap::builder::RangedU64ValueParser;
 use clap::{Parser, Subcommand};
@@ -12,70 +12,70 @@
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    command: Do,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Do {
-    /// Play a scenario (the embedded default without FILE) and print its report as JSON; exit 1 if a rule broke.
+enum Command {
+    /// Run a scenario (without FILE the embedded default) and print its report as JSON; exit with 1 if an invariant broke.
     Run {
-        /// The scenario, TOML.
+        /// The scenario, a TOML file.
         file: Option<PathBuf>,
-        /// The dispatcher's program; by default `lilacbank` beside this one.
+        /// The dispatcher's program; by default `lilacbank` in the folder of this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Also write the report here.
+        /// Also write the report to this file.
         #[arg(long)]
         report: Option<PathBuf>,
-        /// Play it so many times, with seeds from the file's on, and print the sum instead of each report.
+        /// Run the scenario this many times, with consecutive seeds from the file's on, and print a summary instead of the report.
         #[arg(long, default_value_t = 1)]
         trials: u32,
-        /// Draw the delivered share, the calls per member and the dispatchers serving into this SVG file (one play).
+        /// Plot the delivered share, the calls at each endpoint and the dispatchers that serve to this SVG file (last run only).
         #[arg(long)]
         plot: Option<PathBuf>,
-        /// Play it with the dispatchers' recovery on, whatever the file says.
+        /// Enable the dispatchers' recovery, whatever the file says.
         #[arg(long)]
         recovery: bool,
-        /// Play it with copies at other dispatchers, whatever the file says.
+        /// Enable replication between the dispatchers, whatever the file says.
         #[arg(long)]
         replication: bool,
-        /// Keep the folders and logs of the processes, under the system's folder for temporary files.
+        /// Keep the folders and logs of the processes, in the system's temporary folder.
         #[arg(long)]
         keep: bool,
     },
-    /// Play scenarios drawn from seeds, in which troubles of many kinds overlap; exit 1 if an invariant broke.
+    /// Run scenarios drawn from seeds, with overlapping faults of many kinds; exit with 1 if an invariant broke.
     Soak {
         /// The first seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many plays, with seeds from the first one on, 1 to 1000.
+        /// Number of runs, with consecutive seeds from the first one on, 1 to 1000.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1_000))]
         plays: u64,
-        /// Processes of the dispatcher, 1 to 128.
+        /// Number of dispatchers, 1 to 128.
         #[arg(long, default_value_t = 24, value_parser = RangedU64ValueParser::<usize>::new().range(1..=128))]
         dispatchers: usize,
-        /// Milliseconds of load, 5000 to 600000.
+        /// Duration of the load in milliseconds, 5000 to 600000.
         #[arg(long, default_value_t = 15_000, value_parser = clap::value_parser!(u64).range(5_000..=600_000))]
         run_ms: u64,
-        /// Troubles at once, on average, 0.1 to 20.
-        #[arg(long, default_value_t = 2.5, value_parser = troubles)]
+        /// Average number of faults at the same time, 0.1 to 20.
+        #[arg(long, default_value_t = 2.5, value_parser = parse_at_once)]
         at_once: f64,
-        /// The dispatcher's program; by default `lilacbank` beside this one.
+        /// The dispatcher's program; by default `lilacbank` in the folder of this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// The library of `crates/faults`; by default beside this program.
+        /// The library of `crates/faults`; by default `liblilacbank_faults.so` in the folder of this program.
         #[arg(long)]
         library: Option<PathBuf>,
-        /// Keep the folders and logs of plays in which an invariant broke.
+        /// Keep the folders and logs of runs in which an invariant broke.
         #[arg(long)]
         keep: bool,
     },
-    /// Check a scenario and say what is wrong, with file, line and key.
+    /// Validate a scenario; report the first error with file, line and key.
     Check {
-        /// The scenario, TOML.
+        /// The scenario, a TOML file.
         file: PathBuf,
     },
-    /// Print the embedded default scenario, a start for one's own.
+    /// Print the embedded default scenario, as a starting point for new ones.
     Default,
 }
 
@@ -86,23 +86,25 @@
     }
 }
 
-fn troubles(text: &str) -> Result<f64, String> {
+fn parse_at_once(text: &str) -> Result<f64, String> {
     let number = text.parse().ok().filter(|n| (0.1..=20.0).contains(n));
-    number.ok_or_else(|| "no number from 0.1 to 20; give how many troubles are on at a time".to_string())
+    number.ok_or_else(|| {
+        "must be a number from 0.1 to 20: the average number of faults at the same time".to_string()
+    })
 }
 
-/// The file that was given, or the one of this name beside this program.
-fn beside(given: Option<PathBuf>, name: &str) -> Option<PathBuf> {
-    let beside = || Some(std::env::current_exe().ok()?.parent()?.join(name));
-    given.or_else(beside).filter(|p| p.is_file())
+/// The given file, or the one of this name in the folder of this program; `None` if it does not exist.
+fn find_file(given: Option<PathBuf>, name: &str) -> Option<PathBuf> {
+    let default = || Some(std::env::current_exe().ok()?.parent()?.join(name));
+    given.or_else(default).filter(|p| p.is_file())
 }
 
-fn not_beside(what: &str, option: &str) -> ExitCode {
-    eprintln!("{what} is not beside this one; build it (cargo build --release --workspace) or give {option}");
+fn report_missing(what: &str, option: &str) -> ExitCode {
+    eprintln!("{what} not found; build it (cargo build --release --workspace) or set {option}");
     ExitCode::from(2)
 }
 
-/// Plays the soak of each seed and prints a line for each; what broke is printed whole.
+/// Runs each soak scenario and prints a line for each; prints all details of broken invariants.
 fn soak(specs: impl Iterator<Item = Spec>, program: &std::path::Path, keep: bool) -> ExitCode {
     let (mut plays, mut broken) = (0, Vec::new());
     for spec in specs {
@@ -110,7 +112,7 @@
         let report = match lilacbank_rig::run::play(&scenario, program, &std::env::temp_dir(), keep) {
             Ok(report) => report,
             Err(e) => {
-                eprintln!("the rig could not be set up: {e}");
+                eprintln!("cannot set up the rig: {e}");
                 return ExitCode::from(2);
             }
         };
@@ -155,18 +157,13 @@
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        Do::Default => {
+        Command::Default => {
             print!("{DEFAULT}");
             ExitCode::SUCCESS
         }
-        Do::Check { file } => match read(Some(&file)) {
+        Command::Check { file } => match read(Some(&file)) {
             Ok(s) => {
-                println!(
-                    "{}: {} dispatchers, {} steps; it reads",
-                    file.display(),
-                    s.dispatchers,
-                    s.steps.len()
-                );
+                println!("{}: {} dispatchers, {} steps; valid", file.display(), s.dispatchers, s.steps.len());
                 ExitCode::SUCCESS
             }
             Err(e) => {
@@ -174,12 +171,14 @@
                 ExitCode::from(2)
             }
         },
-        Do::Soak { seed, plays, dispatchers, run_ms, at_once, program, library, keep } => {
+        Command::Soak { seed, plays, dispatchers, run_ms, at_once, program, library, keep } => {
             let (program, library) =
-                (beside(program, "lilacbank"), beside(library, "liblilacbank_faults.so"));
-            let Some(program) = program else { return not_beside("the dispatcher's program", "--program") };
+                (find_file(program, "lilacbank"), find_file(library, "liblilacbank_faults.so"));
+            let Some(program) = program else {
+                return report_missing("the dispatcher's program", "--program");
+            };
             if library.is_none() {
-                return not_beside("the library of crates/faults", "--library");
+                return report_missing("the library of crates/faults", "--library");
             }
             let specs = (seed..seed.saturating_add(plays)).map(|seed| Spec {
                 seed,
@@ -190,7 +189,7 @@
             });
             soak(specs, &program, keep)
         }
-        Do::Run { file, program, report, trials, plot, recovery, replication, keep } => {
+        Command::Run { file, program, report, trials, plot, recovery, replication, keep } => {
             let scenario = match read(file.as_ref()) {
                 Ok(s) => s,
                 Err(e) => {
@@ -198,21 +197,21 @@
                     return ExitCode::from(2);
                 }
             };
-            let Some(program) = beside(program, "lilacbank") else {
-                return not_beside("the dispatcher's program", "--program");
+            let Some(program) = find_file(program, "lilacbank") else {
+                return report_missing("the dispatcher's program", "--program");
             };
             let mut reports = Vec::new();
             for n in 0..trials.max(1) {
-                let this = Scenario {
+                let scenario = Scenario {
                     seed: scenario.seed + u64::from(n),
                     recovery: scenario.recovery || recovery,
                     replication: scenario.replication || replication,
                     ..scenario.clone()
                 };
-                match lilacbank_rig::run::play(&this, &program, &std::env::temp_dir(), keep) {
+                match lilacbank_rig::run::play(&scenario, &program, &std::env::temp_dir(), keep) {
                     Ok(r) => reports.push(r),
                     Err(e) => {
-                        eprintln!("the rig could not be set up: {e}");
+                        eprintln!("cannot set up the rig: {e}");
                         return ExitCode::from(2);
                     }
                 }
