--- a/tests/stand/faults.rs
+++ b/tests/stand/faults.rs
@@ -1,11 +1,11 @@
-//! The library of `crates/faults`, built on demand, and the variables that load it into a dispatcher that a test starts.
+//! Builds the fault-injection library of `crates/faults` on demand and loads it into a dispatcher that a test starts.
 
 use super::Site;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Where the library is; built once for each test program.
+/// Path of the library, which is built once for each test program.
 pub fn library() -> &'static str {
     static PATH: OnceLock<String> = OnceLock::new();
     PATH.get_or_init(|| {
@@ -14,8 +14,8 @@
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .status()
             .unwrap();
-        assert!(done.success(), "the library of crates/faults is not built");
-        // This program is TARGET/PROFILE/deps/NAME.
+        assert!(done.success(), "the build of crates/faults failed");
+        // The test program is TARGET/PROFILE/deps/NAME.
         let target: PathBuf = std::env::current_exe().unwrap().ancestors().nth(3).unwrap().into();
         let path = target.join("debug/liblilacbank_faults.so");
         assert!(path.exists(), "{}", path.display());
@@ -23,7 +23,7 @@
     })
 }
 
-/// Variables of a dispatcher of this site whose system calls fail as the schedule says (`crates/faults`).
+/// Environment variables for a dispatcher of this site whose system calls fail by the schedule (`crates/faults`).
 pub fn schedule(site: &Site, text: &str) -> Vec<(&'static str, String)> {
     vec![
         ("LD_PRELOAD", library().to_string()),
@@ -33,7 +33,7 @@
 }
 
 impl Site {
-    /// Starts a dispatcher under a schedule of faults.
+    /// Starts a dispatcher whose system calls fail by the schedule.
     pub fn start_under(&self, text: &str, more: &[(&str, &str)]) -> super::Dispatcher {
         let faults = schedule(self, text);
         let all: Vec<(&str, &str)> =
--- a/tests/stand/in_process.rs
+++ b/tests/stand/in_process.rs
@@ -1,11 +1,12 @@
-//! The core of the dispatcher in the test's own process: no wire, no file, and the time that the test says.
+//! Runs the core of the dispatcher in the test's own process: without connections, without files, on a clock that the test
+//! sets.
 
 use lilacbank::api::{Listing, Ms};
 use lilacbank::config::{Config, Worker, WorkerList};
 use lilacbank::dispatch::{Core, Delegation, Order, Parts, Submission};
 use lilacbank::journal::Journal;
 
-/// A core of the tests' settings that knows no endpoint. Its journal's folder is gone already.
+/// A core with the settings of the tests and no endpoints. The folder of its journal is already removed.
 pub fn new_core() -> Core {
     let text = lilacbank_rig::config::platform("n0", "0a", 3.0, 1, 1_000, "\"127.0.0.1:1\"");
     let env = |key: &str| match key {
@@ -20,7 +21,8 @@
     Core::new(Parts { settings, names, journal, promises, once, cells, mesh: None })
 }
 
-/// Tells a core the list: these endpoints of destination 1, and no other if it is whole. What it orders then.
+/// Gives the core an endpoint list with these endpoints of destination 1, which replaces the previous list if `whole`.
+/// Returns the orders that follow.
 pub fn tell(core: &mut Core, now: Ms, uids: &[&str], listing: Listing, whole: bool) -> Vec<Order> {
     let listed = |uid: &&str| {
         let (uid, address) = (uid.to_string(), "127.0.0.1:1".to_string());
@@ -31,23 +33,23 @@
     core.turn(now)
 }
 
-/// A message for destination 1, without a key.
+/// A message for destination 1, without an ordering key.
 pub fn submission(id: &str, class: &str) -> Submission {
     let (identity, idempotency) = ((String::new(), id.to_string()), id.to_string());
     Submission { identity, class: class.to_string(), idempotency, dest: 1, ..Submission::default() }
 }
 
-/// Hands a message in.
+/// Submits a message for destination 1.
 pub fn submit(core: &mut Core, now: Ms, id: &str, class: &str) {
     core.submit(now, 2, submission(id, class));
 }
 
-/// The first delegation among these orders.
+/// The first attempt among these orders.
 pub fn delegated(orders: Vec<Order>) -> Option<Delegation> {
     orders.into_iter().find_map(|o| if let Order::Delegate(d) = o { Some(d) } else { None })
 }
 
-/// The next delegation that the core orders, within so many milliseconds.
+/// The first attempt that the core orders within `within` milliseconds of `from`, and its time.
 pub fn next_delegation(core: &mut Core, from: Ms, within: usize) -> Option<(Ms, Delegation)> {
     (0..within).map(|n| from + n as Ms).find_map(|now| Some((now, delegated(core.turn(now))?)))
 }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the outside of a dispatcher: workers, the platform's registry, clients. The program itself is real.
+//! Stand-ins for what surrounds a dispatcher: endpoints, the platform's registry, clients. The dispatcher itself is the
+//! built program.
 #![allow(dead_code)]
 
 pub mod faults;
@@ -17,11 +18,11 @@
 
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
-/// Waits until it holds; fails the test after a time that no machine needs.
+/// Polls until the condition holds; fails the test after [`PATIENCE`], which is longer than any machine needs.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(start.elapsed() < PATIENCE, "the condition never held: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -40,17 +41,17 @@
     }
 }
 
-/// What a stand-in server does with a request.
+/// How a stand-in server responds to a request.
 pub enum Reply {
-    /// An answer with this status line and these headers.
+    /// An answer with this status line and these headers, sent at once.
     Answer(&'static str),
-    /// The same after a time.
+    /// The same answer after a delay.
     After(Duration, &'static str),
-    /// Exactly these bytes; the connection stays open.
+    /// Exactly these bytes; the connection stays open afterwards.
     Raw(Vec<u8>),
-    /// The connection breaks.
+    /// Closes the connection without an answer.
     Break,
-    /// Nothing, until the other side goes.
+    /// No answer; the connection stays open until the peer closes it.
     Silence,
 }
 
@@ -73,33 +74,34 @@
     Some(Request { line: lines[0].clone(), headers, body, at: Instant::now() })
 }
 
-/// Counts a connection while it is open.
-struct Open(Arc<Mutex<(usize, usize)>>);
+/// Counts a connection in (open now, most open at once) for as long as it is open.
+struct OpenConnection(Arc<Mutex<(usize, usize)>>);
 
-impl Open {
-    fn new(count: &Arc<Mutex<(usize, usize)>>) -> Open {
+impl OpenConnection {
+    fn new(count: &Arc<Mutex<(usize, usize)>>) -> OpenConnection {
         let mut c = count.lock().unwrap();
         *c = (c.0 + 1, c.1.max(c.0 + 1));
-        Open(count.clone())
+        OpenConnection(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.lock().unwrap().0 -= 1;
     }
 }
 
-/// A worker over HTTP that keeps what it was sent.
+/// An HTTP endpoint that records the requests it receives.
 #[derive(Clone)]
 pub struct Worker {
     pub address: SocketAddr,
+    /// Requests other than probes, in the order of arrival.
     pub calls: Arc<Mutex<Vec<Request>>>,
-    /// When probes came.
+    /// Arrival times of probes.
     pub probes: Arc<Mutex<Vec<Instant>>>,
-    /// Connections that are open, and the most there were at once.
+    /// Connections that are open now, and the most that were open at once.
     pub open: Arc<Mutex<(usize, usize)>>,
-    /// Connections that it took.
+    /// Number of connections accepted.
     pub connections: Arc<Mutex<usize>>,
 }
 
@@ -121,7 +123,7 @@
             for stream in listener.incoming().map_while(Result::ok) {
                 *connections.lock().unwrap() += 1;
                 let (calls, probes, answer) = (calls.clone(), probes.clone(), answer.clone());
-                let open = Open::new(&worker_open);
+                let open = OpenConnection::new(&worker_open);
                 thread::spawn(move || {
                     let _open = open;
                     let mut out = stream.try_clone().unwrap();
@@ -167,19 +169,19 @@
         self.calls.lock().unwrap().len()
     }
 
-    /// Calls with that id.
+    /// Number of calls with this message id.
     pub fn of(&self, id: &str) -> usize {
         self.calls.lock().unwrap().iter().filter(|c| c.header("x-txn") == id).count()
     }
 }
 
-/// A request that came to a [`Puppet`]: nothing is answered until the test does it.
+/// A request that a [`Puppet`] received. The test writes the answer.
 pub struct Arrival {
     pub request: Request,
     pub stream: TcpStream,
-    /// Which connection it came on, from 0.
+    /// Index of the connection that carried it, from 0.
     pub connection: usize,
-    /// When that connection was taken.
+    /// When that connection was accepted.
     pub taken: Instant,
 }
 
@@ -188,7 +190,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Begins a watch that stays open.
+    /// Starts the chunked response of a watch, which stays open.
     pub fn begin_watch(&mut self) {
         self.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
@@ -198,7 +200,7 @@
     }
 }
 
-/// An HTTP server that does nothing by itself: it reads requests, and the test answers each when it wants to.
+/// An HTTP server that reads requests and leaves every answer, and its time, to the test.
 pub struct Puppet {
     pub address: SocketAddr,
     arrivals: Receiver<Arrival>,
@@ -208,15 +210,15 @@
     pub fn start() -> Puppet {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, arrivals) = channel();
+        let (sender, arrivals) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-                let (tell, taken) = (tell.clone(), Instant::now());
+                let (sender, taken) = (sender.clone(), Instant::now());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Some(request) = read_request(&mut reader) {
                         let stream = stream.try_clone().unwrap();
-                        if tell.send(Arrival { request, stream, connection, taken }).is_err() {
+                        if sender.send(Arrival { request, stream, connection, taken }).is_err() {
                             return;
                         }
                     }
@@ -226,17 +228,21 @@
         Puppet { address, arrivals }
     }
 
-    /// A request that has come and was not looked at yet.
+    /// The oldest request that has arrived and was not returned yet, if any; does not block.
     pub fn waiting(&self) -> Option<Arrival> {
         self.arrivals.try_recv().ok()
     }
 
-    /// The next request whose line holds this text; others are dropped unanswered, their connections stay open.
+    /// Waits for the next request whose request line contains the text. Other requests are dropped unanswered; their
+    /// connections stay open.
     pub fn next(&self, text: &str) -> Arrival {
         let start = Instant::now();
         loop {
             let left = PATIENCE.saturating_sub(start.elapsed());
-            let arrival = self.arrivals.recv_timeout(left).unwrap_or_else(|_| panic!("'{text}' never came"));
+            let arrival = self
+                .arrivals
+                .recv_timeout(left)
+                .unwrap_or_else(|_| panic!("no request with '{text}' arrived"));
             if arrival.request.line.contains(text) {
                 return arrival;
             }
@@ -247,42 +253,43 @@
 #[allow(unused_imports)]
 pub use lilacbank_rig::entry;
 
-/// A worker that refuses with a wait until it is opened, and then takes each call; who was taken, in order.
+/// An endpoint that refuses attempts with a retry-after of 1 s until the flag is set, and accepts each one after that.
+/// Returns the endpoint, the flag and the ids of the accepted messages in order.
 pub fn gate() -> (Worker, Arc<std::sync::atomic::AtomicBool>, Arc<Mutex<Vec<String>>>) {
     let (open, taken) =
         (Arc::new(std::sync::atomic::AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
-    let (o, t) = (open.clone(), taken.clone());
+    let (is_open, accepted) = (open.clone(), taken.clone());
     let worker = Worker::start(move |r, _| {
-        if !o.load(std::sync::atomic::Ordering::SeqCst) {
+        if !is_open.load(std::sync::atomic::Ordering::SeqCst) {
             return Reply::Answer("429 Too Many Requests\r\nRetry-After: 1");
         }
-        t.lock().unwrap().push(r.header("x-txn").to_string());
+        accepted.lock().unwrap().push(r.header("x-txn").to_string());
         Reply::Answer("200 OK")
     });
     (worker, open, taken)
 }
 
-/// A worker that is silent until it is told to take each call.
+/// An endpoint that gives no answer until the flag is set, and accepts each attempt after that.
 pub fn silent_until_told() -> (Worker, Arc<std::sync::atomic::AtomicBool>) {
     let answers = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let told = answers.clone();
-    let reply = move || match told.load(std::sync::atomic::Ordering::SeqCst) {
+    let answering = answers.clone();
+    let reply = move || match answering.load(std::sync::atomic::Ordering::SeqCst) {
         true => Reply::Answer("200 OK"),
         false => Reply::Silence,
     };
     (Worker::start(move |_, _| reply()), answers)
 }
 
-/// The platform: a watch that brings what is pushed, and a place for notices.
+/// The platform's registry: a watch that sends what the test pushes, and a receiver of outcome notices.
 pub type Platform = lilacbank_rig::Registry;
 
-/// What a dispatcher is started with; its folder outlasts it.
+/// The surroundings of a dispatcher: its folder, which outlasts the process, and its registry.
 pub struct Site {
     pub dir: PathBuf,
     pub platform: Platform,
     pub disk_mb: f64,
     pub mqtt: bool,
-    /// Dispatchers that the platform says it runs (`balancers`).
+    /// Number of dispatchers that the configuration states (`balancers`).
     pub balancers: u32,
 }
 
@@ -296,7 +303,8 @@
         Site { dir, platform: Platform::start(entries).unwrap(), disk_mb: 3.0, mqtt: false, balancers: 1 }
     }
 
-    /// A seed of this site's own where the platform runs several dispatchers, as it gives each one; else the one seed.
+    /// The seed in the configuration: derived from the site's name if the platform runs several dispatchers, since it gives
+    /// each its own; else the fixed seed.
     fn seed(&self) -> String {
         if self.balancers == 1 {
             return "0a".into();
@@ -305,7 +313,7 @@
         format!("{:x}", name.bytes().fold(0x0a_u64, |h, b| h.wrapping_mul(0x100_0000_01b3) ^ u64::from(b)))
     }
 
-    /// Writes the configuration, with a value for the registry's address in it.
+    /// Writes the configuration with this JSON value for the registry's address.
     pub fn configure(&self, discovery: &str) {
         let text = lilacbank_rig::config::platform(
             "n0",
@@ -318,7 +326,7 @@
         std::fs::write(self.dir.join("config.json"), text).unwrap();
     }
 
-    /// The configuration with a text of it changed, as the value of `ROUTER_CONFIG`.
+    /// Writes a copy of the configuration with a text replaced; returns its path, the value for `ROUTER_CONFIG`.
     pub fn changed(&self, from: &str, to: &str) -> String {
         self.configure("null");
         let text = std::fs::read_to_string(self.dir.join("config.json")).unwrap();
@@ -332,12 +340,12 @@
         self.start_with("127.0.0.1:0", &[])
     }
 
-    /// Starts one on this address for clients, with more variables.
+    /// Starts a dispatcher that listens for clients on this address, with more environment variables.
     pub fn start_with(&self, listen: &str, more: &[(&str, &str)]) -> Dispatcher {
         self.start_as(Command::new(env!("CARGO_BIN_EXE_lilacbank")), listen, more)
     }
 
-    /// Starts one under a limit of the system, as `ulimit` takes it.
+    /// Starts a dispatcher under a resource limit, given as arguments of `ulimit`.
     pub fn start_limited(&self, limit: &str, more: &[(&str, &str)]) -> Dispatcher {
         let mut shell = Command::new("sh");
         let script = format!("ulimit {limit} && exec \"$0\"");
@@ -363,26 +371,28 @@
 }
 
 impl Dispatcher {
-    /// Starts the program and waits until it listens.
+    /// Starts the program and waits until its log names the addresses that it listens on.
     pub fn spawn(command: &mut Command, mqtt: bool) -> Dispatcher {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let (tell, log) = channel();
+        let (sender, log) = channel();
         let err = BufReader::new(child.stderr.take().unwrap());
         let log_paused = Arc::new(AtomicBool::new(false));
         let paused = log_paused.clone();
-        let wait = move || {
+        let wait_while_paused = move || {
             while paused.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(10));
             }
         };
-        let mut lines = err.lines().map_while(Result::ok).inspect(move |_| wait());
-        thread::spawn(move || lines.all(|line| tell.send(line).is_ok()));
-        let mut d = Dispatcher { child, log, log_paused, seen: String::new(), address: None, mqtt: None };
+        let mut lines = err.lines().map_while(Result::ok).inspect(move |_| wait_while_paused());
+        thread::spawn(move || lines.all(|line| sender.send(line).is_ok()));
+        let mut dispatcher =
+            Dispatcher { child, log, log_paused, seen: String::new(), address: None, mqtt: None };
         if mqtt {
-            d.mqtt = d.logged("MQTT clients are served on ").split('"').next().unwrap().parse().ok();
+            dispatcher.mqtt =
+                dispatcher.logged("MQTT clients are served on ").split('"').next().unwrap().parse().ok();
         }
-        d.address = d.logged(" listens on ").split(' ').next().unwrap().parse().ok();
-        d
+        dispatcher.address = dispatcher.logged(" listens on ").split(' ').next().unwrap().parse().ok();
+        dispatcher
     }
 }
 
@@ -396,25 +406,26 @@
 pub struct Dispatcher {
     child: Child,
     log: Receiver<String>,
-    /// Its log is not read now.
+    /// Whether reading of its log is paused.
     log_paused: Arc<AtomicBool>,
+    /// What was read of its log.
     seen: String,
     address: Option<SocketAddr>,
     pub mqtt: Option<SocketAddr>,
 }
 
 impl Dispatcher {
-    /// Leaves its log unread from now on.
+    /// Stops reading its log, so that its standard error fills up.
     pub fn stop_reading_log(&self) {
         self.log_paused.store(true, Ordering::SeqCst);
     }
 
-    /// Reads its log again.
+    /// Resumes reading its log.
     pub fn read_log_again(&self) {
         self.log_paused.store(false, Ordering::SeqCst);
     }
 
-    /// What follows the mark in the log.
+    /// Reads the log up to the first line that contains the mark; returns what follows the mark in that line.
     pub fn logged(&mut self, mark: &str) -> String {
         loop {
             let line = self.log.recv_timeout(PATIENCE);
@@ -430,7 +441,7 @@
         self.address.unwrap()
     }
 
-    /// All that was read of its log.
+    /// Everything that was read of its log.
     pub fn seen(&self) -> &str {
         &self.seen
     }
@@ -444,7 +455,7 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Asks for the counters until they hold the text.
+    /// Requests the counters with SIGUSR1 until they contain the text.
     pub fn counts(&mut self, text: &str) {
         let start = Instant::now();
         loop {
@@ -453,16 +464,16 @@
             if counters.contains(text) {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "never '{text}': {counters}");
+            assert!(start.elapsed() < PATIENCE, "the counters never contained '{text}': {counters}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Stops the process where it stands; [`Dispatcher::signal`] with `-CONT` lets it go on.
+    /// Stops the process with SIGSTOP; [`Dispatcher::signal`] with `-CONT` resumes it.
     pub fn halt(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("the process stands still", || {
+        until("the process is stopped", || {
             std::fs::read_to_string(&stat)
                 .is_ok_and(|s| s.rsplit_once(") ").is_some_and(|r| r.1.starts_with('T')))
         });
@@ -473,12 +484,12 @@
         self.child.wait().unwrap();
     }
 
-    /// Waits for an end of any kind.
+    /// Waits until the process exits, with any status.
     pub fn ended_somehow(&mut self) -> std::process::ExitStatus {
         self.child.wait().unwrap()
     }
 
-    /// Waits for its end; how long that took.
+    /// Waits until the process exits with success; returns how long that took.
     pub fn ended(&mut self) -> Duration {
         let start = Instant::now();
         let status = self.child.wait().unwrap();
@@ -486,7 +497,7 @@
         start.elapsed()
     }
 
-    /// Processor time that it has used so far.
+    /// CPU time that the process has used so far. A clock tick is 10 ms.
     pub fn used(&self) -> Duration {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split_whitespace().collect();
@@ -494,7 +505,7 @@
         Duration::from_millis(ticks * 10)
     }
 
-    /// Memory that it holds now.
+    /// Resident memory of the process.
     pub fn memory_mb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
@@ -529,10 +540,10 @@
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Hands in; empty if the connection ends before the answer.
+    /// Submits a message; returns an empty text if the connection ends before the answer.
     pub fn try_submit(&mut self, id: &str, options: &str) -> String {
-        let words: [&[u8]; 5] = [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"x"];
-        match self.0.get_mut().write_all(&command(&words)) {
+        let parts: [&[u8]; 5] = [b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"x"];
+        match self.0.get_mut().write_all(&command(&parts)) {
             Ok(()) => self.line(),
             Err(_) => String::new(),
         }
@@ -542,7 +553,7 @@
         self.0.get_mut().write_all(bytes).unwrap();
     }
 
-    /// One line of answer without its end; empty once the connection has ended.
+    /// Reads one line of the answer, without its line end; empty once the connection has ended.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
         let _ = self.0.read_line(&mut line);
@@ -563,7 +574,8 @@
     }
 }
 
-/// Hands in so many messages of the three classes in turn, each with a key of its own; all are taken on.
+/// Submits `count` messages of the three classes in turn, each with its own ordering key; all must be accepted. Returns
+/// ids and classes.
 pub fn hand_in_each_class(client: &mut Client, count: usize, left_ms: u64) -> Vec<(String, &'static str)> {
     let classes = ["safe", "order", "pay"];
     let ids: Vec<(String, &str)> =
@@ -585,37 +597,38 @@
     bytes
 }
 
-/// Where its operators' door is.
+/// The address of the dispatcher's control interface, from its log.
 pub fn door(d: &Dispatcher) -> SocketAddr {
-    let (_, rest) = d.seen().split_once("the operators' door is on ").expect("a door");
+    let (_, rest) =
+        d.seen().split_once("the operators' door is on ").expect("the log names the control interface");
     rest.split_whitespace().next().unwrap().parse().unwrap()
 }
 
-/// What an operators' door answers to a line.
-pub fn control(door: SocketAddr, line: &str) -> String {
-    let mut s = TcpStream::connect(door).unwrap();
-    s.set_read_timeout(Some(PATIENCE)).unwrap();
-    s.write_all(format!("{line}\n").as_bytes()).unwrap();
+/// Sends one line to a control interface and returns the answer.
+pub fn control(address: SocketAddr, line: &str) -> String {
+    let mut stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     let mut text = String::new();
-    s.read_to_string(&mut text).unwrap();
+    stream.read_to_string(&mut text).unwrap();
     text
 }
 
-/// The figures of a dispatcher's door.
+/// The metrics that `vars` returns on the dispatcher's control interface.
 pub fn vars(d: &Dispatcher) -> serde_json::Value {
     serde_json::from_str(control(door(d), "vars").lines().next().unwrap()).unwrap()
 }
 
-/// Addresses to listen on, again and again: ports from the system, on a loopback address of this process's own, none given twice.
-/// On the shared one a port on which nobody listens at the moment is given to any connection that goes out.
+/// Addresses that a process can listen on repeatedly: ephemeral ports on a loopback address of this test process's own, none
+/// returned twice. On the shared 127.0.0.1 the system gives a port without a listener to any outgoing connection.
 pub fn addresses(count: usize) -> Vec<SocketAddr> {
-    static GIVEN: Mutex<std::collections::BTreeSet<SocketAddr>> =
+    static RETURNED: Mutex<std::collections::BTreeSet<SocketAddr>> =
         Mutex::new(std::collections::BTreeSet::new());
     let pid = std::process::id();
     let ip = [127, 128 + (pid >> 8 & 0x7f) as u8, (pid & 0xff) as u8, 1];
-    let mut given = GIVEN.lock().unwrap();
-    let fresh = std::iter::repeat_with(|| {
+    let mut returned = RETURNED.lock().unwrap();
+    let ports = std::iter::repeat_with(|| {
         TcpListener::bind(SocketAddr::from((ip, 0))).unwrap().local_addr().unwrap()
     });
-    fresh.filter(|at| given.insert(*at)).take(count).collect()
+    ports.filter(|address| returned.insert(*address)).take(count).collect()
 }
--- a/tests/stand/mqtt.rs
+++ b/tests/stand/mqtt.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for MQTT: a broker with workers behind it, and a client. Both can lose their sessions at will.
+//! Stand-ins for MQTT: a broker with endpoints behind it, and a client. A test can end the sessions of both.
 #![allow(dead_code)]
 
 use super::{until, PATIENCE};
@@ -17,26 +17,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A connection that speaks MQTT and blocks.
-pub struct Wire<R: role::RoleType> {
+/// A blocking MQTT connection.
+pub struct MqttConnection<R: role::RoleType> {
     tcp: TcpStream,
     mqtt: Connection<R>,
-    ready: Vec<Packet>,
+    received: Vec<Packet>,
 }
 
-impl<R: role::RoleType> Wire<R> {
-    pub fn new(tcp: TcpStream) -> Wire<R> {
+impl<R: role::RoleType> MqttConnection<R> {
+    pub fn new(tcp: TcpStream) -> MqttConnection<R> {
         tcp.set_read_timeout(Some(PATIENCE)).unwrap();
-        Wire { tcp, mqtt: Connection::new(Version::V5_0), ready: Vec::new() }
+        MqttConnection { tcp, mqtt: Connection::new(Version::V5_0), received: Vec::new() }
     }
 
-    fn obey(&mut self, events: Vec<Event>) {
+    fn handle_events(&mut self, events: Vec<Event>) {
         for event in events {
             match event {
                 Event::RequestSendPacket { packet, .. } => {
                     let _ = self.tcp.write_all(&packet.to_continuous_buffer());
                 }
-                Event::NotifyPacketReceived(p) => self.ready.push(p),
+                Event::NotifyPacketReceived(p) => self.received.push(p),
                 Event::NotifyError(e) => panic!("the dispatcher broke the protocol: {e:?}"),
                 _ => {}
             }
@@ -45,21 +45,21 @@
 
     pub fn send<P: Sendable<R, u16>>(&mut self, packet: P) {
         let events = self.mqtt.checked_send(packet);
-        self.obey(events);
+        self.handle_events(events);
     }
 
-    /// The next packet; none once the connection has ended.
+    /// Waits for the next packet; `None` once the connection has ended.
     pub fn next(&mut self) -> Option<Packet> {
-        while self.ready.is_empty() {
+        while self.received.is_empty() {
             let mut bytes = [0; 4096];
             let n = self.tcp.read(&mut bytes).ok().filter(|n| *n > 0)?;
             let mut cursor = Cursor::new(&bytes[..n]);
             while (cursor.position() as usize) < n {
                 let events = self.mqtt.recv(&mut cursor);
-                self.obey(events);
+                self.handle_events(events);
             }
         }
-        Some(self.ready.remove(0))
+        Some(self.received.remove(0))
     }
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-fn publish(id: u16, topic: &str, m: &Message) -> Publish {
+fn publish_packet(id: u16, topic: &str, m: &Message) -> Publish {
     let mut props = vec![Property::CorrelationData(CorrelationData::new(&m.correlation).unwrap())];
     if !m.response.is_empty() {
         props.push(Property::ResponseTopic(ResponseTopic::new(&m.response).unwrap()));
@@ -115,25 +115,25 @@
     p.props(props).payload(&m.body[..]).build().unwrap()
 }
 
-/// What a worker behind the broker does with a call that has reached it.
+/// How the endpoint behind the broker handles a call.
 pub enum Does {
-    /// It answers with this status and a wait in seconds.
+    /// Answers with this status and, if given, a retry-after in seconds.
     Answers(u16, Option<&'static str>),
-    /// It has the call, and nothing more is heard of it.
+    /// Runs the call and never answers.
     Silence,
-    /// The session breaks before the broker has passed the call on,
+    /// The session ends before the broker has passed the call on.
     Lost,
-    /// or after the worker has done it.
+    /// The session ends after the endpoint has run the call.
     Broken,
 }
 
-/// A broker whose only other clients are its workers: every PUBLISH reaches one at once.
+/// A broker whose only other clients are its endpoints: every PUBLISH reaches one at once.
 #[derive(Clone)]
 pub struct Broker {
     pub address: SocketAddr,
-    /// What took effect or was turned away, in order.
+    /// Calls other than probes, in the order of arrival.
     pub calls: Arc<Mutex<Vec<Message>>>,
-    /// Ids that took effect, once for each time.
+    /// The message id of each call that took effect, repeats included.
     pub effects: Arc<Mutex<Vec<String>>>,
     /// When sessions ended.
     pub ended: Arc<Mutex<Vec<Instant>>>,
@@ -160,19 +160,19 @@
 
     fn serve(&self, tcp: TcpStream, worker: &dyn Fn(&Message, usize) -> Does) {
         let end = tcp.try_clone().unwrap();
-        let mut wire = Wire::<role::Server>::new(tcp);
+        let mut connection = MqttConnection::<role::Server>::new(tcp);
         let mut filters = Vec::new();
-        while let Some(packet) = wire.next() {
+        while let Some(packet) = connection.next() {
             match packet {
                 Packet::V5_0Connect(_) => {
                     let ack =
                         Connack::builder().session_present(false).reason_code(ConnectReasonCode::Success);
-                    wire.send(ack.build().unwrap());
+                    connection.send(ack.build().unwrap());
                 }
                 Packet::V5_0Subscribe(s) => {
                     filters.extend(s.entries().iter().map(|e| e.topic_filter().to_string()));
                     let codes = vec![SubackReasonCode::GrantedQos1; s.entries().len()];
-                    wire.send(
+                    connection.send(
                         Suback::builder().packet_id(s.packet_id()).reason_codes(codes).build().unwrap(),
                     );
                 }
@@ -196,15 +196,15 @@
                         return;
                     }
                     let ack = Puback::builder().packet_id(p.packet_id().unwrap());
-                    wire.send(ack.reason_code(PubackReasonCode::Success).build().unwrap());
+                    connection.send(ack.reason_code(PubackReasonCode::Success).build().unwrap());
                     if let Does::Answers(status, wait) = does {
-                        assert!(filters.contains(&m.response), "nobody listens on '{}'", m.response);
+                        assert!(filters.contains(&m.response), "no subscription for '{}'", m.response);
                         let mut user = vec![("status".to_string(), status.to_string())];
                         user.extend(wait.map(|w| ("retry-after".to_string(), w.to_string())));
                         let topic = m.response.clone();
                         let answer = Message { response: String::new(), user, expiry: None, ..m };
-                        let id = wire.mqtt.acquire_packet_id().unwrap();
-                        wire.send(publish(id, &topic, &answer));
+                        let id = connection.mqtt.acquire_packet_id().unwrap();
+                        connection.send(publish_packet(id, &topic, &answer));
                     }
                 }
                 _ => {}
@@ -221,71 +221,71 @@
     }
 }
 
-/// An MQTT client of the dispatcher. It keeps the answers it got over its sessions.
+/// An MQTT client of the dispatcher. It keeps the answers of all its sessions.
 pub struct MqttClient {
     to: SocketAddr,
     name: String,
-    wire: Option<TcpStream>,
-    send: Option<Arc<Mutex<Wire<role::Client>>>>,
+    socket: Option<TcpStream>,
+    connection: Option<Arc<Mutex<MqttConnection<role::Client>>>>,
     pub answers: Arc<Mutex<Vec<Message>>>,
-    /// Acknowledgements of what was submitted, by reason code.
+    /// Reason codes of the acknowledgements of submitted messages.
     pub acks: Arc<Mutex<Vec<PubackReasonCode>>>,
 }
 
 impl MqttClient {
     pub fn connect(to: SocketAddr, name: &str) -> MqttClient {
         let (answers, acks) = Default::default();
-        let mut c = MqttClient { to, name: name.into(), wire: None, send: None, answers, acks };
+        let mut c = MqttClient { to, name: name.into(), socket: None, connection: None, answers, acks };
         c.reconnect(to);
         c
     }
 
     pub fn kill(&mut self) {
-        if let Some(tcp) = self.wire.take() {
+        if let Some(tcp) = self.socket.take() {
             let _ = tcp.shutdown(Shutdown::Both);
         }
-        self.send = None;
+        self.connection = None;
     }
 
-    /// A new session under the same name, subscribed to its answers.
+    /// Ends the session and starts a new one under the same client id, subscribed to its answers.
     pub fn reconnect(&mut self, to: SocketAddr) {
         self.kill();
         self.to = to;
         let tcp = TcpStream::connect(self.to).unwrap();
         let reader = tcp.try_clone().unwrap();
-        self.wire = Some(tcp.try_clone().unwrap());
-        let mut wire = Wire::<role::Client>::new(tcp);
-        let hello = Connect::builder().client_id(&*self.name).unwrap().clean_start(false).build().unwrap();
-        wire.send(hello);
+        self.socket = Some(tcp.try_clone().unwrap());
+        let mut connection = MqttConnection::<role::Client>::new(tcp);
+        let connect = Connect::builder().client_id(&*self.name).unwrap().clean_start(false).build().unwrap();
+        connection.send(connect);
         assert!(
-            matches!(wire.next(), Some(Packet::V5_0Connack(p)) if p.reason_code() == ConnectReasonCode::Success)
+            matches!(connection.next(), Some(Packet::V5_0Connack(p)) if p.reason_code() == ConnectReasonCode::Success)
         );
-        let id = wire.mqtt.acquire_packet_id().unwrap();
+        let id = connection.mqtt.acquire_packet_id().unwrap();
         let filter = format!("answers/{}/#", self.name);
         let entry = SubEntry::new(filter, SubOpts::new().set_qos(Qos::AtLeastOnce)).unwrap();
-        wire.send(Subscribe::builder().packet_id(id).entries(vec![entry]).build().unwrap());
-        let wire = Arc::new(Mutex::new(wire));
-        self.send = Some(wire.clone());
+        connection.send(Subscribe::builder().packet_id(id).entries(vec![entry]).build().unwrap());
+        let connection = Arc::new(Mutex::new(connection));
+        self.connection = Some(connection.clone());
         let (answers, acks) = (self.answers.clone(), self.acks.clone());
-        // Reading must not hold the lock that sending needs: it waits on the socket beside it.
+        // The reader waits on its own handle of the socket, since it must not hold the lock that sending needs.
         reader.set_read_timeout(Some(PATIENCE)).unwrap();
         thread::spawn(move || {
-            let mut at = reader;
+            let mut socket = reader;
             loop {
                 let mut bytes = [0; 4096];
-                let Some(n) = at.read(&mut bytes).ok().filter(|n| *n > 0) else { return };
-                let mut w = wire.lock().unwrap();
+                let Some(n) = socket.read(&mut bytes).ok().filter(|n| *n > 0) else { return };
+                let mut connection = connection.lock().unwrap();
                 let mut cursor = Cursor::new(&bytes[..n]);
                 while (cursor.position() as usize) < n {
-                    let events = w.mqtt.recv(&mut cursor);
-                    w.obey(events);
+                    let events = connection.mqtt.recv(&mut cursor);
+                    connection.handle_events(events);
                 }
-                for packet in std::mem::take(&mut w.ready) {
+                for packet in std::mem::take(&mut connection.received) {
                     match packet {
                         Packet::V5_0Publish(p) => {
                             answers.lock().unwrap().push(Message::of(&p));
                             let ack = Puback::builder().packet_id(p.packet_id().unwrap());
-                            w.send(ack.reason_code(PubackReasonCode::Success).build().unwrap());
+                            connection.send(ack.reason_code(PubackReasonCode::Success).build().unwrap());
                         }
                         Packet::V5_0Puback(p) => {
                             acks.lock().unwrap().push(p.reason_code().unwrap_or(PubackReasonCode::Success));
@@ -297,7 +297,7 @@
         });
     }
 
-    /// Submits; `user` is `name=value` pairs beside the id.
+    /// Submits a message; `user` holds the user properties beside the id, as `name=value` pairs.
     pub fn submit(&mut self, id: &str, user: &str, expiry: u32) {
         let pairs = user.split(',').filter_map(|p| p.split_once('='));
         let mut all = vec![("id".to_string(), id.to_string())];
@@ -311,13 +311,13 @@
             body: b"pay \0 this".to_vec(),
             at: Instant::now(),
         };
-        let Some(wire) = &self.send else { return };
-        let mut wire = wire.lock().unwrap();
-        let packet = wire.mqtt.acquire_packet_id().unwrap();
-        wire.send(publish(packet, "lilacbank/submit", &m));
+        let Some(connection) = &self.connection else { return };
+        let mut connection = connection.lock().unwrap();
+        let packet = connection.mqtt.acquire_packet_id().unwrap();
+        connection.send(publish_packet(packet, "lilacbank/submit", &m));
     }
 
-    /// The outcomes told for an id.
+    /// Outcomes that the client received for a message id.
     pub fn outcomes(&self, id: &str) -> Vec<String> {
         let answers = self.answers.lock().unwrap();
         let own = answers.iter().filter(|a| a.correlation == id.as_bytes());
@@ -330,7 +330,7 @@
     }
 }
 
-/// Waits a little, to see that nothing more comes.
+/// Waits 300 ms, so that a further answer or call would have arrived.
 pub fn settle() {
     thread::sleep(Duration::from_millis(300));
 }
