--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for scripts of events, with a rule checker that watches every action.
+//! Runs the decision module on scripted events and checks each of its actions against the delivery rules.
 #![allow(dead_code)]
 
 use lilacbank::api::*;
@@ -20,7 +20,7 @@
     }
 }
 
-/// Safe, keyed by zone, unsafe, and safe in order: classes 0 to 3.
+/// Classes 0 to 3: idempotent, deduplicated within a zone, at-most-once, and idempotent in order.
 pub fn settings() -> Settings {
     let ordered = Class { in_order: true, ..class(Effect::Safe) };
     Settings {
@@ -60,27 +60,33 @@
     Row { route, zone, kind, dest, listing: Listing::Ready, weight: 1.0 }
 }
 
+/// An attempt as the checker sees it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     pub n: u32,
     pub route: RouteId,
     pub sent: Ms,
+    /// Timeout that the module set for the attempt, if any.
     pub cap: Option<Ms>,
+    /// Whether the attempt is still outstanding.
     pub out: bool,
     pub may_have_run: bool,
 }
 
+/// What the checker knows of a message.
 #[derive(Debug, Clone)]
 pub struct Seen {
     pub m: Message,
     pub attempts: Vec<Attempt>,
+    /// Number of final answers; exactly one is right.
     pub finals: usize,
     pub ended_at: Ms,
+    /// Retry interval with which the message was returned, if it was.
     pub advice: Option<Ms>,
     pub failed: bool,
 }
 
-/// Plays events into a module and checks each action against the rules as it comes.
+/// Passes events to a decision module and checks each action against the rules at once.
 pub struct Watched {
     pub brain: Brain,
     pub s: Settings,
@@ -89,9 +95,13 @@
     pub rows: BTreeMap<RouteId, Row>,
     pub actions: Vec<Action>,
     pub timers: Vec<(Ms, u64)>,
+    /// Violations of the rules.
     pub broken: Vec<String>,
-    drains: BTreeMap<RouteId, Ms>,
-    waits: BTreeMap<(DestId, Option<RouteId>), Ms>,
+    /// When each route was first listed as draining or gone.
+    draining_since: BTreeMap<RouteId, Ms>,
+    /// End of the retry-after of each unit: a route, or a destination whose routes share one limit.
+    retry_after_until: BTreeMap<(DestId, Option<RouteId>), Ms>,
+    /// Messages of each ordering key in the order of arrival, and the end of the key's quiet period.
     keys: BTreeMap<u64, (VecDeque<MsgId>, Ms)>,
     next_id: MsgId,
 }
@@ -107,8 +117,8 @@
             actions: Vec::new(),
             timers: Vec::new(),
             broken: Vec::new(),
-            drains: BTreeMap::new(),
-            waits: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
+            retry_after_until: BTreeMap::new(),
             keys: BTreeMap::new(),
             next_id: 1,
         };
@@ -116,7 +126,7 @@
         w
     }
 
-    /// A message of a class for a destination, in a batch of its own.
+    /// Passes in a new message of a class for a destination, as the only event of its batch.
     pub fn arrive(&mut self, class: usize, dest: DestId, key: Option<u64>) -> MsgId {
         let id = self.next_id;
         self.next_id += 1;
@@ -126,34 +136,36 @@
         id
     }
 
-    /// The attempt of a message that is out.
+    /// The outstanding attempt of a message.
     pub fn out(&self, id: MsgId) -> Option<Attempt> {
         self.seen[&id].attempts.iter().rfind(|a| a.out).cloned()
     }
 
+    /// Ends the outstanding attempt of a message with this outcome and retry-after.
     pub fn end(&mut self, id: MsgId, outcome: Outcome, wait: Ms) {
-        let a = self.out(id).expect("no attempt is out");
+        let a = self.out(id).expect("no attempt is outstanding");
         let over = outcome == Outcome::Delivered || self.seen[&id].finals > 0;
         let took = self.now - a.sent;
         let e = Ended { took, over, wait, ..Ended::of(id, a.n, a.route, outcome) };
         self.give(vec![Event::Ended(e)]);
     }
 
+    /// Passes a batch of events to the module, and checks and returns its actions.
     pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
         for e in &events {
-            self.before(e);
+            self.record_event(e);
         }
         let mut actions = Vec::new();
         self.brain.step(self.now, &events, &mut actions);
         for a in &actions {
             self.check(a);
         }
-        // What the reply to the telling batch sends is excused, so a wait binds from here on.
+        // Sends in the reply to the batch that carries a retry-after are permitted, so it binds from here on.
         for e in &events {
             if let Event::Ended(e) = e {
                 if e.wait > 0.0 {
-                    let unit = self.unit(e.route);
-                    let until = self.waits.entry(unit).or_insert(0.0);
+                    let limit_unit = self.limit_unit(e.route);
+                    let until = self.retry_after_until.entry(limit_unit).or_insert(0.0);
                     *until = until.max(self.now + e.wait);
                 }
             }
@@ -162,7 +174,7 @@
         actions
     }
 
-    /// Lets time pass, with the timers that come due.
+    /// Advances the clock by `span` and fires the timers that fall due.
     pub fn pass(&mut self, span: Ms) {
         let until = self.now + span;
         while let Some(at) = self.timers.iter().map(|t| t.0).filter(|t| *t <= until).min_by(f64::total_cmp) {
@@ -175,18 +187,20 @@
         self.now = until;
     }
 
-    fn unit(&self, route: RouteId) -> (DestId, Option<RouteId>) {
+    /// The unit that a retry-after of this route binds: the route, or its destination if its routes share one limit.
+    fn limit_unit(&self, route: RouteId) -> (DestId, Option<RouteId>) {
         let r = &self.rows[&route];
         (r.dest, self.s.kind(r.kind).apart.then_some(route))
     }
 
-    fn before(&mut self, e: &Event) {
+    /// Updates the checker's state with an event, before the module sees it.
+    fn record_event(&mut self, e: &Event) {
         match e {
             Event::List { rows, .. } => {
                 for r in rows {
                     self.rows.insert(r.route, r.clone());
                     if r.listing != Listing::Ready {
-                        self.drains.entry(r.route).or_insert(self.now);
+                        self.draining_since.entry(r.route).or_insert(self.now);
                     }
                 }
             }
@@ -225,7 +239,7 @@
         }
     }
 
-    fn flaw(&mut self, what: String) {
+    fn add_violation(&mut self, what: String) {
         self.broken.push(format!("{:.0}: {what}", self.now));
     }
 
@@ -237,103 +251,105 @@
                 let ran = s.attempts.iter().any(|a| a.may_have_run || a.out);
                 let effect = self.s.classes[s.m.class].effect;
                 if ran && effect != Effect::Safe && effect != (Effect::Keyed { by_zone: false }) {
-                    self.flaw(format!("message {id} handed back though it may have run"));
+                    self.add_violation(format!("message {id} returned although it may have run"));
                 }
-                self.ended(*id);
+                self.record_final_answer(*id);
                 self.seen.get_mut(id).unwrap().advice = Some(*retry_in);
             }
             Action::Fail(id) => {
-                self.ended(*id);
+                self.record_final_answer(*id);
                 self.seen.get_mut(id).unwrap().failed = true;
             }
             Action::Timer { at, token } => self.timers.push((*at, *token)),
             Action::Probe(r) => {
-                if self.waits.get(&self.unit(*r)).is_some_and(|w| *w > self.now) {
-                    self.flaw(format!("probe of {r} inside a told wait"));
+                if self.retry_after_until.get(&self.limit_unit(*r)).is_some_and(|w| *w > self.now) {
+                    self.add_violation(format!("probe of route {r} before its retry-after is over"));
                 }
             }
             Action::Cancel { .. } | Action::CloseIdle(_) | Action::Watch => {}
         }
     }
 
-    fn ended(&mut self, id: MsgId) {
+    /// Counts a final answer and checks that it is the only one and in time.
+    fn record_final_answer(&mut self, id: MsgId) {
         let now = self.now;
-        let s = self.seen.get_mut(&id).expect("unknown message ended");
+        let s = self.seen.get_mut(&id).expect("final answer for an unknown message");
         s.finals += 1;
         s.ended_at = now;
         let (finals, due) = (s.finals, s.m.valid_until + SLACK);
         if finals > 1 {
-            self.flaw(format!("message {id} ended twice"));
+            self.add_violation(format!("message {id} ended twice"));
         }
         if now > due {
-            self.flaw(format!("message {id} ended too late"));
+            self.add_violation(format!("message {id} ended too late"));
         }
     }
 
+    /// Checks a new attempt against the rules, and records it.
     fn check_send(&mut self, id: MsgId, route: RouteId, cap: Option<Ms>) {
         let now = self.now;
         let s = self.seen[&id].clone();
         let row = self.rows[&route].clone();
         let c = self.s.classes[s.m.class].clone();
         if s.finals > 0 {
-            self.flaw(format!("message {id} sent after its end"));
+            self.add_violation(format!("message {id} sent after its final answer"));
         }
         if row.dest != s.m.dest {
-            self.flaw(format!("message {id} sent to a foreign destination"));
+            self.add_violation(format!("message {id} sent to a destination other than its own"));
         }
         if s.attempts.iter().any(|a| a.out) {
-            self.flaw(format!("message {id} has two attempts out"));
+            self.add_violation(format!("message {id} has two outstanding attempts"));
         }
         if s.attempts.len() >= self.s.most_attempts as usize {
-            self.flaw(format!("message {id} has too many attempts"));
+            self.add_violation(format!("message {id} has too many attempts"));
         }
         if let Some(first) = s.attempts.iter().find(|a| a.may_have_run) {
             let same_zone = self.rows[&first.route].zone == row.zone;
-            let fine = match c.effect {
+            let allowed = match c.effect {
                 Effect::Safe => true,
                 Effect::Keyed { by_zone } => (same_zone || !by_zone) && now <= first.sent + c.window,
                 Effect::Unsafe => false,
             };
-            if !fine {
-                self.flaw(format!("message {id} could take effect twice"));
+            if !allowed {
+                self.add_violation(format!("message {id} could take effect twice"));
             }
         }
-        if self.drains.get(&route).is_some_and(|d| now > d + self.s.drain_grace) {
-            self.flaw(format!("route {route} drains"));
+        if self.draining_since.get(&route).is_some_and(|d| now > d + self.s.drain_grace) {
+            self.add_violation(format!("route {route} sent to after its drain grace"));
         }
-        if self.waits.get(&self.unit(route)).is_some_and(|w| *w > now) {
-            self.flaw(format!("route {route} sent to inside a told wait"));
+        if self.retry_after_until.get(&self.limit_unit(route)).is_some_and(|w| *w > now) {
+            self.add_violation(format!("route {route} sent to before its retry-after is over"));
         }
         if let Some(k) = s.m.key.filter(|_| c.in_order) {
             let (queue, quiet) = self.keys[&k].clone();
             let open = |m: &MsgId| self.seen[m].finals == 0 || self.seen[m].attempts.iter().any(|a| a.out);
             if queue.iter().take_while(|m| **m != id).any(open) {
-                self.flaw(format!("message {id} overtakes its key"));
+                self.add_violation(format!("message {id} overtakes an earlier one of its key"));
             }
             if s.attempts.is_empty() && quiet > now {
-                self.flaw(format!("message {id} sent while its key rests"));
+                self.add_violation(format!("message {id} sent in the quiet period of its key"));
             }
         }
         let n = s.attempts.len() as u32;
         let attempt = Attempt { n, route, sent: now, cap, out: true, may_have_run: false };
         self.seen.get_mut(&id).unwrap().attempts.push(attempt);
-        let flights = |dest: Option<DestId>| {
+        let outstanding = |dest: Option<DestId>| {
             let all = self.seen.values().filter(|s| dest.is_none_or(|d| s.m.dest == d));
             let single = |a: &&Attempt| a.out && self.s.kind(self.rows[&a.route].kind).batch == 1;
             all.flat_map(|s| &s.attempts).filter(single).count()
         };
         if self.s.kind(row.kind).batch == 1 {
-            let (all, here) = (flights(None), flights(Some(row.dest)));
+            let (all, here) = (outstanding(None), outstanding(Some(row.dest)));
             if all > self.s.slots {
-                self.flaw(format!("{all} calls out with {} slots", self.s.slots));
+                self.add_violation(format!("{all} attempts outstanding with {} slots", self.s.slots));
             }
             if here > 1 && here * 4 >= self.s.slots * 3 {
-                self.flaw(format!("{here} calls out to one destination"));
+                self.add_violation(format!("{here} attempts outstanding at one destination"));
             }
         }
     }
 
-    /// Every message is over, and no rule was broken on the way.
+    /// Asserts that every message has exactly one final answer and that no rule was broken.
     pub fn all_well(&mut self) {
         let lost: Vec<_> = self.seen.iter().filter(|(_, s)| s.finals != 1).map(|(id, _)| *id).collect();
         assert!(self.broken.is_empty(), "rules broken: {:?}", self.broken);
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,25 +1,27 @@
-//! Connections: few are taken, idle ones are dropped unseen, new ones are dear.
+//! Reuse of connections. Endpoints accept few of them and drop idle ones without notice, and each new one costs a handshake.
 
 mod common;
 use common::*;
 use lilacbank::api::*;
 
+/// Number of actions so far that close idle connections.
 fn closes(w: &Watched) -> usize {
     w.actions.iter().filter(|a| matches!(a, Action::CloseIdle(_))).count()
 }
 
-/// Delivers one message to a destination, then lets it rest.
-fn deliver(w: &mut Watched, dest: DestId, rest: Ms) {
+/// Delivers one message to a destination, then advances the clock by `idle`.
+fn deliver(w: &mut Watched, dest: DestId, idle: Ms) {
     let id = w.arrive(0, dest, None);
     w.pass(80.0);
     w.end(id, Outcome::Delivered, 0.0);
-    w.pass(rest);
+    w.pass(idle);
 }
 
-/// The idle connections of hundreds of senders filled the tables of their destinations. Where full tables are told by a refusal
-/// at the door, an outage of one destination is none: it cost all others of its kind their connections for two minutes.
+/// Guards against idle connections of hundreds of dispatchers filling the connection tables of their destinations, and against
+/// an outage being taken for a full table: where a full table shows as a refusal, a failed connection at one destination cost
+/// all others of its kind their connections for two minutes.
 #[test]
-fn where_a_kind_had_a_full_table_none_is_kept_idle_and_after_an_outage_they_are() {
+fn idle_connections_of_a_kind_are_closed_after_a_full_table_and_kept_after_an_outage() {
     for (reports, outcome, kept) in [
         (false, Outcome::NoConnection, false),
         (true, Outcome::NoConnection, true),
@@ -28,31 +30,32 @@
         let rows = vec![row(0, 1, 0, 0), row(1, 2, 0, 0), row(2, 3, 0, 1)];
         let mut w = Watched::new(Settings { senders: 400, reports, ..settings() }, rows);
         deliver(&mut w, 1, 500.0);
-        assert_eq!(closes(&w), 0, "without evidence connections are kept");
+        assert_eq!(closes(&w), 0, "connections are kept as long as no table was full");
         let id = w.arrive(0, 2, None);
         w.end(id, outcome, 0.0);
         deliver(&mut w, 1, 100.0);
         let closed = w.actions.contains(&Action::CloseIdle(0));
-        assert_eq!(closed, !kept, "another destination of that kind: {reports} {outcome:?}");
+        assert_eq!(closed, !kept, "another destination of the same kind, reports: {reports}, {outcome:?}");
         let before = closes(&w);
         deliver(&mut w, 3, 100.0);
         assert_eq!(closes(&w), before, "a destination of another kind");
     }
 }
 
-/// Idle connections were dropped unseen; each call on one was lost, and the route taken for sick.
+/// Guards against attempts on idle connections that the endpoint has dropped without notice: each of them was lost, and the
+/// endpoint was taken for failing.
 #[test]
-fn after_a_rest_at_which_a_connection_was_lost_a_new_one_is_opened_first() {
+fn after_an_idle_time_that_once_lost_a_connection_a_new_one_is_opened_first() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
     (0..3).for_each(|_| deliver(&mut w, 1, 300.0));
     w.pass(2_000.0);
     let lost = w.arrive(2, 1, None);
     w.pass(20.0);
     w.end(lost, Outcome::Reset, 0.0);
-    assert!(w.seen[&lost].failed, "unsafe, and may have run");
+    assert!(w.seen[&lost].failed, "at-most-once, and may have run");
     deliver(&mut w, 1, 300.0);
     deliver(&mut w, 1, 3_000.0);
-    assert_eq!(closes(&w), 0, "short rests are harmless");
+    assert_eq!(closes(&w), 0, "no connection was lost after an idle time that short");
     deliver(&mut w, 1, 0.0);
     let close = w.actions.iter().position(|a| *a == Action::CloseIdle(0)).expect("closed");
     assert!(
@@ -62,27 +65,30 @@
     w.all_well();
 }
 
-/// A process that was replaced refuses connections as a full table does: with few senders all other routes of its kind
-/// lost their connections for two minutes.
+/// Guards against a replaced process being taken for a full table, since both refuse connections: with few dispatchers, all
+/// other endpoints of its kind lost their connections for two minutes.
 #[test]
-fn with_few_senders_only_the_route_that_refused_is_relieved_and_not_for_long() {
+fn with_few_dispatchers_only_the_endpoint_that_refused_loses_idle_connections_and_briefly() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
     let id = w.arrive(0, 2, None);
     w.end(id, Outcome::NoConnection, 0.0);
     deliver(&mut w, 1, 100.0);
-    assert!(!w.actions.contains(&Action::CloseIdle(0)), "another destination of that kind");
+    assert!(
+        !w.actions.contains(&Action::CloseIdle(0)),
+        "another destination of the same kind keeps its connection"
+    );
     w.pass(1_000.0);
     w.end(id, Outcome::Delivered, 0.0);
     let before = closes(&w);
-    assert!(before > 0, "the one that refused");
+    assert!(before > 0, "the endpoint that refused");
     w.pass(6_000.0);
     deliver(&mut w, 2, 10.0);
-    assert_eq!(closes(&w), before, "it has had time");
+    assert_eq!(closes(&w), before, "its connections are kept again after 6 s");
 }
 
-/// A spoilt answer on a connection that had been idle was taken for a connection dropped unseen.
+/// Guards against a broken answer on a connection that had been idle being taken for a connection dropped while idle.
 #[test]
-fn a_connection_that_breaks_within_its_answer_was_not_lost_while_idle() {
+fn a_connection_that_breaks_within_an_answer_does_not_count_as_lost_while_idle() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
     (0..3).for_each(|_| deliver(&mut w, 1, 300.0));
     w.pass(2_000.0);
@@ -100,9 +106,9 @@
     w.all_well();
 }
 
-/// Where ids and keys are new each time, what was known of the old ones must not pile up.
+/// Guards against state of old endpoints and keys piling up where ids and keys are new each time.
 #[test]
-fn routes_and_keys_that_never_come_back_are_forgotten() {
+fn endpoints_and_keys_that_never_return_are_forgotten() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
     let mut sizes = Vec::new();
     for n in 1..=400u32 {
@@ -115,20 +121,21 @@
         sizes.push(format!("{:?}", w.brain).len());
     }
     let (half, end) = (sizes[199], sizes[399]);
-    assert!(end < half + half / 10, "from {half} to {end} letters of state");
+    assert!(end < half + half / 10, "the state grew from {half} to {end} bytes of debug text");
     w.all_well();
 }
 
-/// One connection lost on a route that is seldom called made it sick for seconds, and cold for thirteen more.
+/// Guards against a single lost connection at a rarely used endpoint counting as an outage: it was avoided for seconds, and cold
+/// for another 13 s.
 #[test]
-fn a_lone_reset_is_no_outage_and_a_row_of_them_is() {
+fn a_single_reset_is_no_outage_and_a_series_of_them_is() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
     deliver(&mut w, 1, 10_000.0);
     let id = w.arrive(2, 1, None);
     w.pass(20.0);
     w.end(id, Outcome::Reset, 0.0);
     let next: Vec<MsgId> = (0..2).map(|_| w.arrive(0, 1, None)).collect();
-    assert!(next.iter().all(|id| w.out(*id).is_some()), "both go at once");
+    assert!(next.iter().all(|id| w.out(*id).is_some()), "both are sent at once");
     w.pass(20.0);
     next.iter().for_each(|id| w.end(*id, Outcome::Delivered, 0.0));
     w.pass(10_000.0);
@@ -139,12 +146,13 @@
         }
     }
     let id = w.arrive(0, 1, None);
-    assert!(w.out(id).is_none(), "now it is taken for down");
+    assert!(w.out(id).is_none(), "the endpoint is taken for down");
 }
 
-/// Routes of which nothing but connections had broken came back cold: their backlogs stood for 13 s beside free slots.
+/// Guards against endpoints that only reset connections being treated as cold: their backlogs waited for 13 s although slots
+/// were free.
 #[test]
-fn after_nothing_but_resets_a_route_comes_back_warm() {
+fn after_resets_alone_an_endpoint_is_not_cold() {
     let slots = Settings { cold: 13_000.0, ..settings() };
     let mut w = Watched::new(slots, vec![row(0, 1, 0, 0)]);
     (0..8).for_each(|_| deliver(&mut w, 1, 100.0));
@@ -160,13 +168,14 @@
         out.into_iter().for_each(|id| w.end(id, Outcome::Delivered, 0.0));
     }
     let next: Vec<MsgId> = (0..3).map(|_| w.arrive(0, 1, None)).collect();
-    assert!(next.iter().all(|id| w.out(*id).is_some()), "all go at once");
+    assert!(next.iter().all(|id| w.out(*id).is_some()), "all are sent at once");
 }
 
-/// 100 senders kept an idle connection each at endpoints that take 16: those turned away took it for a limit that was met,
-/// slowed down and called the endpoint shut, and their own idle connections shut out others.
+/// Guards against a full connection table being taken for a reached limit: 100 dispatchers kept an idle connection each at
+/// endpoints that accept 16. Refused dispatchers slowed down and took the endpoint for closed, while their own idle connections
+/// kept others out.
 #[test]
-fn a_refusal_without_a_word_of_the_limit_is_a_full_table_and_no_limit() {
+fn a_refusal_without_a_report_is_a_full_table_where_reports_are_usual() {
     for reports in [true, false] {
         let s = Settings { senders: 100, reports, ..settings() };
         let mut w = Watched::new(s, vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
@@ -176,9 +185,9 @@
             w.out(id).into_iter().for_each(|_| w.end(id, Outcome::Refused, 0.0));
             w.pass(100.0);
         }
-        let tries = w.seen[&id].attempts.len();
-        assert_eq!(tries >= 4, reports, "{tries} attempts in 6 s, reports: {reports}");
+        let attempts = w.seen[&id].attempts.len();
+        assert_eq!(attempts >= 4, reports, "{attempts} attempts in 6 s, reports: {reports}");
         deliver(&mut w, 2, 0.0);
-        assert_eq!(closes(&w) > 0, reports, "idle connections are in the way of others");
+        assert_eq!(closes(&w) > 0, reports, "idle connections are closed exactly where reports are usual");
     }
 }
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,10 +1,13 @@
-//! What the module does with messages of an earlier process, and near the end of its own.
+//! How the decision module handles messages of an earlier process, and which attempts it starts shortly before its own
+//! process ends.
 
 mod common;
 use common::*;
 use lilacbank::api::*;
 use lilacbank::Brain;
 
+/// A module that has received two endpoints of destination 1, in zones 0 and 1, and these events in one batch; and its
+/// actions.
 fn brain(more: Vec<Event>) -> (Brain, Vec<Action>) {
     let mut brain = Brain::new(Settings { ends_confirmed: true, ..settings() });
     let rows = vec![row(0, 1, 0, 0), row(1, 1, 1, 0)];
@@ -30,9 +33,10 @@
     Event::Resumed(Resumed { message, attempts: 1, ran, ended: false })
 }
 
-/// Classes: 0 safe, 1 keyed by zone, 2 unsafe.
+/// Guards against a resumed message being repeated where its class forbids it. Messages: 1 idempotent, 2 deduplicated within
+/// a zone, 3 at-most-once; all three may have run. 4 is at-most-once and never ran.
 #[test]
-fn what_may_have_run_goes_no_further_than_its_class_permits() {
+fn a_resumed_message_is_repeated_only_as_its_class_permits() {
     let ran = Some((900.0, 1));
     let all = vec![
         resumed(message(1, 0, None), ran),
@@ -43,20 +47,20 @@
     let (_, out) = brain(all);
     let sent = sends(&out);
     assert!(sent.iter().any(|s| s.0 == 1) && sent.iter().any(|s| s.0 == 4), "{sent:?}");
-    assert!(sent.contains(&(2, 1)), "the keyed one goes to its own zone: {sent:?}");
+    assert!(sent.contains(&(2, 1)), "the deduplicated message is repeated in its own zone: {sent:?}");
     assert!(out.contains(&Action::Fail(3)) && sent.iter().all(|s| s.0 != 3));
 }
 
-/// A keyed message outside its window ends; it is not sent.
+/// Guards against a repeat of a deduplicated message after its window, when endpoints no longer drop repeats.
 #[test]
-fn a_window_that_is_over_ends_a_keyed_message() {
+fn a_deduplicated_message_is_given_up_after_its_window() {
     let (_, out) = brain(vec![resumed(message(1, 1, None), Some((-4_000.0, 0)))]);
     assert_eq!((sends(&out), out.contains(&Action::Fail(1))), (vec![], true));
 }
 
-/// Guards against a key's later message overtaking one whose end nobody has heard of.
+/// Guards against a later message of a key being sent before the client has received the final answer of the earlier one.
 #[test]
-fn a_key_waits_until_the_end_of_the_one_before_has_been_heard() {
+fn a_key_waits_until_the_client_has_the_final_answer_of_the_earlier_message() {
     let ended =
         Event::Resumed(Resumed { message: message(1, 3, Some(7)), ended: true, ..Resumed::default() });
     let (mut brain, out) = brain(vec![ended, Event::Arrived(message(2, 3, Some(7)))]);
@@ -66,28 +70,33 @@
     assert_eq!(sends(&out).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
 }
 
-/// Guards against a key whose late attempt, of an earlier process, may run still: nothing of that attempt needs to be held.
+/// Guards against two messages of a key running at once after a restart: an attempt of the earlier process may still run,
+/// although this process holds nothing of it.
 #[test]
-fn every_key_rests_after_a_restart() {
+fn every_key_has_a_quiet_period_after_a_restart() {
     let quiet = settings().key_quiet;
     let (mut brain, out) = brain(vec![Event::Restarted, Event::Arrived(message(2, 3, Some(7)))]);
     assert_eq!(sends(&out), []);
-    let at = |brain: &mut Brain, now: Ms| {
+    let sent_at = |brain: &mut Brain, now: Ms| {
         let mut out = Vec::new();
         brain.step(now, &[Event::Arrived(message(now as MsgId, 0, None))], &mut out);
         sends(&out).iter().any(|s| s.0 == 2)
     };
-    assert!(!at(&mut brain, 1_000.0 + quiet - 5.0), "it rests");
-    assert!(at(&mut brain, 1_000.0 + quiet + 5.0), "and goes then");
+    assert!(!sent_at(&mut brain, 1_000.0 + quiet - 5.0), "not sent in the quiet period");
+    assert!(sent_at(&mut brain, 1_000.0 + quiet + 5.0), "sent after the quiet period");
 }
 
 #[test]
-fn near_the_end_of_the_process_only_what_can_finish_starts() {
+fn near_the_end_of_the_process_only_attempts_that_can_finish_start() {
     let closing = |at| {
         vec![Event::Closing(at), Event::Arrived(message(1, 0, None)), Event::Arrived(message(2, 2, None))]
     };
     let ids = |at| sends(&brain(closing(at)).1).iter().map(|s| s.0).collect::<Vec<_>>();
     assert!(ids(1_100.0).is_empty());
-    assert_eq!(ids(1_900.0), [1], "an unsafe message would be cut off by a slow call");
+    assert_eq!(
+        ids(1_900.0),
+        [1],
+        "the process could end before a slow attempt of the at-most-once message does"
+    );
     assert_eq!(ids(9_000.0).len(), 2);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,16 +1,17 @@
-//! Each rule, and seeded random scripts, under the rule checker.
+//! Each delivery rule of the decision module by itself, and scripts drawn from seeds, under the rule checker.
 
 mod common;
 use common::*;
 use lilacbank::api::*;
 
-fn two_routes() -> Watched {
+/// Two endpoints of destination 1, in zones 0 and 1.
+fn two_endpoints() -> Watched {
     Watched::new(settings(), vec![row(0, 1, 0, 0), row(1, 1, 1, 0)])
 }
 
 #[test]
 fn a_message_is_sent_at_once_and_ends_once() {
-    let mut w = two_routes();
+    let mut w = two_endpoints();
     let id = w.arrive(0, 1, None);
     assert!(w.out(id).is_some());
     w.pass(80.0);
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_message_that_nobody_takes_is_answered_in_time() {
+fn a_message_that_is_always_refused_is_returned_in_time() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
     let ids: Vec<_> = (0..6).map(|_| w.arrive(2, 1, None)).collect();
     for id in ids {
@@ -34,12 +35,12 @@
         open.into_iter().for_each(|id| w.end(id, Outcome::Refused, 0.0));
     }
     w.all_well();
-    assert!(w.seen.values().all(|s| s.advice.is_some()), "what never ran is handed back");
+    assert!(w.seen.values().all(|s| s.advice.is_some()), "every message that never ran is returned");
 }
 
 #[test]
-fn no_route_and_no_time_still_get_one_answer() {
-    let mut w = two_routes();
+fn a_message_without_an_endpoint_or_without_time_gets_one_final_answer() {
+    let mut w = two_endpoints();
     w.arrive(0, 99, None);
     let m = Message {
         id: 500,
@@ -58,10 +59,10 @@
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_is_failed_at_once() {
-    let mut w = two_routes();
+fn an_at_most_once_message_that_may_have_run_is_given_up_at_once() {
+    let mut w = two_endpoints();
     let id = w.arrive(2, 1, None);
-    assert_eq!(w.out(id).unwrap().cap, None, "no watchdog");
+    assert_eq!(w.out(id).unwrap().cap, None, "no timeout shorter than the deadline");
     w.end(id, Outcome::Error, 0.0);
     assert!(w.seen[&id].failed);
     assert_eq!(w.seen[&id].attempts.len(), 1);
@@ -69,8 +70,8 @@
 }
 
 #[test]
-fn an_unsafe_message_moves_on_proof_that_it_never_ran() {
-    let mut w = two_routes();
+fn an_at_most_once_message_goes_to_another_endpoint_once_it_provably_never_ran() {
+    let mut w = two_endpoints();
     let id = w.arrive(2, 1, None);
     let first = w.out(id).unwrap().route;
     w.end(id, Outcome::NoConnection, 0.0);
@@ -81,8 +82,8 @@
 }
 
 #[test]
-fn a_keyed_message_stays_in_its_zone_and_window() {
-    let mut w = two_routes();
+fn a_deduplicated_message_is_repeated_only_in_its_zone_and_window() {
+    let mut w = two_endpoints();
     let id = w.arrive(1, 1, None);
     let first = w.out(id).unwrap();
     w.end(id, Outcome::Reset, 0.0);
@@ -93,17 +94,17 @@
         }
     }
     let s = &w.seen[&id];
-    assert!(s.attempts.len() > 1, "it is tried again");
+    assert!(s.attempts.len() > 1, "it has a second attempt");
     assert!(s.attempts.iter().all(|a| a.route == first.route));
     assert!(s.failed && s.ended_at <= first.sent + 4_000.0, "given up when its window closes, not later");
     w.all_well();
 }
 
 #[test]
-fn a_draining_route_gets_nothing() {
-    let mut w = two_routes();
-    let gone = Row { listing: Listing::Draining, ..row(0, 1, 0, 0) };
-    w.give(vec![Event::List { rows: vec![gone], whole: false, cached: false }]);
+fn a_draining_endpoint_gets_no_message() {
+    let mut w = two_endpoints();
+    let draining = Row { listing: Listing::Draining, ..row(0, 1, 0, 0) };
+    w.give(vec![Event::List { rows: vec![draining], whole: false, cached: false }]);
     w.pass(300.0);
     for _ in 0..10 {
         let id = w.arrive(0, 1, None);
@@ -114,26 +115,26 @@
 }
 
 #[test]
-fn a_told_wait_binds_the_route_or_the_whole_destination() {
-    for (kind, other_may) in [(0, true), (1, false)] {
+fn a_retry_after_binds_the_endpoint_or_the_whole_destination() {
+    for (kind, other_allowed) in [(0, true), (1, false)] {
         let mut w = Watched::new(settings(), vec![row(0, 1, 0, kind), row(1, 1, 1, kind)]);
         let id = w.arrive(0, 1, None);
         let first = w.out(id).unwrap().route;
         w.end(id, Outcome::Refused, 1_500.0);
         w.pass(1_000.0);
-        assert_eq!(w.out(id).is_some(), other_may, "kind {kind}");
+        assert_eq!(w.out(id).is_some(), other_allowed, "kind {kind}");
         assert!(w.out(id).is_none_or(|a| a.route != first));
         w.pass(2_500.0);
-        assert!(w.out(id).is_some(), "sent once the wait is over");
+        assert!(w.out(id).is_some(), "sent once the retry-after is over");
         w.end(id, Outcome::Delivered, 0.0);
         w.all_well();
     }
 }
 
 #[test]
-fn a_returning_destination_is_not_pushed() {
+fn a_destination_gets_a_reduced_rate_after_an_outage() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
-    // Forty accepted calls over four seconds prove ten a second.
+    // 40 accepted messages in 4 s show a rate of 10 per second.
     for _ in 0..40 {
         let id = w.arrive(0, 1, None);
         w.pass(50.0);
@@ -142,7 +143,7 @@
         }
         w.pass(50.0);
     }
-    // An outage of eight seconds; messages pile up.
+    // An outage of 8 s, in which messages queue up.
     for i in 0..40 {
         w.pass(200.0);
         if i < 30 {
@@ -151,23 +152,26 @@
         let open: Vec<_> = w.seen.keys().copied().filter(|id| w.out(*id).is_some()).collect();
         open.into_iter().for_each(|id| w.end(id, Outcome::NoConnection, 0.0));
     }
-    let back = w.now;
+    let recovered = w.now;
     for _ in 0..200 {
         w.pass(20.0);
         let open: Vec<_> = w.seen.keys().copied().filter(|id| w.out(*id).is_some()).collect();
         open.into_iter().for_each(|id| w.end(id, Outcome::Delivered, 0.0));
     }
-    let sent =
-        w.seen.values().flat_map(|s| &s.attempts).filter(|a| a.sent >= back && a.sent < back + 2_000.0);
-    // Twice a fifth of ten a second for two seconds is eight.
+    let sent = w
+        .seen
+        .values()
+        .flat_map(|s| &s.attempts)
+        .filter(|a| a.sent >= recovered && a.sent < recovered + 2_000.0);
+    // The bound: twice a fifth of 10 per second, for 2 s, is 8.
     let sent = sent.count();
-    assert!((1..=8).contains(&sent), "{sent} calls in the first two seconds");
+    assert!((1..=8).contains(&sent), "{sent} attempts in the first two seconds");
     w.pass(20_000.0);
 }
 
 #[test]
-fn a_key_keeps_its_order_and_rests() {
-    let mut w = two_routes();
+fn a_key_keeps_its_order_and_its_quiet_period() {
+    let mut w = two_endpoints();
     let a = w.arrive(3, 1, Some(9));
     let b = w.arrive(3, 1, Some(9));
     w.pass(100.0);
@@ -175,10 +179,10 @@
     w.give(vec![Event::ClientGone(a)]);
     w.seen.get_mut(&a).unwrap().finals = 1;
     w.pass(100.0);
-    assert!(w.out(b).is_none(), "an attempt of the first is still out");
+    assert!(w.out(b).is_none(), "an attempt of the first message is still outstanding");
     w.end(a, Outcome::Reset, 0.0);
     w.pass(400.0);
-    assert!(w.out(b).is_none(), "the key rests");
+    assert!(w.out(b).is_none(), "the quiet period of the key is not over");
     w.pass(400.0);
     assert!(w.out(b).is_some());
     w.end(b, Outcome::Delivered, 0.0);
@@ -186,8 +190,8 @@
 }
 
 #[test]
-fn late_and_foreign_events_are_passed_over() {
-    let mut w = two_routes();
+fn late_and_unknown_events_are_ignored() {
+    let mut w = two_endpoints();
     let id = w.arrive(0, 1, None);
     w.end(id, Outcome::Delivered, 0.0);
     let e = Ended { took: 9.0, over: true, ..Ended::of(id, 0, 0, Outcome::Late) };
@@ -205,7 +209,7 @@
 }
 
 #[test]
-fn edges_of_the_settings_do_no_harm() {
+fn extreme_settings_break_no_rule() {
     for (slots, window, attempts) in [(0, 0.0, 6), (1, 0.0, 1), (2, 4_000.0, 0)] {
         let mut s = Settings { slots, most_attempts: attempts, max_held: 0, ..settings() };
         s.classes.iter_mut().for_each(|c| c.window = window);
@@ -223,7 +227,8 @@
     }
 }
 
-/// A script drawn from a seed: arrivals, outcomes of every kind, told waits, drains and pauses.
+/// Runs a script drawn from a seed: arrivals, outcomes of every kind, retry-afters, endpoints that drain or go, and pauses.
+/// Returns the actions of the module.
 fn random_script(seed: u64, steps: usize) -> Vec<Action> {
     let mut x = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
     let mut draw = move |n: u64| {
@@ -237,7 +242,7 @@
     for _ in 0..steps {
         for _ in 0..draw(12) {
             w.pass(10.0);
-            settle_due(&mut w);
+            end_due_attempts(&mut w);
         }
         if draw(3) > 0 {
             let class = draw(4) as usize;
@@ -253,8 +258,8 @@
                 9 => Outcome::Reset,
                 _ => continue,
             };
-            let told = outcome == Outcome::Refused && draw(2) == 0;
-            let wait = if told { draw(1_500) as f64 } else { 0.0 };
+            let has_wait = outcome == Outcome::Refused && draw(2) == 0;
+            let wait = if has_wait { draw(1_500) as f64 } else { 0.0 };
             w.end(id, outcome, wait);
         }
         if draw(60) == 0 {
@@ -268,14 +273,14 @@
     }
     for _ in 0..2_000 {
         w.pass(10.0);
-        settle_due(&mut w);
+        end_due_attempts(&mut w);
     }
     w.all_well();
     w.actions
 }
 
-/// Watchdog cuts, cancels, probes and deadlines come back as a host would bring them.
-fn settle_due(w: &mut Watched) {
+/// Ends the attempts that have timed out or were cancelled, as the host of the module does.
+fn end_due_attempts(w: &mut Watched) {
     for id in w.seen.keys().copied().collect::<Vec<_>>() {
         let Some(a) = w.out(id) else { continue };
         let due = (w.seen[&id].m.valid_until).min(a.cap.map_or(f64::MAX, |c| a.sent + c));
@@ -289,10 +294,10 @@
 }
 
 #[test]
-fn random_scripts_keep_the_rules_and_repeat() {
+fn seeded_scripts_keep_the_rules_and_are_deterministic() {
     for seed in 1..=40 {
         let first = random_script(seed, 250);
-        assert_eq!(first, random_script(seed, 250), "seed {seed}: same events, other actions");
+        assert_eq!(first, random_script(seed, 250), "seed {seed}: the same events gave different actions");
     }
 }
 
@@ -301,7 +306,7 @@
         cases: 24, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..Default::default()
     })]
     #[test]
-    fn drawn_scripts_keep_the_rules(seed in 1_000u64..1_000_000, steps in 10usize..200) {
+    fn scripts_of_random_seeds_and_lengths_keep_the_rules(seed in 1_000u64..1_000_000, steps in 10usize..200) {
         random_script(seed, steps);
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,17 +1,18 @@
-//! Hundreds of senders that share destinations: evidence is rare, and what each does, all do.
+//! Hundreds of dispatchers that share destinations: each one has few observations, and all react alike.
 
 mod common;
 use common::*;
 use lilacbank::api::*;
 
-/// `count` senders of `senders`, each with a list of one route.
-fn crowd(count: u64, senders: usize) -> Vec<Watched> {
+/// `count` dispatchers of an installation of `senders`, each with one endpoint.
+fn watched_dispatchers(count: u64, senders: usize) -> Vec<Watched> {
     let one = |seed| Watched::new(Settings { seed, senders, ..settings() }, vec![row(0, 1, 0, 0)]);
     (1..=count).map(|seed| one(seed * 7919)).collect()
 }
 
-/// Sends of a message after its first, as times since `from`, while every attempt ends with `outcome`.
-fn tries_after(w: &mut Watched, id: MsgId, outcome: Outcome, span: Ms) -> Vec<Ms> {
+/// Ends every attempt of a message with `outcome` for `span`; returns the start times of its new attempts, counted from the
+/// call of this function.
+fn attempts_after(w: &mut Watched, id: MsgId, outcome: Outcome, span: Ms) -> Vec<Ms> {
     let from = w.now;
     let before = w.seen[&id].attempts.len();
     while w.now < from + span {
@@ -23,17 +24,17 @@
     w.seen[&id].attempts[before..].iter().map(|a| a.sent - from).collect()
 }
 
-/// Most of the times that fall into one span.
+/// The largest number of these times that fall into one interval of length `span`.
 fn most_within(times: &[Ms], span: Ms) -> usize {
     let from = |t: &Ms| times.iter().filter(|x| **x >= *t && **x < *t + span).count();
     times.iter().map(from).max().unwrap_or(0)
 }
 
-/// Tokens taken while there was no pace were a debt of seconds at the first refusal.
+/// Guards against a pause of seconds at the first refusal: tokens taken while no rate limit was in force counted as debt.
 #[test]
-fn the_first_refusal_after_many_calls_holds_a_destination_for_a_moment_only() {
+fn the_first_refusal_after_many_attempts_holds_a_destination_back_only_briefly() {
     for senders in [1, 400] {
-        let mut w = crowd(1, senders).remove(0);
+        let mut w = watched_dispatchers(1, senders).remove(0);
         for _ in 0..60 {
             let id = w.arrive(0, 1, None);
             w.pass(80.0);
@@ -43,70 +44,70 @@
         let id = w.arrive(0, 1, None);
         w.end(id, Outcome::Refused, 0.0);
         w.pass(if senders == 1 { 1_000.0 } else { 4_500.0 });
-        assert_eq!(w.seen[&id].attempts.len(), 2, "{senders} senders: sent again soon");
+        assert_eq!(w.seen[&id].attempts.len(), 2, "{senders} dispatchers: one more attempt by now");
         w.end(id, Outcome::Delivered, 0.0);
         w.all_well();
     }
 }
 
-/// Senders that saw one failure at one moment tried again in one burst, onto a cold destination.
+/// Guards against a burst at a cold destination: dispatchers that saw a failure at the same moment retried at the same moment.
 #[test]
-fn trials_of_a_crowd_are_few_and_spread() {
+fn retries_of_many_dispatchers_are_few_and_spread() {
     let mut all = Vec::new();
-    for mut w in crowd(60, 400) {
+    for mut w in watched_dispatchers(60, 400) {
         w.pass(60_000.0);
         let id = w.arrive(0, 1, None);
         w.end(id, Outcome::NoConnection, 0.0);
-        all.extend(tries_after(&mut w, id, Outcome::NoConnection, 12_000.0));
+        all.extend(attempts_after(&mut w, id, Outcome::NoConnection, 12_000.0));
         assert!(w.broken.is_empty(), "{:?}", w.broken);
     }
-    assert!(!all.is_empty(), "somebody tries");
-    assert!(all.len() <= 2 * 60, "{} trials of 60 senders in 12 s", all.len());
+    assert!(!all.is_empty(), "no dispatcher retries");
+    assert!(all.len() <= 2 * 60, "{} retries of 60 dispatchers in 12 s", all.len());
     let burst = most_within(&all, 1_500.0);
-    assert!(burst <= 20, "{burst} of 60 senders within 1.5 s");
+    assert!(burst <= 20, "{burst} retries of 60 dispatchers within 1.5 s");
 }
 
-/// With two senders a trial is not put off for a crowd that cannot be there.
+/// Guards against two dispatchers spreading their retries as widely as hundreds have to.
 #[test]
-fn two_senders_try_soon() {
-    for mut w in crowd(2, 2) {
+fn two_dispatchers_retry_soon() {
+    for mut w in watched_dispatchers(2, 2) {
         let id = w.arrive(0, 1, None);
         w.end(id, Outcome::NoConnection, 0.0);
-        let tries = tries_after(&mut w, id, Outcome::NoConnection, 4_000.0);
-        assert!(!tries.is_empty(), "no trial within 4 s");
+        let attempts = attempts_after(&mut w, id, Outcome::NoConnection, 4_000.0);
+        assert!(!attempts.is_empty(), "no retry within 4 s");
     }
 }
 
-/// Senders that were told one wait all came back when it ended.
+/// Guards against a burst of dispatchers that received the same retry-after and all returned when it ended.
 #[test]
-fn a_told_wait_does_not_end_in_a_burst() {
+fn a_shared_retry_after_does_not_end_in_a_burst() {
     let mut all = Vec::new();
-    for mut w in crowd(60, 400) {
+    for mut w in watched_dispatchers(60, 400) {
         let id = w.arrive(0, 1, None);
         w.end(id, Outcome::Refused, 800.0);
-        let tries = tries_after(&mut w, id, Outcome::Delivered, 8_000.0);
-        assert_eq!(tries.len(), 1);
-        all.extend(tries);
+        let attempts = attempts_after(&mut w, id, Outcome::Delivered, 8_000.0);
+        assert_eq!(attempts.len(), 1);
+        all.extend(attempts);
         w.all_well();
     }
     assert!(all.iter().all(|t| *t >= 800.0));
     let burst = most_within(&all, 200.0);
-    assert!(burst <= 15, "{burst} of 60 senders within 0.2 s");
+    assert!(burst <= 15, "{burst} attempts of 60 dispatchers within 0.2 s");
 }
 
-/// What senders that saw an outage send to the returning destination stays under what it may be sent.
+/// Guards against ramps that are harmless for one dispatcher but exceed in sum what a returning destination can take.
 #[test]
-fn ramps_of_a_crowd_sum_up() {
+fn the_ramps_of_all_dispatchers_stay_low_in_sum() {
     for (count, senders) in [(2, 2), (100, 100)] {
         let (mut sent, mut returned) = (0, 0);
-        for mut w in crowd(count, senders) {
+        for mut w in watched_dispatchers(count, senders) {
             w.pass(60_000.0);
             let id = w.arrive(0, 1, None);
             w.end(id, Outcome::NoConnection, 0.0);
             while w.out(id).is_none() && w.seen[&id].finals == 0 {
                 w.pass(10.0);
             }
-            // Some find no time for a trial before the message is over.
+            // Some messages expire before the dispatcher's first retry.
             if w.seen[&id].finals > 0 {
                 continue;
             }
@@ -122,30 +123,30 @@
                 open.into_iter().for_each(|id| w.end(id, Outcome::Delivered, 0.0));
             }
         }
-        assert!(returned > 0, "somebody finds it back");
-        // One a second for each sender was the old floor: 400 calls here.
-        assert!(sent <= 12 + count as usize / 2, "{sent} calls of {count} senders in two seconds");
+        assert!(returned > 0, "no dispatcher found the destination again");
+        // An earlier floor of 1 per second for each dispatcher made 400 calls here.
+        assert!(sent <= 12 + count as usize / 2, "{sent} attempts of {count} dispatchers in two seconds");
     }
 }
 
-/// A fresh message with little time left was taken for an old one and went last.
+/// Guards against a new message with little time left being taken for an old one and sent last.
 #[test]
-fn a_message_with_little_time_goes_first() {
+fn a_message_with_little_time_left_goes_first() {
     let s = Settings { slots: 1, marks_again: true, ..settings() };
     let mut w = Watched::new(s, vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
     let first = w.arrive(0, 1, None);
     let patient = w.arrive(0, 2, None);
     let valid_until = w.now + 900.0;
-    let hurried = Message { id: 900, valid_until, dest: 2, ..Message::default() };
-    w.give(vec![Event::Arrived(hurried)]);
+    let urgent = Message { id: 900, valid_until, dest: 2, ..Message::default() };
+    w.give(vec![Event::Arrived(urgent)]);
     w.pass(100.0);
     w.end(first, Outcome::Delivered, 0.0);
     assert!(w.out(900).is_some() && w.out(patient).is_none());
 }
 
-/// The work of an event does not reach routes that nothing waits for: no action names them.
+/// Guards against an event causing actions at endpoints for which no message waits.
 #[test]
-fn hundreds_of_routes_and_a_long_queue_act_only_where_something_happens() {
+fn an_event_causes_no_actions_at_hundreds_of_unconcerned_endpoints() {
     let rows = (0..600).map(|i| row(i, DestId::from(i / 3), (i % 3) as usize, 0)).collect();
     let s = Settings { senders: 1_000, slots: 2, max_held: 500, can_probe: true, ..settings() };
     let mut w = Watched::new(s, rows);
@@ -163,9 +164,10 @@
     w.all_well();
 }
 
-/// Refused senders came back to a small limit every few seconds and pushed it over as it returned.
+/// Guards against refused dispatchers returning to a destination with a small limit every few seconds, which overloaded it
+/// again as it recovered.
 #[test]
-fn rests_of_a_crowd_at_a_small_limit_grow_with_the_time_it_refuses() {
+fn pauses_at_a_small_limit_grow_with_the_time_for_which_it_refuses() {
     let mut all = Vec::new();
     for seed in 1..=15 {
         let s = Settings { seed: seed * 7919, senders: 258, weights: Weights::RoughRate, ..settings() };
@@ -173,40 +175,41 @@
         w.pass(60_000.0);
         let id = w.arrive(0, 1, None);
         w.end(id, Outcome::Refused, 0.0);
-        all.extend(tries_after(&mut w, id, Outcome::Refused, 14_000.0));
+        all.extend(attempts_after(&mut w, id, Outcome::Refused, 14_000.0));
         assert!(w.broken.is_empty(), "{:?}", w.broken);
     }
     let late: Vec<_> = all.into_iter().filter(|t| *t > 5_000.0).collect();
     let burst = most_within(&late, 3_000.0);
-    assert!(burst <= 8, "{burst} calls of 15 senders within 3 s");
+    assert!(burst <= 8, "{burst} attempts of 15 dispatchers within 3 s");
 }
 
-/// A message that no route can take while there is time was kept until its time was up.
+/// Guards against a message that no endpoint can accept before its deadline being kept until the deadline.
 #[test]
-fn a_message_that_nothing_can_take_in_time_is_answered_at_once() {
-    let mut w = crowd(1, 400).remove(0);
+fn a_message_that_no_endpoint_can_accept_in_time_is_returned_at_once() {
+    let mut w = watched_dispatchers(1, 400).remove(0);
     let id = w.arrive(0, 1, None);
     w.end(id, Outcome::Refused, 30_000.0);
-    assert_eq!(w.seen[&id].finals, 1, "handed back as soon as the wait is told");
+    assert_eq!(w.seen[&id].finals, 1, "returned as soon as the retry-after arrives");
     assert_eq!(w.seen[&id].advice, Some(w.s.max_advice));
     w.all_well();
 }
 
-/// A sender that had no answer yet took a busy destination for a tiny one: no trial for a minute.
+/// Guards against a dispatcher without any answer so far taking a busy destination for one with a tiny limit: it made no
+/// attempt for a minute.
 #[test]
-fn a_busy_destination_is_tried_again_soon_by_a_sender_that_never_had_an_answer() {
-    let mut w = crowd(1, 100).remove(0);
+fn a_dispatcher_that_never_had_an_answer_soon_retries_a_busy_destination() {
+    let mut w = watched_dispatchers(1, 100).remove(0);
     let ids: Vec<_> = (0..6).map(|_| w.arrive(0, 1, None)).collect();
     ids[..2].iter().for_each(|id| w.end(*id, Outcome::NoConnection, 0.0));
     let before: usize = w.seen.values().map(|s| s.attempts.len()).sum();
     w.pass(12_000.0);
     let after: usize = w.seen.values().map(|s| s.attempts.len()).sum();
-    assert!(after > before, "no trial within 12 s");
+    assert!(after > before, "no retry within 12 s");
 }
 
-/// The clock may start anywhere.
+/// Guards against decisions that depend on the clock's start value, which may be any.
 #[test]
-fn the_start_of_the_clock_changes_nothing() {
+fn the_start_value_of_the_clock_changes_no_decision() {
     let run = |start: Ms| {
         let mut w =
             Watched::new(Settings { senders: 50, ..settings() }, vec![row(0, 1, 0, 0), row(1, 1, 1, 0)]);
@@ -230,9 +233,9 @@
     assert_eq!(run(1_000.0), run(351_250_000.0));
 }
 
-/// A destination of several routes under one limit shut; only the route that was refused was held back.
+/// Guards against a refusal at a destination with one limit for several endpoints holding back only the endpoint that refused.
 #[test]
-fn routes_under_one_limit_are_shut_and_come_back_as_one() {
+fn endpoints_under_one_limit_are_held_back_and_released_together() {
     let rows = vec![row(0, 1, 0, 1), row(1, 1, 1, 1), row(2, 1, 0, 1)];
     let mut w = Watched::new(Settings { senders: 80, ..settings() }, rows);
     (0..20).for_each(|_| {
@@ -250,7 +253,7 @@
     while open(&w).is_empty() && w.now < 60_000.0 {
         w.pass(10.0);
     }
-    assert_eq!(open(&w).len(), 1, "one trial of all that share the limit");
+    assert_eq!(open(&w).len(), 1, "one first attempt for all endpoints under the limit");
     w.pass(60.0);
     let mut sent = 0;
     for _ in 0..20 {
@@ -259,5 +262,5 @@
         out.into_iter().for_each(|id| w.end(id, Outcome::Delivered, 0.0));
         w.pass(50.0);
     }
-    assert!(sent <= 3, "{sent} calls in the first second after the return");
+    assert!(sent <= 3, "{sent} attempts in the first second after the return");
 }
