--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -187,7 +187,8 @@
         self.now = until;
     }
 
-    /// The unit that a retry-after of this route binds: the route, or its destination if its routes share one limit.
+    /// The unit that a retry-after of this route binds: the route, or its destination if its routes share one
+    /// limit.
     fn limit_unit(&self, route: RouteId) -> (DestId, Option<RouteId>) {
         let r = &self.rows[&route];
         (r.dest, self.s.kind(r.kind).apart.then_some(route))
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Reuse of connections. Endpoints accept few of them and drop idle ones without notice, and each new one costs a handshake.
+//! Reuse of connections. Endpoints accept few of them and drop idle ones without notice, and each new one
+//! costs a handshake.
 
 mod common;
 use common::*;
@@ -17,9 +18,9 @@
     w.pass(idle);
 }
 
-/// Guards against idle connections of hundreds of dispatchers filling the connection tables of their destinations, and against
-/// an outage being taken for a full table: where a full table shows as a refusal, a failed connection at one destination cost
-/// all others of its kind their connections for two minutes.
+/// Guards against idle connections of hundreds of dispatchers filling the connection tables of their
+/// destinations, and against an outage being taken for a full table: where a full table shows as a refusal, a
+/// failed connection at one destination cost all others of its kind their connections for two minutes.
 #[test]
 fn idle_connections_of_a_kind_are_closed_after_a_full_table_and_kept_after_an_outage() {
     for (reports, outcome, kept) in [
@@ -42,8 +43,8 @@
     }
 }
 
-/// Guards against attempts on idle connections that the endpoint has dropped without notice: each of them was lost, and the
-/// endpoint was taken for failing.
+/// Guards against attempts on idle connections that the endpoint has dropped without notice: each of them was
+/// lost, and the endpoint was taken for failing.
 #[test]
 fn after_an_idle_time_that_once_lost_a_connection_a_new_one_is_opened_first() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
@@ -65,8 +66,8 @@
     w.all_well();
 }
 
-/// Guards against a replaced process being taken for a full table, since both refuse connections: with few dispatchers, all
-/// other endpoints of its kind lost their connections for two minutes.
+/// Guards against a replaced process being taken for a full table, since both refuse connections: with few
+/// dispatchers, all other endpoints of its kind lost their connections for two minutes.
 #[test]
 fn with_few_dispatchers_only_the_endpoint_that_refused_loses_idle_connections_and_briefly() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
@@ -86,7 +87,8 @@
     assert_eq!(closes(&w), before, "its connections are kept again after 6 s");
 }
 
-/// Guards against a broken answer on a connection that had been idle being taken for a connection dropped while idle.
+/// Guards against a broken answer on a connection that had been idle being taken for a connection dropped
+/// while idle.
 #[test]
 fn a_connection_that_breaks_within_an_answer_does_not_count_as_lost_while_idle() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
@@ -125,8 +127,8 @@
     w.all_well();
 }
 
-/// Guards against a single lost connection at a rarely used endpoint counting as an outage: it was avoided for seconds, and cold
-/// for another 13 s.
+/// Guards against a single lost connection at a rarely used endpoint counting as an outage: it was avoided
+/// for seconds, and cold for another 13 s.
 #[test]
 fn a_single_reset_is_no_outage_and_a_series_of_them_is() {
     let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
@@ -149,8 +151,8 @@
     assert!(w.out(id).is_none(), "the endpoint is taken for down");
 }
 
-/// Guards against endpoints that only reset connections being treated as cold: their backlogs waited for 13 s although slots
-/// were free.
+/// Guards against endpoints that only reset connections being treated as cold: their backlogs waited for 13 s
+/// although slots were free.
 #[test]
 fn after_resets_alone_an_endpoint_is_not_cold() {
     let slots = Settings { cold: 13_000.0, ..settings() };
@@ -171,9 +173,9 @@
     assert!(next.iter().all(|id| w.out(*id).is_some()), "all are sent at once");
 }
 
-/// Guards against a full connection table being taken for a reached limit: 100 dispatchers kept an idle connection each at
-/// endpoints that accept 16. Refused dispatchers slowed down and took the endpoint for closed, while their own idle connections
-/// kept others out.
+/// Guards against a full connection table being taken for a reached limit: 100 dispatchers kept an idle
+/// connection each at endpoints that accept 16. Refused dispatchers slowed down and took the endpoint for
+/// closed, while their own idle connections kept others out.
 #[test]
 fn a_refusal_without_a_report_is_a_full_table_where_reports_are_usual() {
     for reports in [true, false] {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A hundred dispatchers at destinations whose limit they share: behaviour that is harmless for one must be harmless for all
-//! together.
+//! A hundred dispatchers at destinations whose limit they share: behaviour that is harmless for one must be
+//! harmless for all together.
 
 mod common;
 use common::{row, settings, Watched};
@@ -10,8 +10,8 @@
 /// A deterministic destination with one limit for all dispatchers. Refused calls use up the limit too.
 struct Limited {
     limit: f64,
-    /// Start and end of an outage, in which it refuses connections. It is cold afterwards: it takes a fifth of its limit, which
-    /// grows to all of it within 10 s.
+    /// Start and end of an outage, in which it refuses connections. It is cold afterwards: it takes a fifth
+    /// of its limit, which grows to all of it within 10 s.
     down: (Ms, Ms),
     /// Tokens left at the time `at`.
     level: f64,
@@ -34,8 +34,8 @@
 /// Dispatchers on one clock, with the events scheduled for each.
 struct Simulation {
     brains: Vec<Brain>,
-    /// Scheduled events by time in microseconds and a number that makes the key unique. Keys of time `u64::MAX` count the
-    /// attempts of each message instead.
+    /// Scheduled events by time in microseconds and a number that makes the key unique. Keys of time
+    /// `u64::MAX` count the attempts of each message instead.
     due: BTreeMap<(u64, u64), (usize, Event)>,
     count: u64,
     dest: Limited,
@@ -135,7 +135,8 @@
         tries as u32
     }
 
-    /// Runs the simulation until the time `until`, with `rate` messages per second that arrive at random dispatchers.
+    /// Runs the simulation until the time `until`, with `rate` messages per second that arrive at random
+    /// dispatchers.
     fn run(&mut self, rate: f64, until: Ms) {
         let mut next = self.now;
         while self.now < until {
@@ -161,8 +162,8 @@
     }
 }
 
-/// Guards against refused calls using up a limit for good: 100 dispatchers that each retried at a rate of their own got nothing
-/// accepted.
+/// Guards against refused calls using up a limit for good: 100 dispatchers that each retried at a rate of
+/// their own got nothing accepted.
 #[test]
 fn a_load_above_the_limit_leaves_most_of_the_limit_usable() {
     for seed in 1..=5 {
@@ -174,7 +175,8 @@
     }
 }
 
-/// Guards against endless refusals after a limit is lowered, and against dispatchers that stay slow after it is raised again.
+/// Guards against endless refusals after a limit is lowered, and against dispatchers that stay slow after it
+/// is raised again.
 #[test]
 fn a_limit_that_is_lowered_and_raised_under_load_is_followed() {
     for seed in 1..=5 {
@@ -197,8 +199,8 @@
     }
 }
 
-/// Guards against dispatchers that each estimate from their own demand alone: they returned at a trickle to a destination whose
-/// limit was four times the load.
+/// Guards against dispatchers that each estimate from their own demand alone: they returned at a trickle to a
+/// destination whose limit was four times the load.
 #[test]
 fn a_cold_destination_is_used_up_to_its_capacity_and_not_beyond() {
     for seed in 1..=5 {
@@ -219,8 +221,8 @@
     }
 }
 
-/// Guards against all dispatchers sending their backlog at once when an endpoint is listed: 228 calls in one second to an
-/// endpoint that takes 40.
+/// Guards against all dispatchers sending their backlog at once when an endpoint is listed: 228 calls in one
+/// second to an endpoint that takes 40.
 #[test]
 fn an_endpoint_that_is_listed_to_all_at_once_is_not_overloaded() {
     for seed in 1..=5 {
@@ -237,9 +239,9 @@
     }
 }
 
-/// Guards against probes where a message can serve as the test: a refused connection proves that nothing ran, and the probes
-/// of 100 dispatchers used up the capacity of a cold destination without delivering anything. A destination that accepted
-/// calls and did not answer them is probed.
+/// Guards against probes where a message can serve as the test: a refused connection proves that nothing ran,
+/// and the probes of 100 dispatchers used up the capacity of a cold destination without delivering anything.
+/// A destination that accepted calls and did not answer them is probed.
 #[test]
 fn a_destination_that_refused_connections_is_tested_by_a_message_and_a_silent_one_by_a_probe() {
     for (outcome, probed) in [(Outcome::NoConnection, false), (Outcome::Late, true)] {
@@ -256,8 +258,8 @@
     }
 }
 
-/// Guards against timeouts from too few samples: a dispatcher that rarely used an endpoint cut off a third of its attempts,
-/// each at the slower of the only two times it had seen.
+/// Guards against timeouts from too few samples: a dispatcher that rarely used an endpoint cut off a third of
+/// its attempts, each at the slower of the only two times it had seen.
 #[test]
 fn a_watchdog_needs_more_than_a_few_attempts_at_its_endpoint() {
     let mut s = settings();
@@ -282,8 +284,8 @@
     assert!(cuts > 0, "no timeout was ever set: {own:?}");
 }
 
-/// Guards against shares computed from impossible reports: a limit that is negative, far too large or not a number must have no
-/// effect.
+/// Guards against shares computed from impossible reports: a limit that is negative, far too large or not a
+/// number must have no effect.
 #[test]
 fn impossible_reports_change_no_share() {
     for (left, limit) in [(-1.0, -25.0), (1e9, 1e300), (f64::NAN, f64::NAN)] {
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,13 +1,13 @@
-//! How the decision module handles messages of an earlier process, and which attempts it starts shortly before its own
-//! process ends.
+//! How the decision module handles messages of an earlier process, and which attempts it starts shortly
+//! before its own process ends.
 
 mod common;
 use common::*;
 use lilacbank::api::*;
 use lilacbank::Brain;
 
-/// A module that has received two endpoints of destination 1, in zones 0 and 1, and these events in one batch; and its
-/// actions.
+/// A module that has received two endpoints of destination 1, in zones 0 and 1, and these events in one
+/// batch; and its actions.
 fn brain(more: Vec<Event>) -> (Brain, Vec<Action>) {
     let mut brain = Brain::new(Settings { ends_confirmed: true, ..settings() });
     let rows = vec![row(0, 1, 0, 0), row(1, 1, 1, 0)];
@@ -33,8 +33,8 @@
     Event::Resumed(Resumed { message, attempts: 1, ran, ended: false })
 }
 
-/// Guards against a resumed message being repeated where its class forbids it. Messages: 1 idempotent, 2 deduplicated within
-/// a zone, 3 at-most-once; all three may have run. 4 is at-most-once and never ran.
+/// Guards against a resumed message being repeated where its class forbids it. Messages: 1 idempotent, 2
+/// deduplicated within a zone, 3 at-most-once; all three may have run. 4 is at-most-once and never ran.
 #[test]
 fn a_resumed_message_is_repeated_only_as_its_class_permits() {
     let ran = Some((900.0, 1));
@@ -58,7 +58,8 @@
     assert_eq!((sends(&out), out.contains(&Action::Fail(1))), (vec![], true));
 }
 
-/// Guards against a later message of a key being sent before the client has received the final answer of the earlier one.
+/// Guards against a later message of a key being sent before the client has received the final answer of the
+/// earlier one.
 #[test]
 fn a_key_waits_until_the_client_has_the_final_answer_of_the_earlier_message() {
     let ended =
@@ -70,8 +71,8 @@
     assert_eq!(sends(&out).iter().map(|s| s.0).collect::<Vec<_>>(), [2]);
 }
 
-/// Guards against two messages of a key running at once after a restart: an attempt of the earlier process may still run,
-/// although this process holds nothing of it.
+/// Guards against two messages of a key running at once after a restart: an attempt of the earlier process
+/// may still run, although this process holds nothing of it.
 #[test]
 fn every_key_has_a_quiet_period_after_a_restart() {
     let quiet = settings().key_quiet;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -227,8 +227,8 @@
     }
 }
 
-/// Runs a script drawn from a seed: arrivals, outcomes of every kind, retry-afters, endpoints that drain or go, and pauses.
-/// Returns the actions of the module.
+/// Runs a script drawn from a seed: arrivals, outcomes of every kind, retry-afters, endpoints that drain or
+/// go, and pauses. Returns the actions of the module.
 fn random_script(seed: u64, steps: usize) -> Vec<Action> {
     let mut x = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
     let mut draw = move |n: u64| {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -10,8 +10,8 @@
     (1..=count).map(|seed| one(seed * 7919)).collect()
 }
 
-/// Ends every attempt of a message with `outcome` for `span`; returns the start times of its new attempts, counted from the
-/// call of this function.
+/// Ends every attempt of a message with `outcome` for `span`; returns the start times of its new attempts,
+/// counted from the call of this function.
 fn attempts_after(w: &mut Watched, id: MsgId, outcome: Outcome, span: Ms) -> Vec<Ms> {
     let from = w.now;
     let before = w.seen[&id].attempts.len();
@@ -30,7 +30,8 @@
     times.iter().map(from).max().unwrap_or(0)
 }
 
-/// Guards against a pause of seconds at the first refusal: tokens taken while no rate limit was in force counted as debt.
+/// Guards against a pause of seconds at the first refusal: tokens taken while no rate limit was in force
+/// counted as debt.
 #[test]
 fn the_first_refusal_after_many_attempts_holds_a_destination_back_only_briefly() {
     for senders in [1, 400] {
@@ -50,7 +51,8 @@
     }
 }
 
-/// Guards against a burst at a cold destination: dispatchers that saw a failure at the same moment retried at the same moment.
+/// Guards against a burst at a cold destination: dispatchers that saw a failure at the same moment retried at
+/// the same moment.
 #[test]
 fn retries_of_many_dispatchers_are_few_and_spread() {
     let mut all = Vec::new();
@@ -95,7 +97,8 @@
     assert!(burst <= 15, "{burst} attempts of 60 dispatchers within 0.2 s");
 }
 
-/// Guards against ramps that are harmless for one dispatcher but exceed in sum what a returning destination can take.
+/// Guards against ramps that are harmless for one dispatcher but exceed in sum what a returning destination
+/// can take.
 #[test]
 fn the_ramps_of_all_dispatchers_stay_low_in_sum() {
     for (count, senders) in [(2, 2), (100, 100)] {
@@ -164,8 +167,8 @@
     w.all_well();
 }
 
-/// Guards against refused dispatchers returning to a destination with a small limit every few seconds, which overloaded it
-/// again as it recovered.
+/// Guards against refused dispatchers returning to a destination with a small limit every few seconds, which
+/// overloaded it again as it recovered.
 #[test]
 fn pauses_at_a_small_limit_grow_with_the_time_for_which_it_refuses() {
     let mut all = Vec::new();
@@ -194,8 +197,8 @@
     w.all_well();
 }
 
-/// Guards against a dispatcher without any answer so far taking a busy destination for one with a tiny limit: it made no
-/// attempt for a minute.
+/// Guards against a dispatcher without any answer so far taking a busy destination for one with a tiny limit:
+/// it made no attempt for a minute.
 #[test]
 fn a_dispatcher_that_never_had_an_answer_soon_retries_a_busy_destination() {
     let mut w = watched_dispatchers(1, 100).remove(0);
@@ -233,7 +236,8 @@
     assert_eq!(run(1_000.0), run(351_250_000.0));
 }
 
-/// Guards against a refusal at a destination with one limit for several endpoints holding back only the endpoint that refused.
+/// Guards against a refusal at a destination with one limit for several endpoints holding back only the
+/// endpoint that refused.
 #[test]
 fn endpoints_under_one_limit_are_held_back_and_released_together() {
     let rows = vec![row(0, 1, 0, 1), row(1, 1, 1, 1), row(2, 1, 0, 1)];
--- a/tests/stand/faults.rs
+++ b/tests/stand/faults.rs
@@ -1,4 +1,5 @@
-//! Builds the fault-injection library of `crates/faults` on demand and loads it into a dispatcher that a test starts.
+//! Builds the fault-injection library of `crates/faults` on demand and loads it into a dispatcher that a test
+//! starts.
 
 use super::Site;
 use std::path::PathBuf;
@@ -23,7 +24,8 @@
     })
 }
 
-/// Environment variables for a dispatcher of this site whose system calls fail by the schedule (`crates/faults`).
+/// Environment variables for a dispatcher of this site whose system calls fail by the schedule
+/// (`crates/faults`).
 pub fn schedule(site: &Site, text: &str) -> Vec<(&'static str, String)> {
     vec![
         ("LD_PRELOAD", library().to_string()),
--- a/tests/stand/in_process.rs
+++ b/tests/stand/in_process.rs
@@ -1,5 +1,5 @@
-//! Runs the core of the dispatcher in the test's own process: without connections, without files, on a clock that the test
-//! sets.
+//! Runs the core of the dispatcher in the test's own process: without connections, without files, on a clock
+//! that the test sets.
 
 use lilacbank::api::{Listing, Ms};
 use lilacbank::config::{Config, Worker, WorkerList};
@@ -21,8 +21,8 @@
     Core::new(Parts { settings, names, journal, promises, once, cells, mesh: None })
 }
 
-/// Gives the core an endpoint list with these endpoints of destination 1, which replaces the previous list if `whole`.
-/// Returns the orders that follow.
+/// Gives the core an endpoint list with these endpoints of destination 1, which replaces the previous list if
+/// `whole`. Returns the orders that follow.
 pub fn tell(core: &mut Core, now: Ms, uids: &[&str], listing: Listing, whole: bool) -> Vec<Order> {
     let listed = |uid: &&str| {
         let (uid, address) = (uid.to_string(), "127.0.0.1:1".to_string());
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds a dispatcher: endpoints, the platform's registry, clients. The dispatcher itself is the
-//! built program.
+//! Stand-ins for what surrounds a dispatcher: endpoints, the platform's registry, clients. The dispatcher
+//! itself is the built program.
 #![allow(dead_code)]
 
 pub mod faults;
@@ -18,7 +18,8 @@
 
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
-/// Polls until the condition holds; fails the test after [`PATIENCE`], which is longer than any machine needs.
+/// Polls until the condition holds; fails the test after [`PATIENCE`], which is longer than any machine
+/// needs.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
@@ -233,8 +234,8 @@
         self.arrivals.try_recv().ok()
     }
 
-    /// Waits for the next request whose request line contains the text. Other requests are dropped unanswered; their
-    /// connections stay open.
+    /// Waits for the next request whose request line contains the text. Other requests are dropped
+    /// unanswered; their connections stay open.
     pub fn next(&self, text: &str) -> Arrival {
         let start = Instant::now();
         loop {
@@ -253,8 +254,8 @@
 #[allow(unused_imports)]
 pub use lilacbank_rig::entry;
 
-/// An endpoint that refuses attempts with a retry-after of 1 s until the flag is set, and accepts each one after that.
-/// Returns the endpoint, the flag and the ids of the accepted messages in order.
+/// An endpoint that refuses attempts with a retry-after of 1 s until the flag is set, and accepts each one
+/// after that. Returns the endpoint, the flag and the ids of the accepted messages in order.
 pub fn gate() -> (Worker, Arc<std::sync::atomic::AtomicBool>, Arc<Mutex<Vec<String>>>) {
     let (open, taken) =
         (Arc::new(std::sync::atomic::AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
@@ -303,8 +304,8 @@
         Site { dir, platform: Platform::start(entries).unwrap(), disk_mb: 3.0, mqtt: false, balancers: 1 }
     }
 
-    /// The seed in the configuration: derived from the site's name if the platform runs several dispatchers, since it gives
-    /// each its own; else the fixed seed.
+    /// The seed in the configuration: derived from the site's name if the platform runs several dispatchers,
+    /// since it gives each its own; else the fixed seed.
     fn seed(&self) -> String {
         if self.balancers == 1 {
             return "0a".into();
@@ -326,7 +327,8 @@
         std::fs::write(self.dir.join("config.json"), text).unwrap();
     }
 
-    /// Writes a copy of the configuration with a text replaced; returns its path, the value for `ROUTER_CONFIG`.
+    /// Writes a copy of the configuration with a text replaced; returns its path, the value for
+    /// `ROUTER_CONFIG`.
     pub fn changed(&self, from: &str, to: &str) -> String {
         self.configure("null");
         let text = std::fs::read_to_string(self.dir.join("config.json")).unwrap();
@@ -574,8 +576,8 @@
     }
 }
 
-/// Submits `count` messages of the three classes in turn, each with its own ordering key; all must be accepted. Returns
-/// ids and classes.
+/// Submits `count` messages of the three classes in turn, each with its own ordering key; all must be
+/// accepted. Returns ids and classes.
 pub fn hand_in_each_class(client: &mut Client, count: usize, left_ms: u64) -> Vec<(String, &'static str)> {
     let classes = ["safe", "order", "pay"];
     let ids: Vec<(String, &str)> =
@@ -619,8 +621,9 @@
     serde_json::from_str(control(door(d), "vars").lines().next().unwrap()).unwrap()
 }
 
-/// Addresses that a process can listen on repeatedly: ephemeral ports on a loopback address of this test process's own, none
-/// returned twice. On the shared 127.0.0.1 the system gives a port without a listener to any outgoing connection.
+/// Addresses that a process can listen on repeatedly: ephemeral ports on a loopback address of this test
+/// process's own, none returned twice. On the shared 127.0.0.1 the system gives a port without a listener to
+/// any outgoing connection.
 pub fn addresses(count: usize) -> Vec<SocketAddr> {
     static RETURNED: Mutex<std::collections::BTreeSet<SocketAddr>> =
         Mutex::new(std::collections::BTreeSet::new());
--- a/tests/stand/mqtt.rs
+++ b/tests/stand/mqtt.rs
@@ -267,7 +267,8 @@
         let connection = Arc::new(Mutex::new(connection));
         self.connection = Some(connection.clone());
         let (answers, acks) = (self.answers.clone(), self.acks.clone());
-        // The reader waits on its own handle of the socket, since it must not hold the lock that sending needs.
+        // The reader waits on its own handle of the socket, since it must not hold the lock that sending
+        // needs.
         reader.set_read_timeout(Some(PATIENCE)).unwrap();
         thread::spawn(move || {
             let mut socket = reader;
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -1,4 +1,5 @@
-//! Retry-afters across an upgrade: one that either process receives binds both, since the endpoint gave it to the dispatcher.
+//! Retry-afters across an upgrade: one that either process receives binds both, since the endpoint gave it to
+//! the dispatcher.
 
 mod stand;
 use stand::*;
@@ -19,7 +20,8 @@
     early.map(|c| (c.header("x-txn").to_string(), since(c.at))).collect()
 }
 
-/// Guards against the new process of an upgrade calling an endpoint within the retry-after that the old process received.
+/// Guards against the new process of an upgrade calling an endpoint within the retry-after that the old
+/// process received.
 #[test]
 fn a_retry_after_received_by_the_old_process_binds_the_new_one_of_an_upgrade() {
     let worker = Worker::start(|_, nth| Reply::Answer(if nth == 0 { REFUSED } else { "200 OK" }));
--- a/tests/watchdog.rs
+++ b/tests/watchdog.rs
@@ -19,7 +19,8 @@
     let first = curve_of_answers(&[90.0, 100.0, 900.0, 950.0]);
     let theta =
         watchdog(&first, &curve_of_answers(&[50.0]), &[500.0], step_payoff(500.0)).expect("a watchdog");
-    // Any θ from the first mode to the deadline - 50 gets the full payoff; the latest of them cuts the fewest attempts.
+    // Any θ from the first mode to the deadline - 50 gets the full payoff; the latest of them cuts the fewest
+    // attempts.
     assert!((theta - 450.0).abs() < 1e-6, "{theta}");
 }
 
@@ -68,7 +69,8 @@
 
 #[test]
 fn cut_attempts_are_censored_and_failures_count_as_never_answered() {
-    // Product-limit estimate by hand: one of four is answered at 100; one is cut at 150; one of two is answered at 200.
+    // Product-limit estimate by hand: one of four is answered at 100; one is cut at 150; one of two is
+    // answered at 200.
     let c = Curve::product_limit(&[(100.0, true), (150.0, false), (200.0, true), (f64::INFINITY, false)]);
     assert!((c.survival(100.0) - 0.75).abs() < 1e-9);
     assert!((c.survival(200.0) - 0.375).abs() < 1e-9);
