--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,4 +1,5 @@
-//! Cells of the real program: a tenant that floods, and what the others feel of it.
+//! Cells of the built program: one tenant floods the dispatchers, and the service of the other tenants is
+//! measured.
 
 mod stand;
 
@@ -12,39 +13,45 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Tenants; the first one may flood, and sends to as many members of its own.
+/// Number of tenants. Only the first one may flood.
 const TENANTS: usize = 8;
-const FLOOD_MEMBERS: usize = 3;
-/// The flood begins then, after the others have shown what they need; messages count from then on.
+/// Number of destinations to which the first tenant sends.
+const FLOOD_DESTINATIONS: usize = 3;
+/// Start of the flood, after the other tenants have shown their usual demand. Messages from then on are
+/// counted.
 const FLOOD_FROM: Duration = Duration::from_secs(2);
-/// Messages a second of each tenant, for each dispatcher.
+/// Messages per second of each tenant, for each dispatcher.
 const RATE: f64 = 8.0;
 
-/// A run: so many dispatchers, each divided into so many cells (1: not at all), the first tenant sending so many times
-/// its usual rate.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     dispatchers: usize,
+    /// Cells of each dispatcher; 1 for no division.
     cells: usize,
+    /// Multiple of its usual rate at which the first tenant sends.
     flood: f64,
     seconds: f64,
     seed: u64,
-    /// All send to one member, which takes so many calls a second from everybody; else each tenant has one without a limit.
+    /// Rate limit, in calls per second, of the one destination that all tenants share; without it each tenant
+    /// has a destination of its own without a limit.
     limit: Option<u32>,
 }
 
-struct Folder(PathBuf);
+/// A folder that is removed on drop.
+struct TempDir(PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
+/// Runs a case with its traffic and joins what clients and endpoints observed.
 fn run(case: Case) -> Report {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let dir = Folder(std::env::temp_dir().join(format!("lilacbank-cells-{}-{n}", std::process::id())));
+    let dir = TempDir(std::env::temp_dir().join(format!("lilacbank-cells-{}-{n}", std::process::id())));
     let _ = std::fs::remove_dir_all(&dir.0);
     std::fs::create_dir_all(&dir.0).unwrap();
     let notices = Notices::start().unwrap();
@@ -52,9 +59,9 @@
         None => Manner { service: Duration::from_millis(80), at_once: 6 * case.dispatchers, queue: 20 },
         Some(_) => Manner { service: Duration::from_millis(20), at_once: 64, queue: 20 },
     };
-    let members: Vec<Endpoint> =
-        (0..TENANTS + FLOOD_MEMBERS).map(|_| Endpoint::start(manner.clone()).unwrap()).collect();
-    for (m, e) in members.iter().enumerate() {
+    let endpoints: Vec<Endpoint> =
+        (0..TENANTS + FLOOD_DESTINATIONS).map(|_| Endpoint::start(manner.clone()).unwrap()).collect();
+    for (m, e) in endpoints.iter().enumerate() {
         let limit = case.limit.map_or(String::new(), |l| format!("limit = \"{l} in 1s\"\n"));
         let text = format!(
             "member = \"m{m}\"\ndestination = {m}\nkind = \"low-volume\"\n{limit}buildings = [\"a\"]\n[[endpoints]]\nid = \"e{m}\"\n\
@@ -63,13 +70,14 @@
         );
         std::fs::write(dir.0.join(format!("m{m}.toml")), text).unwrap();
     }
-    let up: Vec<Dispatcher> = (0..case.dispatchers).map(|d| serve(&dir, case, d, &notices)).collect();
+    let running: Vec<Dispatcher> =
+        (0..case.dispatchers).map(|d| start_dispatcher(&dir, case, d, &notices)).collect();
     let end = FLOOD_FROM + Duration::from_secs_f64(case.seconds);
-    let only = |dest: usize| if case.limit.is_some() { 0 } else { dest };
+    let destination = |dest: usize| if case.limit.is_some() { 0 } else { dest };
     let stream = |tenant: usize, dest: usize, rate: f64| Stream {
         tenant: format!("t{tenant}"),
         class: "status".into(),
-        dest: only(dest) as u64,
+        dest: destination(dest) as u64,
         rate: rate * case.dispatchers as f64,
         from: Duration::ZERO,
         until: end,
@@ -77,23 +85,24 @@
         deadline: Duration::from_secs(4),
     };
     let mut streams: Vec<Stream> = (1..TENANTS).map(|t| stream(t, t, RATE)).collect();
-    for f in 0..if case.limit.is_some() { 1 } else { FLOOD_MEMBERS } {
+    for f in 0..if case.limit.is_some() { 1 } else { FLOOD_DESTINATIONS } {
         let flood = stream(0, if f == 0 { 0 } else { TENANTS + f - 1 }, RATE * case.flood);
         streams.push(Stream { from: FLOOD_FROM, ..flood });
     }
     let messages = poisson(case.seed, &streams);
-    let addresses: Vec<_> = up.iter().map(|d| d.address()).collect();
+    let addresses: Vec<_> = running.iter().map(|d| d.address()).collect();
     let route = Arc::new(move |_: &Stream, number: usize| addresses[number % addresses.len()]);
     let start = Instant::now() + Duration::from_millis(200);
     let habits = Habits { connections: 400, ..Habits::default() };
     let handed = drive(start, &streams, &messages, route, &habits);
     std::thread::sleep(Duration::from_millis(4_200).saturating_sub(start.elapsed().saturating_sub(end)));
-    let effects: Vec<_> = members.iter().flat_map(|m| m.effects()).collect();
-    drop(up);
+    let effects: Vec<_> = endpoints.iter().flat_map(|e| e.effects()).collect();
+    drop(running);
     join(start, FLOOD_FROM, &streams, &handed, &effects)
 }
 
-fn serve(dir: &Folder, case: Case, d: usize, notices: &Notices) -> Dispatcher {
+/// Renders the configuration of dispatcher `d` and starts it.
+fn start_dispatcher(dir: &TempDir, case: Case, d: usize, notices: &Notices) -> Dispatcher {
     let (toml, json) = (dir.0.join(format!("d{d}.toml")), dir.0.join(format!("d{d}.json")));
     let mut text = format!(
         "application = \"d{d}\"\nstate = \"{}\"\nbuilding = \"a\"\nnotices = \"{}\"\n[listen]\nresp = \"127.0.0.1:0\"\n\
@@ -111,7 +120,7 @@
         }
     }
     match case.limit {
-        None => (0..TENANTS + FLOOD_MEMBERS)
+        None => (0..TENANTS + FLOOD_DESTINATIONS)
             .for_each(|m| text += &format!("[[uses]]\nagreement = \"m{m}.toml\"\n")),
         Some(_) => text += "[[uses]]\nagreement = \"m0.toml\"\nshare = \"25%\"\n",
     }
@@ -126,81 +135,86 @@
     Dispatcher::spawn(command.args(["serve", "--config", json]).env("RUST_LOG", "info"), false)
 }
 
-/// Worth and p99 of those who live in other cells than the first tenant does (with one cell: in other cells of four).
-fn others(r: &Report, cells: usize) -> (f64, f64) {
+/// Share of the worth that was delivered, and p99 of the delay in milliseconds, of the tenants in other cells
+/// than the first tenant's. Without cells, the same tenants count as with four.
+fn other_tenants(r: &Report, cells: usize) -> (f64, f64) {
     let cells = if cells > 1 { cells } else { 4 };
     let all: Vec<_> = (1..TENANTS).filter(|t| t % cells != 0).map(|t| &r.tenants[&format!("t{t}")]).collect();
     let mut delay = all[0].delay.clone();
     all[1..].iter().for_each(|t| delay.add(&t.delay).unwrap());
-    let asked: usize = all.iter().map(|t| t.asked).sum();
+    let submitted: usize = all.iter().map(|t| t.asked).sum();
     let worth: f64 = all.iter().map(|t| t.worth * t.asked as f64).sum();
-    (worth / asked as f64, delay.value_at_percentile(99.0) as f64 / 1_000.0)
+    (worth / submitted as f64, delay.value_at_percentile(99.0) as f64 / 1_000.0)
 }
 
-/// Guards against a flood that takes the slots and the room of others.
+/// Guards against one tenant's flood taking the slots and the backlog of the tenants in other cells.
 #[test]
-fn a_flood_costs_other_cells_nothing_that_counts() {
+fn a_flood_leaves_the_worth_of_other_cells_unchanged() {
     let case = Case { dispatchers: 1, cells: 4, flood: 10.0, seconds: 4.0, seed: 3, limit: None };
-    let calm = run(Case { flood: 1.0, ..case });
+    let usual = run(Case { flood: 1.0, ..case });
     let flooded = run(case);
-    let open = run(Case { cells: 1, ..case });
-    let [a, b, c] = [(&calm, 4), (&flooded, 4), (&open, 1)].map(|(r, cells)| others(r, cells));
-    for r in [&calm, &flooded, &open] {
-        assert!(r.overlapping == 0, "{} overlapping", r.overlapping);
+    let undivided = run(Case { cells: 1, ..case });
+    let [a, b, c] = [(&usual, 4), (&flooded, 4), (&undivided, 1)].map(|(r, cells)| other_tenants(r, cells));
+    for r in [&usual, &flooded, &undivided] {
+        assert!(r.overlapping == 0, "{} messages with overlapping attempts", r.overlapping);
     }
-    // Machines that test are busy: the figures are those of the measurement below.
-    assert!(b.0 > a.0 - 0.05, "calm {a:?}, flooded {b:?}, without cells {c:?}");
+    // The tolerance is wide, since test machines are busy. The measurement below gives the figures.
+    assert!(b.0 > a.0 - 0.05, "usual rate {a:?}, flood {b:?}, flood without cells {c:?}");
     let own = &flooded.tenants["t0"];
-    println!("calm {a:?}, flooded {b:?}, without cells {c:?}");
-    let (asked, done) = (own.asked, own.delivered);
-    assert!(done > 20 && done < asked, "the flood is bounded by its part: {done} of {asked} delivered");
+    println!("usual rate {a:?}, flood {b:?}, flood without cells {c:?}");
+    let (submitted, delivered) = (own.asked, own.delivered);
+    assert!(
+        delivered > 20 && delivered < submitted,
+        "the flood is limited to the share of its cell: {delivered} of {submitted} delivered"
+    );
 }
 
-/// Guards against a flood that uses up the calls which others may make to a member that all of them share.
+/// Guards against one tenant's flood using up the limit of a destination that all tenants share.
 #[test]
-fn a_flood_leaves_others_their_promised_calls() {
+fn a_flood_leaves_other_cells_their_share_of_a_limit() {
     let case = Case { dispatchers: 1, cells: 4, flood: 12.0, seconds: 4.0, seed: 5, limit: Some(400) };
-    let (divided, open) = (run(case), run(Case { cells: 1, ..case }));
-    let [a, b] = [(&divided, 4), (&open, 1)].map(|(r, cells)| others(r, cells));
+    let (divided, undivided) = (run(case), run(Case { cells: 1, ..case }));
+    let [a, b] = [(&divided, 4), (&undivided, 1)].map(|(r, cells)| other_tenants(r, cells));
     println!("with cells {a:?}, without {b:?}");
     assert!(a.0 > 0.95, "with cells {a:?}, without {b:?}");
     let flood = &divided.tenants["t0"];
-    assert!(flood.delivered < flood.asked, "there was no flood");
-    assert!(flood.turned_away > 0, "it was told nothing at the door");
+    assert!(flood.delivered < flood.asked, "the limit did not bound the flood");
+    assert!(flood.turned_away > 0, "no message of the flood was rejected");
 }
 
-/// The figures of `docs/design/cells.md`: cargo test --release --test cells -- --ignored --nocapture
+/// Measures the figures of `docs/design/cells.md`: cargo test --release --test cells -- --ignored --nocapture
 #[test]
 #[ignore = "a measurement of several minutes"]
-fn measure_a_flood_in_no_two_and_four_cells() {
+fn measure_a_flood_with_one_two_and_four_cells() {
     measure(None);
 }
 
-/// The same against a member's promised calls: cargo test --release --test cells -- --ignored --nocapture promised
+/// The same measurement at a destination with a limit: cargo test --release --test cells -- --ignored
+/// --nocapture promised
 #[test]
 #[ignore = "a measurement of several minutes"]
 fn measure_a_flood_of_promised_calls() {
     measure(Some(400));
 }
 
-/// Which divisions are measured, and with how many seeds: CELLS=4 SEEDS=2 for a part of it.
-fn kinds() -> Vec<usize> {
+/// The numbers of cells to measure, from the environment. A part of the measurement: CELLS=4 SEEDS=2.
+fn cell_counts() -> Vec<usize> {
     std::env::var("CELLS").map_or(vec![1, 2, 4], |v| v.split(',').map(|n| n.parse().unwrap()).collect())
 }
 
 fn measure(limit: Option<u32>) {
     let seeds: u64 = std::env::var("SEEDS").map_or(5, |v| v.parse().unwrap());
-    for cells in kinds() {
+    for cells in cell_counts() {
         for seed in 1..=seeds {
             let case = Case { dispatchers: 4, cells, flood: 1.0, seconds: 6.0, seed, limit };
-            let (calm, flooded) = (run(case), run(Case { flood: 10.0, ..case }));
-            let (a, b) = (others(&calm, cells), others(&flooded, cells));
+            let (usual, flooded) = (run(case), run(Case { flood: 10.0, ..case }));
+            let (a, b) = (other_tenants(&usual, cells), other_tenants(&flooded, cells));
             let own = &flooded.tenants["t0"];
             println!(
-                "cells {cells} seed {seed}: others' worth {:.4} calm, {:.4} flooded ({:+.2}%); p99 {:.0} ms calm, {:.0} ms flooded; \
-                 flood: {} asked, {} delivered, {} turned away; driver late {:?} and {:?}, valid {} {}",
+                "cells {cells} seed {seed}: worth of other tenants {:.4} usual, {:.4} flooded ({:+.2}%); p99 {:.0} ms usual, {:.0} ms flooded; \
+                 flood: {} submitted, {} delivered, {} rejected; driver late {:?} and {:?}, valid {} {}",
                 a.0, b.0, 100.0 * (b.0 / a.0 - 1.0), a.1, b.1, own.asked, own.delivered, own.turned_away,
-                calm.late, flooded.late, calm.is_valid(), flooded.is_valid()
+                usual.late, flooded.late, usual.is_valid(), flooded.is_valid()
             );
         }
     }
