--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -97,9 +97,9 @@
     pub timers: Vec<(Ms, u64)>,
     /// Violations of the rules.
     pub broken: Vec<String>,
-    /// When each route was first listed as draining or gone.
+    /// When each endpoint was first listed as draining or gone.
     draining_since: BTreeMap<RouteId, Ms>,
-    /// End of the retry-after of each unit: a route, or a destination whose routes share one limit.
+    /// End of the retry-after of each unit: an endpoint, or a destination whose endpoints share one limit.
     retry_after_until: BTreeMap<(DestId, Option<RouteId>), Ms>,
     /// Messages of each ordering key in the order of arrival, and the end of the key's quiet period.
     keys: BTreeMap<u64, (VecDeque<MsgId>, Ms)>,
@@ -187,8 +187,8 @@
         self.now = until;
     }
 
-    /// The unit that a retry-after of this route binds: the route, or its destination if its routes share one
-    /// limit.
+    /// The unit that a retry-after of this endpoint binds: the endpoint, or its destination if its endpoints
+    /// share one limit.
     fn limit_unit(&self, route: RouteId) -> (DestId, Option<RouteId>) {
         let r = &self.rows[&route];
         (r.dest, self.s.kind(r.kind).apart.then_some(route))
@@ -264,7 +264,7 @@
             Action::Timer { at, token } => self.timers.push((*at, *token)),
             Action::Probe(r) => {
                 if self.retry_after_until.get(&self.limit_unit(*r)).is_some_and(|w| *w > self.now) {
-                    self.add_violation(format!("probe of route {r} before its retry-after is over"));
+                    self.add_violation(format!("probe of endpoint {r} before its retry-after is over"));
                 }
             }
             Action::Cancel { .. } | Action::CloseIdle(_) | Action::Watch => {}
@@ -316,10 +316,10 @@
             }
         }
         if self.draining_since.get(&route).is_some_and(|d| now > d + self.s.drain_grace) {
-            self.add_violation(format!("route {route} sent to after its drain grace"));
+            self.add_violation(format!("endpoint {route} sent to after its drain grace"));
         }
         if self.retry_after_until.get(&self.limit_unit(route)).is_some_and(|w| *w > now) {
-            self.add_violation(format!("route {route} sent to before its retry-after is over"));
+            self.add_violation(format!("endpoint {route} sent to before its retry-after is over"));
         }
         if let Some(k) = s.m.key.filter(|_| c.in_order) {
             let (queue, quiet) = self.keys[&k].clone();
--- a/tests/following.rs
+++ b/tests/following.rs
@@ -1,43 +1,44 @@
-//! What an operator can follow: one message by its id through the log, why a connection was closed, and the figures of the rules.
+//! What operators can trace: a message by its id through the log, the reason why a connection was closed, and
+//! the metrics of the rules.
 
 mod stand;
 use stand::*;
 
 const DEBUG: (&str, &str) = ("RUST_LOG", "lilacbank=debug");
 
-/// Guards against a step of a message's way that the log does not tell, or tells without its id.
+/// Guards against a step in the processing of a message that is not logged, or is logged without the id.
 #[test]
-fn one_message_is_followed_by_its_id_from_its_taking_to_its_end() {
-    let worker = Worker::start(|_, nth| match nth {
+fn the_log_traces_a_message_by_its_id_from_acceptance_to_final_answer() {
+    let endpoint = Worker::start(|_, nth| match nth {
         0 => Reply::Answer("429 Too Many Requests\r\nRetry-After: 0.2"),
         1 => Reply::Break,
         _ => Reply::Answer("200 OK"),
     });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let mut d = site.start_with("127.0.0.1:0", &[DEBUG]);
     assert_eq!(d.client().submit("m1", "c=safe,t=acme,d=6000,dest=1"), "+OK");
-    let mut step = |text: &str, has: &[&str]| {
+    let mut expect_step = |text: &str, fields: &[&str]| {
         let rest = loop {
             let rest = d.logged(text);
             if rest.contains("id=m1") {
                 break rest;
             }
         };
-        has.iter().for_each(|h| assert!(rest.contains(h), "'{text}' tells no {h}: {rest}"));
+        fields.iter().for_each(|f| assert!(rest.contains(f), "'{text}' is logged without {f}: {rest}"));
     };
-    step("a call is taken on", &["class=safe", "member=1", "left_ms="]);
-    step("a delegation begins", &["worker=w1", "attempt=0", "after=nothing"]);
-    step("a delegation ended", &["outcome=Refused", "wait_ms=200"]);
-    step("a delegation begins", &["attempt=1", "after=Refused"]);
-    step("a delegation ended", &["outcome=Reset"]);
-    step("a delegation begins", &["attempt=2", "after=Reset"]);
-    step("a delegation ended", &["outcome=Delivered"]);
-    step("a call ended", &["outcome=delivered", "attempts=3"]);
+    expect_step("a call is taken on", &["class=safe", "member=1", "left_ms="]);
+    expect_step("a delegation begins", &["worker=w1", "attempt=0", "after=nothing"]);
+    expect_step("a delegation ended", &["outcome=Refused", "wait_ms=200"]);
+    expect_step("a delegation begins", &["attempt=1", "after=Refused"]);
+    expect_step("a delegation ended", &["outcome=Reset"]);
+    expect_step("a delegation begins", &["attempt=2", "after=Reset"]);
+    expect_step("a delegation ended", &["outcome=Delivered"]);
+    expect_step("a call ended", &["outcome=delivered", "attempts=3"]);
 }
 
-/// Guards against a message that is refused, or a connection that is closed, for a reason that nobody can read.
+/// Guards against a rejected message or a closed connection without its reason in the log.
 #[test]
-fn a_refusal_and_a_close_say_why() {
+fn the_log_gives_the_reason_of_a_rejection_and_of_a_close() {
     let site = Site::new(&[]);
     site.platform.push(&entry("w1", "127.0.0.1:9", "a", 1, "in_service"));
     let mut d = site.start_with("127.0.0.1:0", &[DEBUG]);
@@ -47,8 +48,8 @@
         client.submit("m1", "c=safe,t=acme,d=900,dest=7").starts_with("-BUSY"),
         "a destination that is not listed"
     );
-    let refused = d.logged("a call is not taken on");
-    assert!(["id=m1", "outcome=busy", "why=not_listed"].iter().all(|t| refused.contains(t)), "{refused}");
+    let rejected = d.logged("a call is not taken on");
+    assert!(["id=m1", "outcome=busy", "why=not_listed"].iter().all(|t| rejected.contains(t)), "{rejected}");
     client.send(b"nonsense\r\n");
     assert!(client.line().starts_with("-ERR"));
     drop(client);
@@ -57,18 +58,18 @@
     assert!(d.logged("a client's connection is closed").contains("cause=by_client"));
 }
 
-/// Guards against rules whose answers are not counted where operators look.
+/// Guards against decisions of the rules that are missing in the metrics.
 #[test]
-fn the_figures_tell_what_the_rules_did_not_allow() {
-    let worker =
+fn the_metrics_count_what_the_rules_did_not_permit() {
+    let endpoint =
         Worker::start(|_, nth| Reply::Answer(if nth == 0 { "429 No\r\nRetry-After: 1" } else { "200 OK" }));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let config = site.changed("\"discovery\":null", "\"discovery\":null,\"control\":\"127.0.0.1:0\"");
     let mut d = site.start_with("127.0.0.1:0", &[("ROUTER_CONFIG", &config)]);
     assert_eq!(d.client().submit("m1", "c=safe,t=acme,d=6000,dest=1"), "+OK");
     assert!(d.client().submit("m2", "c=none,t=acme,d=6000,dest=1").starts_with("-ERR"));
     assert!(d.client().submit("m3", "c=safe,t=acme,d=6000,dest=9").starts_with("-BUSY"));
-    until("it is delivered", || worker.count() >= 2);
+    until("it is delivered", || endpoint.count() >= 2);
     assert_eq!(vars(&d)["not_taken"], serde_json::json!({ "not_listed": 1, "unreadable": 1 }));
     let guard = &vars(&d)["guard"];
     assert_eq!(guard["violations"], serde_json::json!({}), "{guard}");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! Handovers that are cut short, or meet a folder that takes no writes: what is taken over is taken over once.
+//! Takeovers of a killed process's journal that are interrupted, or that meet a folder without room or with
+//! I/O errors: each message is taken over exactly once.
 
 mod stand;
 use stand::*;
@@ -9,23 +10,25 @@
 
 const MESSAGES: usize = 12;
 
-/// Two processes on one folder; the first has taken messages that the endpoint turned away, and has been killed while the
-/// second one stands still.
-struct Killed {
+/// Two processes on one state folder. The first has accepted messages that the endpoint refused, and was
+/// killed while the second was stopped.
+struct Takeover {
     site: Site,
     second: Dispatcher,
-    worker: Worker,
+    endpoint: Worker,
+    /// The endpoint accepts messages once this is set.
     open: Arc<AtomicBool>,
     delivered: Arc<Mutex<Vec<String>>>,
     ids: Vec<String>,
-    /// The first one's journal, and a copy of it.
+    /// The journal of the first process, and a copy of its content at the kill.
     file: PathBuf,
     copy: Vec<u8>,
 }
 
-fn killed(schedule: &str) -> Killed {
-    let (worker, open, delivered) = gate();
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+/// Brings two processes to this state; the second one runs under this schedule of faults.
+fn prepare_takeover(schedule: &str) -> Takeover {
+    let (endpoint, open, delivered) = gate();
+    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let first = site.start();
     let ids: Vec<String> = (0..MESSAGES).map(|n| format!("m{n:02}")).collect();
     let mut client = first.client();
@@ -34,30 +37,35 @@
         let options = format!("c={class},t=acme,d=15000,k=k{n},dest=1");
         assert_eq!(client.keyed(&format!("{:x}", n + 1), id, &options), "+OK");
     }
-    until("the endpoint has turned some away", || worker.count() >= 1);
+    until("the endpoint has refused a message", || endpoint.count() >= 1);
     let second = site.start_under(schedule, &[]);
     second.halt();
     first.kill();
     let file = site.dir.join("state").join("journal");
     let copy = std::fs::read(&file).unwrap();
-    Killed { site, second, worker, open, delivered, ids, file, copy }
+    Takeover { site, second, endpoint, open, delivered, ids, file, copy }
 }
 
-impl Killed {
-    /// The second one goes on, and all that was not out at the kill is delivered.
-    fn deliver(&mut self) {
+impl Takeover {
+    /// Resumes the second process and waits until every message has ended. All must be delivered but the one
+    /// that may have been outstanding at the kill.
+    fn resume_and_deliver(&mut self) {
         self.second.signal("-CONT");
         self.second.logged("took over ");
         self.open.store(true, Ordering::SeqCst);
         let ended = |id: &String| {
             self.delivered.lock().unwrap().contains(id) || !self.site.platform.noticed(id).is_empty()
         };
-        until("each has its end", || self.ids.iter().all(ended));
+        until("every message has ended", || self.ids.iter().all(ended));
         std::thread::sleep(Duration::from_millis(200));
-        assert!(self.delivered.lock().unwrap().len() + 1 >= MESSAGES, "one at most was out at the kill");
+        assert!(
+            self.delivered.lock().unwrap().len() + 1 >= MESSAGES,
+            "more than one message was not delivered"
+        );
     }
 
-    fn each_was_delivered_once(&self) {
+    /// Asserts that no message was delivered twice.
+    fn assert_no_repeats(&self) {
         let delivered = self.delivered.lock().unwrap();
         for id in &self.ids {
             let times = delivered.iter().filter(|d| *d == id).count();
@@ -66,111 +74,122 @@
     }
 }
 
-/// Guards against records that are gone with the file they came from: the folder took none when they were taken over.
+/// Guards against the loss of records whose source file is removed although the full folder took no copy of
+/// them.
 #[test]
-fn a_handover_on_a_full_folder_loses_nothing_and_sends_nothing_twice() {
-    let mut k = killed("enospc 0 2500");
-    k.deliver();
-    k.each_was_delivered_once();
-    k.second.signal("-KILL");
-    let _third = k.site.start();
+fn a_takeover_on_a_full_folder_loses_nothing_and_sends_nothing_twice() {
+    let mut takeover = prepare_takeover("enospc 0 2500");
+    takeover.resume_and_deliver();
+    takeover.assert_no_repeats();
+    takeover.second.signal("-KILL");
+    let _third = takeover.site.start();
     std::thread::sleep(Duration::from_millis(700));
-    k.each_was_delivered_once();
+    takeover.assert_no_repeats();
 }
 
-/// The same with a folder that answers EIO to everything once the second process has started.
+/// Guards against loss and repeats when every access to the folder fails with EIO once the second process has
+/// started.
 #[test]
-fn a_handover_on_a_failing_folder_loses_nothing_and_sends_nothing_twice() {
-    let mut k = killed("eio 150 2500");
-    k.deliver();
-    k.each_was_delivered_once();
+fn a_takeover_on_a_failing_folder_loses_nothing_and_sends_nothing_twice() {
+    let mut takeover = prepare_takeover("eio 150 2500");
+    takeover.resume_and_deliver();
+    takeover.assert_no_repeats();
 }
 
-/// A second process that is killed between two steps of taking over leaves what it had not done to the next one.
+/// Guards against loss when the second process is killed between two steps of the takeover: the next process
+/// must complete it.
 #[test]
-fn a_handover_on_a_full_folder_that_is_killed_is_done_by_the_next_process() {
-    let mut k = killed("enospc 0 1e12");
-    k.second.signal("-CONT");
-    k.second.logged("took over ");
-    k.second.signal("-KILL");
-    k.second = k.site.start();
-    k.open.store(true, Ordering::SeqCst);
-    let ended =
-        |id: &String| k.delivered.lock().unwrap().contains(id) || !k.site.platform.noticed(id).is_empty();
-    until("each has its end", || k.ids.iter().all(ended));
-    k.each_was_delivered_once();
+fn a_takeover_on_a_full_folder_that_is_killed_is_completed_by_the_next_process() {
+    let mut takeover = prepare_takeover("enospc 0 1e12");
+    takeover.second.signal("-CONT");
+    takeover.second.logged("took over ");
+    takeover.second.signal("-KILL");
+    takeover.second = takeover.site.start();
+    takeover.open.store(true, Ordering::SeqCst);
+    let ended = |id: &String| {
+        takeover.delivered.lock().unwrap().contains(id) || !takeover.site.platform.noticed(id).is_empty()
+    };
+    until("every message has ended", || takeover.ids.iter().all(ended));
+    takeover.assert_no_repeats();
 }
 
-/// Guards against a file that was taken over, could not be emptied and is read again after the next start, whichever of the
-/// two files that start takes for its own.
+/// Guards against a second takeover of a file that was taken over but could not be emptied, whichever of the
+/// two journal files the next process uses as its own.
 #[test]
 fn a_file_that_was_taken_over_and_not_emptied_is_not_taken_over_again() {
     for swapped in [false, true] {
-        let mut k = killed("");
-        k.deliver();
-        k.second.signal("-KILL");
-        let _ = k.second.ended_somehow();
-        std::fs::write(&k.file, &k.copy).unwrap();
+        let mut takeover = prepare_takeover("");
+        takeover.resume_and_deliver();
+        takeover.second.signal("-KILL");
+        let _ = takeover.second.ended_somehow();
+        std::fs::write(&takeover.file, &takeover.copy).unwrap();
         if swapped {
-            let other = k.file.with_file_name("journal.1");
+            let other = takeover.file.with_file_name("journal.1");
             let newer = std::fs::read(&other).unwrap();
-            std::fs::write(&k.file, newer).unwrap();
-            std::fs::write(&other, &k.copy).unwrap();
+            std::fs::write(&takeover.file, newer).unwrap();
+            std::fs::write(&other, &takeover.copy).unwrap();
         }
-        let calls = k.worker.count();
-        // Whichever file a start empties is there again at the next one.
-        let other = k.file.with_file_name("journal.1");
-        let left = std::fs::read(&other).unwrap();
+        let calls = takeover.endpoint.count();
+        // journal.1 is restored before each start, in case the previous one emptied it.
+        let other = takeover.file.with_file_name("journal.1");
+        let content = std::fs::read(&other).unwrap();
         for _ in 0..3 {
-            std::fs::write(&other, &left).unwrap();
-            let next = k.site.start();
+            std::fs::write(&other, &content).unwrap();
+            let next = takeover.site.start();
             std::thread::sleep(Duration::from_millis(500));
             next.kill();
         }
-        k.each_was_delivered_once();
-        let again: Vec<String> =
-            k.worker.calls.lock().unwrap()[calls..].iter().map(|c| c.header("x-txn").into()).collect();
-        assert!(again.is_empty(), "swapped {swapped}: {again:?}");
+        takeover.assert_no_repeats();
+        let again: Vec<String> = takeover.endpoint.calls.lock().unwrap()[calls..]
+            .iter()
+            .map(|c| c.header("x-txn").into())
+            .collect();
+        assert!(again.is_empty(), "repeated with swapped = {swapped}: {again:?}");
     }
 }
 
-/// Guards against calls that are held twice: a process was killed while it copied them, and both files hold some.
+/// Guards against messages that are delivered twice because both journal files hold them: a process was
+/// killed while it copied the records.
 #[test]
-fn copies_of_a_handover_that_was_cut_short_are_no_second_calls() {
+fn records_copied_by_an_interrupted_takeover_are_not_sent_twice() {
     for swapped in [false, true] {
-        let mut k = killed("");
-        k.second.signal("-KILL");
-        let _ = k.second.ended_somehow();
-        let other = k.file.with_file_name("journal.1");
-        let begun = std::fs::read(&other).unwrap();
-        let (whole, partial) = (k.copy.clone(), [begun, k.copy[..k.copy.len() * 2 / 3].to_vec()].concat());
+        let mut takeover = prepare_takeover("");
+        takeover.second.signal("-KILL");
+        let _ = takeover.second.ended_somehow();
+        let other = takeover.file.with_file_name("journal.1");
+        let own_records = std::fs::read(&other).unwrap();
+        let (whole, partial) = (
+            takeover.copy.clone(),
+            [own_records, takeover.copy[..takeover.copy.len() * 2 / 3].to_vec()].concat(),
+        );
         let files = if swapped { [&partial, &whole] } else { [&whole, &partial] };
-        std::fs::write(&k.file, files[0]).unwrap();
+        std::fs::write(&takeover.file, files[0]).unwrap();
         std::fs::write(&other, files[1]).unwrap();
-        k.open.store(true, Ordering::SeqCst);
-        k.second = k.site.start();
-        let ended =
-            |id: &String| k.delivered.lock().unwrap().contains(id) || !k.site.platform.noticed(id).is_empty();
-        until("each has its end", || k.ids.iter().all(ended));
+        takeover.open.store(true, Ordering::SeqCst);
+        takeover.second = takeover.site.start();
+        let ended = |id: &String| {
+            takeover.delivered.lock().unwrap().contains(id) || !takeover.site.platform.noticed(id).is_empty()
+        };
+        until("every message has ended", || takeover.ids.iter().all(ended));
         std::thread::sleep(Duration::from_millis(300));
-        k.each_was_delivered_once();
+        takeover.assert_no_repeats();
     }
 }
 
-/// Guards against an upgrade that fails since the one before it has not ended: of the two that serve one was told to leave, and
-/// has up to 3.7 s for that.
+/// Guards against an upgrade that fails because the previous one has not ended: one of two serving processes
+/// has received SIGTERM, and may take up to 3.7 s to exit.
 #[test]
-fn a_start_beside_two_waits_for_the_one_that_leaves() {
-    let worker = Worker::start(|_, _| Reply::Silence);
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+fn a_third_process_waits_for_the_one_that_exits() {
+    let endpoint = Worker::start(|_, _| Reply::Silence);
+    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let first = site.start();
     assert_eq!(first.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"), "+OK");
-    until("it is out", || worker.count() == 1);
+    until("the attempt is outstanding", || endpoint.count() == 1);
     let mut second = site.start();
     second.logged("serves beside another process");
     first.signal("-TERM");
     let third = site.start();
     assert_eq!(third.client().submit("m2", "c=safe,t=acme,d=15000,dest=1"), "+OK");
-    until("the third one sends", || worker.of("m2") > 0);
-    assert_eq!(worker.of("m1"), 1, "an unsafe message was sent twice");
+    until("the third process sends", || endpoint.of("m2") > 0);
+    assert_eq!(endpoint.of("m1"), 1, "an at-most-once message was sent twice");
 }
--- a/tests/mesh.rs
+++ b/tests/mesh.rs
@@ -311,7 +311,7 @@
             cells: Vec::<CellSpec>::new(),
             mesh: Some(mesh),
         });
-        let worker = |n: usize| Worker {
+        let endpoint = |n: usize| Worker {
             uid: format!("e{n}"),
             address: format!("127.0.0.1:{}", n + 1),
             zone: 0,
@@ -320,7 +320,11 @@
             listing: Listing::Ready,
             weight: 1.0,
         };
-        core.list(self.now, WorkerList { rev: 1, whole: true, workers: vec![worker(0), worker(1)] }, true);
+        core.list(
+            self.now,
+            WorkerList { rev: 1, whole: true, workers: vec![endpoint(0), endpoint(1)] },
+            true,
+        );
         core.restore(self.now, records);
         for other in (0..all).filter(|o| *o != n) {
             core.peer_up(&dispatcher_name(other));
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -403,11 +403,11 @@
 /// attempt must have ended.
 #[test]
 fn a_silent_destination_delays_one_key_and_no_move() {
-    let worker = silent_for("out");
-    let installation = Installation::start(2, &["acme"], &[worker.address]);
+    let endpoint = silent_for("out");
+    let installation = Installation::start(2, &["acme"], &[endpoint.address]);
     let mut c = installation.client(0);
     assert_eq!(submit(&mut c, 7, "out", &options("reimbursement", "acme", 6_000)), "+OK");
-    until("the attempt is outstanding", || worker.of("out") == 1);
+    until("the attempt is outstanding", || endpoint.of("out") == 1);
     let begun = Instant::now();
     assert_eq!(
         submit(&mut c, 7, "next", &options("reimbursement", "acme", 19_000).replace("k=k", "k=n")),
@@ -425,9 +425,9 @@
     let mut new_client = installation.client(1);
     let other = options("reimbursement", "acme", 9_000).replace("k=k", "k=o");
     assert_eq!(submit(&mut new_client, 8, "other-2", &other), "+OK");
-    until("the other key is served", || worker.of("other-2") == 1);
+    until("the other key is served", || endpoint.of("other-2") == 1);
     assert_eq!(
-        worker.of("next"),
+        endpoint.of("next"),
         0,
         "the next message of the key was sent before the outstanding attempt had ended"
     );
@@ -435,12 +435,12 @@
     // still run.
     let again = submit(&mut new_client, 7, "out-2", &options("reimbursement", "acme", 9_000));
     assert!(again.starts_with("-ERR"), "{again}");
-    until("the next message of the key is sent", || worker.of("next") == 1);
+    until("the next message of the key is sent", || endpoint.of("next") == 1);
     assert!(begun.elapsed() >= Duration::from_millis(5_500), "it was sent after {:?}", begun.elapsed());
     until("the client gets the notice", || {
         installation.notices.lines().iter().any(|l| l.contains("\"out\""))
     });
-    assert_eq!((worker.of("out"), worker.of("out-2")), (1, 0));
+    assert_eq!((endpoint.of("out"), endpoint.of("out-2")), (1, 0));
     let lines = installation.notices.lines();
     assert!(lines.len() == 1 && lines[0].contains("given_up"), "{lines:?}");
 }
@@ -449,8 +449,8 @@
 /// the move by itself, early enough for the tenant's messages.
 #[test]
 fn a_move_to_a_target_that_is_down_is_undone_by_the_source() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let mut installation = Installation::start(2, &["acme"], &[worker.address]);
+    let endpoint = Worker::start(|_, _| Reply::Answer("200 OK"));
+    let mut installation = Installation::start(2, &["acme"], &[endpoint.address]);
     installation.kill(1);
     let begun = Instant::now();
     let tool = {
@@ -470,7 +470,7 @@
     assert!(begun.elapsed() < Duration::from_secs(12), "{:?}", begun.elapsed());
     installation.wait_for_phase(0, "acme", "settled");
     assert_eq!(submit(&mut c, 7, "b", &options("approval", "acme", 9_000)), "+OK");
-    until("it is delivered by the source", || worker.of("b") == 1);
+    until("it is delivered by the source", || endpoint.of("b") == 1);
     // The epoch of the undone move is used up. The target, once back, learns nothing of that move, and the
     // next one succeeds.
     installation.start_dispatcher(1);
@@ -482,8 +482,8 @@
 /// or after a target that restarts during a move; moves back and forth succeed after each.
 #[test]
 fn wrong_aborted_and_interrupted_moves_leave_the_tenant_movable() {
-    let worker = silent_for("out");
-    let mut installation = Installation::start(2, &["acme"], &[worker.address]);
+    let endpoint = silent_for("out");
+    let mut installation = Installation::start(2, &["acme"], &[endpoint.address]);
     for (args, why) in [
         (["acme", "--to", "n0"], "there already"),
         (["acme", "--to", "n7"], "no dispatcher 'n7'"),
@@ -497,7 +497,7 @@
     // The outstanding attempt keeps the tenant draining for a moment, in which the move is aborted.
     let mut c = installation.client(0);
     assert_eq!(submit(&mut c, 7, "out", &options("approval", "acme", 3_000)), "+OK");
-    until("the attempt is outstanding", || worker.of("out") >= 1);
+    until("the attempt is outstanding", || endpoint.of("out") >= 1);
     installation.kill(1);
     let map = installation.path("map.toml");
     let tool = thread::spawn(move || {
@@ -522,15 +522,15 @@
     installation.wait_for_phase(1, "acme", "settled");
     installation.wait_for_phase(0, "acme", "away");
     assert_eq!(submit(&mut installation.client(1), 9, "last", &options("approval", "acme", 9_000)), "+OK");
-    until("it is delivered", || worker.of("last") == 1);
+    until("it is delivered", || endpoint.of("last") == 1);
 }
 
 /// Guards against a dispatcher that is down affecting tenants of other cells. Its own tenants wait until it
 /// is back and are served by no other dispatcher; a tenant that moved away before is served all the time.
 #[test]
 fn a_cell_without_its_dispatcher_affects_no_other_cell() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let mut installation = Installation::start(2, &["acme", "bolt"], &[worker.address]);
+    let endpoint = Worker::start(|_, _| Reply::Answer("200 OK"));
+    let mut installation = Installation::start(2, &["acme", "bolt"], &[endpoint.address]);
     assert_success(&installation.move_tenant("bolt", 1));
     installation.kill(0);
     let out = installation.cell("status", "acme", &[]);
@@ -547,7 +547,7 @@
     for n in 0..20 {
         assert_eq!(submit(&mut c, 8, &format!("b{n}"), &options("approval", "bolt", 9_000)), "+OK");
     }
-    until("the other cell is served", || worker.of("b19") == 1);
+    until("the other cell is served", || endpoint.of("b19") == 1);
     let out = installation.cell("move", "acme", &["--to", "n1"]);
     assert!(
         out.status.code() == Some(2),
@@ -558,7 +558,7 @@
     installation.wait_for_phase(0, "acme", "settled");
     installation.wait_for_phase(1, "bolt", "settled");
     assert_eq!(submit(&mut installation.client(0), 7, "a2", &options("approval", "acme", 9_000)), "+OK");
-    until("its tenants are served again", || worker.of("a2") == 1);
+    until("its tenants are served again", || endpoint.of("a2") == 1);
 }
 
 /// Guards against an MQTT client that does not learn where its tenant moved, and against the final answer to
@@ -566,15 +566,15 @@
 #[test]
 fn an_mqtt_client_follows_its_tenant_and_gets_its_answers_from_the_new_dispatcher() {
     const OK: Reply = Reply::Answer("200 OK");
-    let worker =
+    let endpoint =
         Worker::start(|r, nth| if r.header("x-txn") == "m2" && nth < 2 { Reply::Silence } else { OK });
-    let installation = Installation::start(2, &["acme"], &[worker.address]);
+    let installation = Installation::start(2, &["acme"], &[endpoint.address]);
     let mut c = MqttClient::connect(installation.addresses[0][2], "bank-1");
     let user = |k: &str| format!("class=approval,dest=0,tenant=acme,idempotency-key={k},key=07");
     c.submit("m1", &user("a"), 9);
     assert_eq!(c.outcome("m1"), "delivered");
     c.submit("m2", &user("b"), 9);
-    until("the attempt is outstanding", || worker.of("m2") == 1);
+    until("the attempt is outstanding", || endpoint.of("m2") == 1);
     assert_success(&installation.move_tenant("acme", 1));
     c.submit("m3", &user("c"), 9);
     assert_eq!(c.outcome("m3"), "handed_back");
@@ -586,5 +586,5 @@
     c.submit("m4", &user("c"), 9);
     assert_eq!(c.outcome("m4"), "delivered");
     assert_eq!(c.outcome("m2"), "delivered", "the new dispatcher answers the moved message");
-    assert_eq!((c.outcomes("m2").len(), worker.of("m2")), (1, 2));
+    assert_eq!((c.outcomes("m2").len(), endpoint.of("m2")), (1, 2));
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The real program on the platform's protocol: clients, workers and the platform are stand-ins.
+//! The built program on the platform's protocol. Clients, endpoints and the platform are stand-ins.
 
 mod stand;
 use stand::*;
@@ -8,24 +8,25 @@
 
 const OK: Reply = Reply::Answer("200 OK");
 
-fn one(worker: &Worker) -> Site {
-    Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
+/// A site with one listed endpoint.
+fn site_with(endpoint: &Worker) -> Site {
+    Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")])
 }
 
 #[test]
-fn a_call_is_taken_on_and_delivered_unchanged_and_a_known_id_makes_no_second_one() {
-    let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+fn a_message_is_delivered_unchanged_and_a_repeated_id_is_not_delivered_again() {
+    let endpoint = Worker::start(|_, _| OK);
+    let site = site_with(&endpoint);
     let mut d = site.start();
     let mut c = d.client();
     assert_eq!(c.ask(&[b"PING"]), "+PONG");
     let options = "c=pay,t=acme,d=5000,k=5c0f,dest=1";
     assert_eq!(c.submit("id-1", options), "+OK");
-    until("the call is delivered", || worker.count() == 1);
+    until("the message is delivered", || endpoint.count() == 1);
     assert_eq!(c.submit("id-1", options), "+OK");
     assert_eq!(c.submit("id-2", options), "+OK");
-    until("the second call is delivered", || worker.count() == 2);
-    let first = worker.calls.lock().unwrap()[0].clone();
+    until("the second message is delivered", || endpoint.count() == 2);
+    let first = endpoint.calls.lock().unwrap()[0].clone();
     assert!(first.line.starts_with("POST /inbox "));
     assert_eq!((first.header("x-txn"), first.header("idempotency-key")), ("id-1", "5c0f"));
     assert_eq!(first.body, b"body\r\n\0\xff");
@@ -38,9 +39,9 @@
 }
 
 #[test]
-fn malformed_input_is_answered_with_an_error_and_harms_nobody_else() {
-    let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+fn malformed_input_is_answered_with_an_error_and_affects_no_other_client() {
+    let endpoint = Worker::start(|_, _| OK);
+    let site = site_with(&endpoint);
     let d = site.start();
     for options in
         ["", "c=safe", "c=none,dest=1", "c=safe,dest=x", "c=safe,dest=1,t=nobody", "c=order,dest=1", "c"]
@@ -51,7 +52,11 @@
     assert!(c.ask(&[b"SUBMIT", b"0", b"id"]).starts_with("-ERR"));
     assert!(c.ask(&[b"GET", b"x"]).starts_with("-ERR"));
     assert!(c.submit("bad id\r\n", "c=safe,dest=1").starts_with("-ERR"));
-    assert_eq!(c.ask(&[b"PING"]), "+PONG", "after errors that leave the connection in step it goes on");
+    assert_eq!(
+        c.ask(&[b"PING"]),
+        "+PONG",
+        "the connection stays open after errors that keep the protocol in step"
+    );
     let endless = [&b"*1\r\n$"[..], &b"1".repeat(100)].concat();
     for raw in
         [&b"hello\r\n"[..], b"*-1\r\n", b"*2\r\n$99999999\r\n", b"*1\r\n$1\r\nabc\r\n", b"*9\r\n", &endless]
@@ -67,15 +72,15 @@
         .ask(&[b"SUBMIT", b"0", b"id", b"c=safe,dest=1", &large[..64 * 1024 + 1]])
         .starts_with("-ERR"));
     assert_eq!(d.client().ask(&[b"SUBMIT", b"0", b"fits", b"c=pay,dest=1", &large[..64 * 1024]]), "+OK");
-    until("the largest body is delivered", || worker.of("fits") == 1);
-    assert_eq!(worker.count(), 1);
+    until("the largest body is delivered", || endpoint.of("fits") == 1);
+    assert_eq!(endpoint.count(), 1);
 }
 
-/// A client may end its sending with its request; it still reads the answer.
+/// Guards against a lost answer when a client closes its sending side after the request and still reads.
 #[test]
 fn a_half_closed_client_gets_its_answer() {
-    let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+    let endpoint = Worker::start(|_, _| OK);
+    let site = site_with(&endpoint);
     let d = site.start();
     let mut c = d.client();
     c.send(&command(&[b"SUBMIT", b"0", b"half", b"c=safe,dest=1", b"x"]));
@@ -84,69 +89,76 @@
     let mut rest = Vec::new();
     c.0.read_to_end(&mut rest).unwrap();
     assert!(rest.is_empty());
-    until("it is delivered", || worker.of("half") == 1);
+    until("it is delivered", || endpoint.of("half") == 1);
 }
 
-/// Guards against a restart that forgets what was taken on, or repeats what must not be.
+/// Guards against a restart that loses accepted messages or repeats one that must not be repeated.
 #[test]
-fn after_a_kill_safe_calls_go_again_and_unsafe_ones_end() {
-    let worker = Worker::start(|_, nth| if nth < 2 { Reply::Silence } else { OK });
-    let site = one(&worker);
+fn after_a_kill_idempotent_messages_are_resent_and_at_most_once_messages_end() {
+    let endpoint = Worker::start(|_, nth| if nth < 2 { Reply::Silence } else { OK });
+    let site = site_with(&endpoint);
     let d = site.start();
     let mut c = d.client();
     assert_eq!(c.submit("safe-1", "c=safe,dest=1"), "+OK");
     assert_eq!(c.submit("pay-1", "c=pay,dest=1"), "+OK");
-    until("both are out", || worker.count() == 2);
+    until("both attempts are outstanding", || endpoint.count() == 2);
     d.kill();
     let mut d = site.start();
-    until("the safe one goes again", || worker.of("safe-1") >= 2);
-    until("the unsafe one is given up", || !site.platform.noticed("pay-1").is_empty());
+    until("the idempotent message is sent again", || endpoint.of("safe-1") >= 2);
+    until("the at-most-once message is given up", || !site.platform.noticed("pay-1").is_empty());
     assert!(site.platform.noticed("pay-1")[0].contains("given_up"));
     assert_eq!(d.client().submit("safe-1", "c=safe,dest=1"), "+OK");
     assert_eq!(d.client().submit("pay-1", "c=pay,dest=1"), "+OK");
     assert_eq!(d.client().submit("pay-2", "c=pay,dest=1"), "+OK");
-    until("what comes later is served", || worker.of("pay-2") == 1);
-    assert_eq!(worker.of("pay-1"), 1);
+    until("a later message is delivered", || endpoint.of("pay-2") == 1);
+    assert_eq!(endpoint.of("pay-1"), 1);
     assert!(d.running());
 }
 
-/// What may have run in one building is repeated only there, also after a restart.
+/// Guards against a deduplicated message being repeated in another zone after a restart: only the zone where
+/// it may have run drops repeats.
 #[test]
-fn a_keyed_call_stays_in_its_zone_over_a_restart() {
+fn a_deduplicated_message_stays_in_its_zone_over_a_restart() {
     let [a, b] = [0, 1].map(|_| Worker::start(|_, _| Reply::Silence));
     let list = [("a", &a), ("b", &b)];
     let site = Site::new(&list.map(|(zone, w)| entry(zone, &w.address.to_string(), zone, 1, "in_service")));
     let d = site.start();
     assert_eq!(d.client().submit("k1", "c=order,k=77,dest=1"), "+OK");
-    until("it is out", || a.count() + b.count() == 1);
+    until("the attempt is outstanding", || a.count() + b.count() == 1);
     let (first, other) = if a.count() == 1 { (&a, &b) } else { (&b, &a) };
     d.kill();
     let _d = site.start();
-    until("it goes again", || first.of("k1") >= 2);
+    until("it is sent again", || first.of("k1") >= 2);
     assert_eq!(other.count(), 0);
 }
 
-/// Guards against a call of a key overtaking one whose end its client has not heard of.
+/// Guards against a message of a key being sent before the client has acknowledged the final answer of the
+/// earlier one.
 #[test]
-fn a_notice_is_sent_until_it_is_answered_and_its_key_waits_for_that() {
-    let worker = Worker::start(|r, _| if r.header("x-txn") == "first" { Reply::Silence } else { OK });
-    let site = one(&worker);
+fn a_notice_is_repeated_until_it_is_acknowledged_and_its_key_waits() {
+    let endpoint = Worker::start(|r, _| if r.header("x-txn") == "first" { Reply::Silence } else { OK });
+    let site = site_with(&endpoint);
     *site.platform.deaf.lock().unwrap() = 4;
     let d = site.start();
     let mut c = d.client();
     assert_eq!(c.keyed("000000000000000a", "first", "c=order,k=1,d=700,dest=1"), "+OK");
     assert_eq!(c.keyed("000000000000000a", "second", "c=order,k=2,dest=1"), "+OK");
-    until("the second one is delivered", || worker.of("second") == 1);
-    let told = site.platform.noticed("first");
-    assert!(told.len() >= 5, "four were not answered: {told:?}");
-    assert_eq!(*site.platform.deaf.lock().unwrap(), 0, "the second went before the notice was answered");
+    until("the second message is delivered", || endpoint.of("second") == 1);
+    let notices = site.platform.noticed("first");
+    assert!(notices.len() >= 5, "four notices were not acknowledged: {notices:?}");
+    assert_eq!(
+        *site.platform.deaf.lock().unwrap(),
+        0,
+        "the second message was sent before the notice was acknowledged"
+    );
 }
 
+/// Guards against messages being sent to an endpoint within a retry-after that another message received.
 #[test]
-fn a_told_wait_is_kept_by_every_call() {
+fn a_retry_after_binds_all_messages() {
     let full = "429 Too Many\r\nRetry-After: 0.8";
-    let worker = Worker::start(move |_, nth| if nth == 0 { Reply::Answer(full) } else { OK });
-    let site = one(&worker);
+    let endpoint = Worker::start(move |_, nth| if nth == 0 { Reply::Answer(full) } else { OK });
+    let site = site_with(&endpoint);
     let mut d = site.start();
     let mut c = d.client();
     assert_eq!(c.submit("a", "c=safe,dest=1"), "+OK");
@@ -155,32 +167,33 @@
         assert_eq!(c.submit(id, "c=safe,dest=1"), "+OK");
     }
     until("all are delivered", || {
-        ["a", "b", "c", "d"].iter().all(|id| worker.of(id) > usize::from(*id == "a"))
+        ["a", "b", "c", "d"].iter().all(|id| endpoint.of(id) > usize::from(*id == "a"))
     });
-    let calls = worker.calls.lock().unwrap();
+    let calls = endpoint.calls.lock().unwrap();
     assert!(calls[1].at - calls[0].at >= Duration::from_millis(800), "{:?}", calls[1].at - calls[0].at);
 }
 
-/// A connection that is refused proves that nothing ran; one that breaks after the request does not.
+/// Guards against an at-most-once message that runs twice or is not delivered: a refused connection proves
+/// that nothing ran, a connection that breaks after the request does not.
 #[test]
-fn an_unsafe_call_moves_after_a_refused_connection_but_not_after_a_reset() {
+fn an_at_most_once_message_is_resent_after_a_refused_connection_but_not_after_a_reset() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let worker = Worker::start(|r, _| if r.header("x-txn") == "reset" { Reply::Break } else { OK });
-    let all = [("w1", gone), ("w2", worker.address)];
+    let endpoint = Worker::start(|r, _| if r.header("x-txn") == "reset" { Reply::Break } else { OK });
+    let all = [("w1", gone), ("w2", endpoint.address)];
     let site = Site::new(&all.map(|(uid, to)| entry(uid, &to.to_string(), "a", 1, "in_service")));
     let d = site.start();
     for n in 0..4 {
         assert_eq!(d.client().submit(&format!("moves-{n}"), "c=pay,dest=1"), "+OK");
     }
-    until("all reach the worker that is there", || (0..4).all(|n| worker.of(&format!("moves-{n}")) == 1));
+    until("all reach the endpoint that is up", || (0..4).all(|n| endpoint.of(&format!("moves-{n}")) == 1));
     assert_eq!(d.client().submit("reset", "c=pay,dest=1"), "+OK");
-    until("the reset one is given up", || !site.platform.noticed("reset").is_empty());
+    until("the message whose connection broke is given up", || !site.platform.noticed("reset").is_empty());
     assert!(site.platform.noticed("reset")[0].contains("given_up"));
-    assert_eq!(worker.of("reset"), 1);
+    assert_eq!(endpoint.of("reset"), 1);
 }
 
 #[test]
-fn a_worker_that_drains_gets_nothing_new() {
+fn a_draining_endpoint_gets_no_new_messages() {
     let [a, b] = [0, 1].map(|_| Worker::start(|_, _| OK));
     let [ea, eb] =
         [("a", &a), ("b", &b)].map(|(n, w)| entry(n, &w.address.to_string(), "a", 1, "in_service"));
@@ -191,44 +204,44 @@
     until("one is delivered", || a.count() + b.count() == 1);
     site.platform.push(&ea.replace("in_service", "terminating"));
     std::thread::sleep(Duration::from_millis(1_000));
-    let had = a.count();
+    let before = a.count();
     for n in 0..10 {
         assert_eq!(c.submit(&format!("n{n}"), "c=safe,dest=1"), "+OK");
     }
-    until("the other takes them all", || b.count() >= 10);
-    assert_eq!(a.count(), had);
+    until("the other endpoint gets all messages", || b.count() >= 10);
+    assert_eq!(a.count(), before);
 }
 
 #[test]
-fn when_told_to_leave_it_ends_idle_connections_and_leaves_the_rest_in_the_journal() {
-    let worker = Worker::start(|_, nth| if nth == 0 { Reply::Silence } else { OK });
-    let site = one(&worker);
+fn on_sigterm_it_closes_idle_connections_and_leaves_pending_messages_in_the_journal() {
+    let endpoint = Worker::start(|_, nth| if nth == 0 { Reply::Silence } else { OK });
+    let site = site_with(&endpoint);
     let mut d = site.start();
     let (mut idle, mut c) = (d.client(), d.client());
     assert_eq!(idle.ask(&[b"PING"]), "+PONG");
     assert_eq!(c.submit("held", "c=pay,dest=1"), "+OK");
-    until("it is out", || worker.count() == 1);
-    let told = Instant::now();
+    until("the attempt is outstanding", || endpoint.count() == 1);
+    let signalled = Instant::now();
     d.signal("-TERM");
     d.logged("told to leave");
-    assert_eq!(idle.line(), "", "an idle connection is ended");
+    assert_eq!(idle.line(), "", "an idle connection is closed");
     assert_eq!(d.client().submit("late", "c=order,k=3,dest=1"), "+OK");
-    // It waits without a spin: it shares its core with others.
+    // It must wait without spinning, since it shares its core with other processes.
     std::thread::sleep(Duration::from_millis(2_000));
-    assert!(d.used() < Duration::from_millis(500), "{:?} of processor time", d.used());
+    assert!(d.used() < Duration::from_millis(500), "{:?} of CPU time", d.used());
     d.ended();
-    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+    assert!(signalled.elapsed() < Duration::from_millis(3_700), "{:?}", signalled.elapsed());
     let _d = site.start();
-    until("the next process ends it", || !site.platform.noticed("held").is_empty());
-    until("what came late is delivered", || worker.of("late") == 1);
-    assert_eq!(worker.of("held"), 1);
+    until("the next process ends the message", || !site.platform.noticed("held").is_empty());
+    until("the message submitted after SIGTERM is delivered", || endpoint.of("late") == 1);
+    assert_eq!(endpoint.of("held"), 1);
 }
 
-/// With the folder full, calls are turned away; nothing is taken on that could be lost.
+/// Guards against accepting messages that could be lost: while the folder is full, messages are rejected.
 #[test]
-fn a_full_folder_turns_calls_away_and_recovers() {
-    let worker = Worker::start(|_, _| Reply::Silence);
-    let mut site = one(&worker);
+fn messages_are_rejected_while_the_folder_is_full_and_accepted_after_that() {
+    let endpoint = Worker::start(|_, _| Reply::Silence);
+    let mut site = site_with(&endpoint);
     site.disk_mb = 0.4;
     let d = site.start();
     let mut c = d.client();
@@ -253,60 +266,62 @@
     });
 }
 
-/// Price of a handshake: calls one after another share a connection; one that was given up is never used again.
+/// Guards against a handshake for each call, and against reuse of a connection on which an answer is still
+/// outstanding.
 #[test]
-fn connections_are_kept_and_never_used_with_an_answer_outstanding() {
-    let worker = Worker::start(|r, _| if r.header("x-txn") == "silent" { Reply::Silence } else { OK });
-    let site = one(&worker);
+fn connections_are_reused_except_with_an_answer_outstanding() {
+    let endpoint = Worker::start(|r, _| if r.header("x-txn") == "silent" { Reply::Silence } else { OK });
+    let site = site_with(&endpoint);
     let d = site.start();
     let mut c = d.client();
     for n in 0..10 {
         let id = format!("n{n}");
         assert_eq!(c.submit(&id, "c=pay,dest=1"), "+OK");
-        until("it is delivered", || worker.of(&id) == 1);
+        until("it is delivered", || endpoint.of(&id) == 1);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(*worker.connections.lock().unwrap(), 1);
+    assert_eq!(*endpoint.connections.lock().unwrap(), 1);
     assert_eq!(c.submit("silent", "c=pay,d=400,dest=1"), "+OK");
     until("it is given up", || !site.platform.noticed("silent").is_empty());
     assert_eq!(c.submit("after", "c=pay,dest=1"), "+OK");
-    until("the next is delivered", || worker.of("after") == 1);
-    assert!(*worker.connections.lock().unwrap() >= 2);
+    until("the next is delivered", || endpoint.of("after") == 1);
+    assert!(*endpoint.connections.lock().unwrap() >= 2);
 }
 
-/// A watch that breaks is opened anew and goes on where it was.
+/// Guards against list changes that are missed while the watch is broken: it is reopened at the last
+/// revision.
 #[test]
-fn a_broken_watch_comes_back_with_what_was_missed() {
+fn a_broken_watch_is_reopened_and_delivers_the_missed_changes() {
     let [a, b] = [0, 1].map(|_| Worker::start(|_, _| OK));
-    let site = one(&a);
+    let site = site_with(&a);
     let d = site.start();
     assert_eq!(d.client().submit("first", "c=pay,dest=1"), "+OK");
     until("the first list is known", || a.of("first") == 1);
     site.platform.break_watches();
     site.platform.push(&entry("w2", &b.address.to_string(), "a", 2, "in_service"));
     let second = |n| d.client().submit(&format!("second-{n}"), "c=order,k=9,dest=2");
-    assert!(second(0).starts_with("-BUSY"), "a destination that no list names: come again");
+    assert!(second(0).starts_with("-BUSY"), "a destination that is not listed");
     until("it is listed", || second(1) == "+OK");
     until("the new destination is known", || b.of("second-1") == 1);
 }
 
-/// Guards against SIGHUP ending the process, and against a list or a notice that stays with the old registry.
+/// Guards against SIGHUP ending the process, and against the watch or notices staying with the old registry.
 #[test]
-fn a_reload_moves_watch_and_notices_and_a_faulty_file_changes_nothing() {
+fn a_reload_moves_watch_and_notices_and_an_invalid_file_changes_nothing() {
     let [a, b] =
         [0, 1].map(|_| Worker::start(|r, _| if r.header("x-txn") == "lost" { Reply::Silence } else { OK }));
-    let mut site = one(&a);
+    let mut site = site_with(&a);
     let mut d = site.start();
     assert_eq!(d.client().submit("first", "c=pay,dest=1"), "+OK");
     until("the list is known", || a.of("first") == 1);
-    for (faulty, key) in [("\"nowhere\"", "discovery:"), ("{", "ROUTER_CONFIG:")] {
-        site.configure(faulty);
+    for (invalid, key) in [("\"nowhere\"", "discovery:"), ("{", "ROUTER_CONFIG:")] {
+        site.configure(invalid);
         d.signal("-HUP");
         assert!(d.logged("configuration: ").starts_with(key));
     }
     *site.platform.deaf.lock().unwrap() = usize::MAX;
     assert_eq!(d.client().submit("lost", "c=pay,d=300,dest=1"), "+OK");
-    until("its end is told to the old platform", || !site.platform.noticed("lost").is_empty());
+    until("the old platform gets the notice", || !site.platform.noticed("lost").is_empty());
     let old = std::mem::replace(
         &mut site.platform,
         Platform::start(&[entry("w1", &a.address.to_string(), "a", 1, "in_service")]).unwrap(),
@@ -314,75 +329,78 @@
     site.platform.push(&entry("w2", &b.address.to_string(), "a", 2, "in_service"));
     site.configure(&format!("\"{}\"", site.platform.address));
     d.signal("-HUP");
-    until("the new platform has the notice", || !site.platform.noticed("lost").is_empty());
-    let told = old.noticed("lost").len();
-    until("the list comes from the new one", || d.client().submit("second", "c=pay,dest=2") == "+OK");
-    until("it is delivered there", || b.of("second") == 1);
+    until("the new platform gets the notice", || !site.platform.noticed("lost").is_empty());
+    let notices = old.noticed("lost").len();
+    until("the list comes from the new platform", || d.client().submit("second", "c=pay,dest=2") == "+OK");
+    until("the message is delivered to the new endpoint", || b.of("second") == 1);
     assert_eq!(d.client().submit("third", "c=pay,dest=1"), "+OK");
-    until("what the list held is still there", || a.of("third") == 1);
-    assert_eq!(old.noticed("lost").len(), told, "the old platform is told nothing more");
+    until("the endpoint of the earlier list is still used", || a.of("third") == 1);
+    assert_eq!(old.noticed("lost").len(), notices, "the old platform gets no more notices");
     d.kill();
     let d = site.start();
-    until("a restart comes up", || d.client().submit("fourth", "c=pay,dest=2") == "+OK");
-    until("a restart finds the new one", || b.of("fourth") == 1);
+    until("a restarted process accepts messages", || d.client().submit("fourth", "c=pay,dest=2") == "+OK");
+    until("a restarted process delivers by the new list", || b.of("fourth") == 1);
 }
 
-/// Killed again and again while calls come in: each that was taken on ends, and no unsafe one goes twice.
+/// Guards against messages that are lost or repeated when the process is killed repeatedly under traffic:
+/// each accepted message ends, and no at-most-once message is sent twice.
 #[test]
-fn over_many_kills_every_call_that_was_taken_on_ends_once() {
-    let worker = Worker::start(|_, nth| if nth % 5 == 3 { Reply::Silence } else { OK });
-    let site = one(&worker);
-    let mut taken = Vec::new();
+fn over_many_kills_accepted_messages_end_and_at_most_once_ones_are_not_repeated() {
+    let endpoint = Worker::start(|_, nth| if nth % 5 == 3 { Reply::Silence } else { OK });
+    let site = site_with(&endpoint);
+    let mut accepted = Vec::new();
     for round in 0..5 {
         let d = site.start();
         let mut c = d.client();
         for n in 0..8 {
             let (id, class) = (format!("r{round}n{n}"), ["c=pay,dest=1", "c=safe,dest=1"][n % 2]);
             if c.submit(&id, class) == "+OK" {
-                taken.push((id, n % 2 == 0));
+                accepted.push((id, n % 2 == 0));
             }
         }
         std::thread::sleep(Duration::from_millis(7 * round));
         d.kill();
     }
-    assert!(taken.len() >= 30);
+    assert!(accepted.len() >= 30);
     let _d = site.start();
-    for (id, pay) in &taken {
-        until(&format!("{id} ends"), || worker.of(id) > 0 || !site.platform.noticed(id).is_empty());
-        assert!(!pay || worker.of(id) <= 1, "{id} went {} times", worker.of(id));
+    for (id, pay) in &accepted {
+        until(&format!("{id} ends"), || endpoint.of(id) > 0 || !site.platform.noticed(id).is_empty());
+        assert!(!pay || endpoint.of(id) <= 1, "{id} was sent {} times", endpoint.of(id));
     }
 }
 
-/// A client that asks without end and reads nothing is not read from any more; others are served.
+/// Guards against unbounded buffers for a client that sends without end and reads nothing: the dispatcher
+/// stops reading from it and serves others.
 #[test]
-fn a_slow_reader_is_held_back() {
-    let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+fn a_client_that_reads_nothing_is_no_longer_read_from() {
+    let endpoint = Worker::start(|_, _| OK);
+    let site = site_with(&endpoint);
     let d = site.start();
     let mut slow = d.client();
     slow.0.get_mut().set_write_timeout(Some(Duration::from_millis(300))).unwrap();
     let pings = command(&[b"PING", &[b'x'; 1000]]).repeat(64);
     let stuck = (0..1_000).any(|_| slow.0.get_mut().write_all(&pings).is_err());
-    assert!(stuck, "64 MB were taken from a client that reads nothing");
+    assert!(stuck, "64 MB were read from a client that reads nothing");
     assert_eq!(d.client().ask(&[b"PING"]), "+PONG");
     assert!(d.memory_mb() < 60, "{} MB", d.memory_mb());
 }
 
-/// A wait was told while the call that it answered was being given up; the next call went out within it.
+/// Guards against the loss of a retry-after that arrives after its message was given up: the next message was
+/// sent within it.
 #[test]
-fn a_wait_told_to_a_call_that_was_given_up_is_kept() {
+fn a_retry_after_to_a_message_that_was_given_up_is_kept() {
     let full = "429 Too Many Requests\r\nRetry-After: 4";
-    let worker = Worker::start(
+    let endpoint = Worker::start(
         move |_, nth| if nth == 0 { Reply::After(Duration::from_millis(450), full) } else { OK },
     );
-    let site = one(&worker);
+    let site = site_with(&endpoint);
     let d = site.start();
     let mut c = d.client();
     assert_eq!(c.submit("id-1", "c=safe,d=400,dest=1"), "+OK");
-    until("the call is given up", || !site.platform.noticed("id-1").is_empty());
+    until("the message is given up", || !site.platform.noticed("id-1").is_empty());
     std::thread::sleep(Duration::from_millis(400));
-    let asked = Instant::now();
+    let submitted = Instant::now();
     assert_eq!(c.submit("id-2", "c=safe,d=12000,dest=1"), "+OK");
-    until("the call goes once the wait is over", || worker.of("id-2") == 1);
-    assert!(asked.elapsed() > Duration::from_millis(2_500), "{:?}", asked.elapsed());
+    until("the message is sent after the retry-after", || endpoint.of("id-2") == 1);
+    assert!(submitted.elapsed() > Duration::from_millis(2_500), "{:?}", submitted.elapsed());
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -4,7 +4,7 @@
 use common::*;
 use lilacbank::api::*;
 
-/// `count` dispatchers of an installation of `senders`, each with one endpoint.
+/// `count` of the dispatchers of an installation that has `senders` of them, each with one endpoint.
 fn watched_dispatchers(count: u64, senders: usize) -> Vec<Watched> {
     let one = |seed| Watched::new(Settings { seed, senders, ..settings() }, vec![row(0, 1, 0, 0)]);
     (1..=count).map(|seed| one(seed * 7919)).collect()
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -110,21 +110,21 @@
     pub fn start(answer: impl Fn(&Request, usize) -> Reply + Send + Sync + 'static) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let worker = Worker {
+        let endpoint = Worker {
             address,
             calls: Arc::default(),
             probes: Arc::default(),
             open: Arc::default(),
             connections: Arc::default(),
         };
-        let (connections, probes) = (worker.connections.clone(), worker.probes.clone());
-        let (calls, answer) = (worker.calls.clone(), Arc::new(answer));
-        let worker_open = worker.open.clone();
+        let (connections, probes) = (endpoint.connections.clone(), endpoint.probes.clone());
+        let (calls, answer) = (endpoint.calls.clone(), Arc::new(answer));
+        let open_connections = endpoint.open.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 *connections.lock().unwrap() += 1;
                 let (calls, probes, answer) = (calls.clone(), probes.clone(), answer.clone());
-                let open = OpenConnection::new(&worker_open);
+                let open = OpenConnection::new(&open_connections);
                 thread::spawn(move || {
                     let _open = open;
                     let mut out = stream.try_clone().unwrap();
@@ -163,7 +163,7 @@
                 });
             }
         });
-        worker
+        endpoint
     }
 
     pub fn count(&self) -> usize {
@@ -260,14 +260,14 @@
     let (open, taken) =
         (Arc::new(std::sync::atomic::AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
     let (is_open, accepted) = (open.clone(), taken.clone());
-    let worker = Worker::start(move |r, _| {
+    let endpoint = Worker::start(move |r, _| {
         if !is_open.load(std::sync::atomic::Ordering::SeqCst) {
             return Reply::Answer("429 Too Many Requests\r\nRetry-After: 1");
         }
         accepted.lock().unwrap().push(r.header("x-txn").to_string());
         Reply::Answer("200 OK")
     });
-    (worker, open, taken)
+    (endpoint, open, taken)
 }
 
 /// An endpoint that gives no answer until the flag is set, and accepts each attempt after that.
