--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use lilacbank::Brain;
 use std::collections::{BTreeMap, VecDeque};
 
-pub const SLACK: Ms = 20.0;
+pub const ANSWER_SLACK: Ms = 20.0;
 
 pub fn class(effect: Effect) -> Class {
     Class {
@@ -44,7 +44,7 @@
         can_cancel: true,
         max_advice: 2_000.0,
         connect_timeout: 1_000.0,
-        answer_slack: SLACK,
+        answer_slack: ANSWER_SLACK,
         drain_grace: 250.0,
         overload_factor: 2.0,
         overload_for: 2_000.0,
@@ -75,7 +75,7 @@
 
 /// What the checker knows of a message.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ObservedMessage {
     pub m: Message,
     pub attempts: Vec<Attempt>,
     /// Number of final answers; exactly one is right.
@@ -91,7 +91,7 @@
     pub brain: Brain,
     pub s: Settings,
     pub now: Ms,
-    pub seen: BTreeMap<MsgId, Seen>,
+    pub seen: BTreeMap<MsgId, ObservedMessage>,
     pub rows: BTreeMap<RouteId, Row>,
     pub actions: Vec<Action>,
     pub timers: Vec<(Ms, u64)>,
@@ -209,7 +209,7 @@
                 if let Some(k) = m.key.filter(|_| self.s.classes[m.class].in_order) {
                     self.keys.entry(k).or_default().0.push_back(m.id);
                 }
-                let fresh = Seen {
+                let fresh = ObservedMessage {
                     m: m.clone(),
                     attempts: vec![],
                     finals: 0,
@@ -277,7 +277,7 @@
         let s = self.seen.get_mut(&id).expect("final answer for an unknown message");
         s.finals += 1;
         s.ended_at = now;
-        let (finals, due) = (s.finals, s.m.valid_until + SLACK);
+        let (finals, due) = (s.finals, s.m.valid_until + ANSWER_SLACK);
         if finals > 1 {
             self.add_violation(format!("message {id} ended twice"));
         }
