--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,6 @@
-//! Endings: each test forces the instant in which something ends while something else is still owed. The order of bytes is
-//! forced by stand-ins that wait for a sign, and by halting the process; `docs/design/endings.md` lists them.
+//! Races between the end of a process, connection, window or deadline and work that is still outstanding. The
+//! tests force the order of events with stand-ins that answer on command and by stopping the process with a
+//! signal; `docs/design/endings.md` lists the cases.
 
 mod stand;
 use lilacbank::api::{Listing, Outcome};
@@ -18,30 +19,31 @@
 
 const OK: Reply = Reply::Answer("200 OK");
 
-fn one(worker: &Worker) -> Site {
+fn one_endpoint_site(worker: &Worker) -> Site {
     Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
 }
 
-fn list(worker: &Worker) -> String {
+fn endpoint_list(worker: &Worker) -> String {
     let entry = entry("w1", &worker.address.to_string(), "a", 1, "in_service");
     format!(r#"{{"rev":7,"all":true,"targets":[{entry}]}}"#)
 }
 
-/// The ids of the calls that the folder's journal took on.
-fn taken(site: &Site) -> BTreeSet<String> {
+/// The ids of the messages whose acceptance is in the journal of the state folder.
+fn accepted_ids(site: &Site) -> BTreeSet<String> {
     let (_, records) = Journal::open(&site.dir.join("state"), 3 << 20).unwrap();
     let id = |r| if let Record::Taken(t) = r { Some(t.identity.1) } else { None };
     records.into_iter().filter_map(id).collect()
 }
 
-/// Guards against a process that ends between reading a request and answering it: the core's turn waits for its pace, and
-/// the last moment came first. What its journal took on has been answered to the client.
+/// Guards against a process that exits between reading a request and answering it. The core runs at a limited
+/// rate, so the exit deadline could come before the run that answers the request. Each message that the
+/// journal holds as accepted must have been answered to its client.
 #[test]
-fn what_was_read_before_the_end_is_answered() {
+fn every_accepted_message_is_answered_before_the_process_exits() {
     let worker = Worker::start(|_, _| Reply::Silence);
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let mut d = site.start();
-    // Many calls are held, so that a turn is dear and the next one has to wait.
+    // Many pending messages make a run of the core expensive, so that the next run is delayed.
     let mut first = d.client();
     for n in 0..400 {
         first.send(&command(&[
@@ -57,8 +59,8 @@
     }
     let address = d.address();
     d.signal("-TERM");
-    // Clients come up to the end, each with one request on a connection of its own.
-    let crowd: Vec<_> = (0..6)
+    // Clients connect until the process exits and send one request per connection.
+    let clients: Vec<_> = (0..6)
         .map(|who| {
             std::thread::spawn(move || {
                 let (mut answered, mut n) = (BTreeSet::new(), 0);
@@ -74,29 +76,31 @@
         })
         .collect();
     d.ended();
-    let answered: BTreeSet<String> = crowd.into_iter().flat_map(|c| c.join().unwrap()).collect();
-    let late: BTreeSet<String> = taken(&site).into_iter().filter(|id| id.starts_with("late")).collect();
-    assert!(late.len() > 20, "clients came up to the end: {}", late.len());
-    let unanswered: Vec<_> = late.difference(&answered).collect();
-    assert!(unanswered.is_empty(), "taken on and not answered: {unanswered:?} of {}", late.len());
+    let answered: BTreeSet<String> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
+    let late_ids: BTreeSet<String> =
+        accepted_ids(&site).into_iter().filter(|id| id.starts_with("late")).collect();
+    assert!(late_ids.len() > 20, "clients connected until the exit: {}", late_ids.len());
+    let unanswered: Vec<_> = late_ids.difference(&answered).collect();
+    assert!(unanswered.is_empty(), "accepted and not answered: {unanswered:?} of {}", late_ids.len());
 }
 
-/// The same where nothing is held, and the process leaves sooner: each request that it counted as refused was answered so.
+/// The same race without pending messages, where the process exits sooner: each request that it counts as
+/// `busy` must have been answered with `-BUSY`.
 #[test]
-fn what_was_refused_before_the_end_is_answered_when_nothing_is_held() {
+fn every_rejection_is_answered_before_an_idle_process_exits() {
     let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let mut d = site.start();
     assert_eq!(d.client().submit("a", "c=safe,dest=1"), "+OK");
-    until("it is delivered", || worker.of("a") == 1);
+    until("the message is delivered", || worker.of("a") == 1);
     let address = d.address();
     d.signal("-TERM");
-    let crowd: Vec<_> = (0..6)
+    let clients: Vec<_> = (0..6)
         .map(|who| {
             std::thread::spawn(move || {
                 let (mut refused, mut n) = (0, 0);
                 while let Ok(mut c) = Client::try_connect(address) {
-                    // Of a destination that the list does not name.
+                    // Destination 9 is not in the endpoint list.
                     refused += usize::from(
                         c.try_submit(&format!("{who}-{n}"), "c=safe,dest=9").starts_with("-BUSY"),
                     );
@@ -108,124 +112,133 @@
         .collect();
     let left = d.logged("leaves with 0 calls in the journal; taken in: ");
     d.ended();
-    let answered: usize = crowd.into_iter().map(|c| c.join().unwrap()).sum();
+    let answered: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
     let counted = left.split(", ").find_map(|part| part.strip_suffix(" busy")).unwrap();
-    assert!(answered > 50, "clients came up to the end: {answered}");
+    assert!(answered > 50, "clients connected until the exit: {answered}");
     assert_eq!(answered.to_string(), counted);
 }
 
-/// Guards against a watch that has fallen silent for longer than what it misses may stay unknown: 6 s.
+/// Guards against a silent registry watch that stays open past the 6 s within which a change of the endpoint
+/// list must become known.
 #[test]
-fn a_silent_watch_is_opened_anew_before_what_it_misses_counts_as_told() {
+fn a_silent_watch_is_reopened_within_six_seconds() {
     let (worker, registry) = (Worker::start(|_, _| OK), Puppet::start());
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let d = site.start_with("127.0.0.1:0", &[("ROUTER_DISCOVERY", &registry.address.to_string())]);
     let mut watch = registry.next("watch=1");
     watch.begin_watch();
-    watch.chunk(&(list(&worker) + "\n"));
+    watch.chunk(&(endpoint_list(&worker) + "\n"));
     let silent = Instant::now();
-    // The connection stays open, and nothing comes on it any more.
+    // The connection stays open, but nothing more arrives on it.
     let mut again = registry.next("watch=1&after=7");
     assert!(silent.elapsed() < Duration::from_millis(5_700), "{:?}", silent.elapsed());
     assert!(
         silent.elapsed() > Duration::from_millis(4_000),
-        "a line comes every 2 s: {:?}",
+        "the registry sends a line every 2 s, so a shorter silence is normal: {:?}",
         silent.elapsed()
     );
     again.begin_watch();
     assert_eq!(d.client().submit("a", "c=safe,dest=1"), "+OK");
-    until("it is delivered", || worker.of("a") == 1);
+    until("the message is delivered", || worker.of("a") == 1);
 }
 
-/// Guards against a registry that is back and is not asked within the time after which its news counts as told: askings that
-/// were not answered, refused or broken made the next one later and later.
+/// Guards against a dispatcher that queries a recovered registry too late, after the time within which a
+/// change of the endpoint list must become known. Backoff after queries that were unanswered, refused or
+/// broken grew past that time.
 #[test]
-fn after_askings_that_failed_the_registry_is_asked_again_in_time() {
+fn failed_registry_queries_are_repeated_within_six_seconds() {
     let (worker, registry) = (Worker::start(|_, _| OK), Puppet::start());
-    let mut site = one(&worker);
+    let mut site = one_endpoint_site(&worker);
     site.balancers = 25;
     let _d = site.start_with("127.0.0.1:0", &[("ROUTER_DISCOVERY", &registry.address.to_string())]);
     let mut refused = registry.next("watch=1");
     let mut last = Instant::now();
     for n in 0..5 {
-        // Refused, and then nothing is said at all.
+        // Every second query is refused with 503; the others get no answer.
         if n % 2 == 0 {
             refused.write(b"HTTP/1.1 503 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n");
         }
         refused = registry.next("watch=1");
-        assert!(last.elapsed() < Duration::from_secs(6), "asking {n}: {:?}", last.elapsed());
+        assert!(last.elapsed() < Duration::from_secs(6), "query {n}: {:?}", last.elapsed());
         last = Instant::now();
     }
 }
 
-/// Guards against a list that comes indented, over many lines, and an empty line within it.
+/// Guards against a parser that fails on an endpoint list that is indented over many lines and contains an
+/// empty line.
 #[test]
-fn an_indented_list_is_read_whole() {
+fn an_indented_endpoint_list_is_parsed_completely() {
     let (worker, registry) = (Worker::start(|_, _| OK), Puppet::start());
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let mut d = site.start_with("127.0.0.1:0", &[("ROUTER_DISCOVERY", &registry.address.to_string())]);
     let mut watch = registry.next("watch=1");
-    let value: serde_json::Value = serde_json::from_str(&list(&worker)).unwrap();
+    let value: serde_json::Value = serde_json::from_str(&endpoint_list(&worker)).unwrap();
     let text = serde_json::to_string_pretty(&value).unwrap().replace("[\n", "[\n\n") + "\n";
     watch.begin_watch();
-    // In pieces that end anywhere.
+    // The chunk boundaries fall at arbitrary positions in the text.
     for part in text.as_bytes().chunks(37) {
         watch.chunk(std::str::from_utf8(part).unwrap());
     }
     watch.chunk("\n");
     d.logged("stage serving");
     assert_eq!(d.client().submit("a", "c=safe,dest=1"), "+OK");
-    until("it is delivered", || worker.of("a") == 1);
+    until("the message is delivered", || worker.of("a") == 1);
     watch.chunk("{\n \"rev\": 8,\n \"all\": true,\n \"targets\": [ \"}\n");
     let again = registry.next("watch=1");
-    assert!(again.request.line.contains("after=7"), "damaged, it is asked for anew: {}", again.request.line);
+    assert!(
+        again.request.line.contains("after=7"),
+        "a damaged list is requested again: {}",
+        again.request.line
+    );
 }
 
-/// Guards against an end that is told at the last moment on a connection that has fallen silent: it is owed within 300 ms.
+/// Guards against a final answer that is lost on an unresponsive connection to the registry. The notice is
+/// due within 300 ms, so it must be repeated on a new connection before that.
 #[test]
-fn a_notice_on_a_silent_connection_goes_again_in_time() {
+fn a_notice_on_an_unresponsive_connection_is_repeated_within_300_ms() {
     let (worker, registry) = (Worker::start(|_, _| Reply::Break), Puppet::start());
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let d = site.start_with("127.0.0.1:0", &[("ROUTER_DISCOVERY", &registry.address.to_string())]);
     let mut watch = registry.next("watch=1");
     watch.begin_watch();
-    watch.chunk(&(list(&worker) + "\n"));
-    // May have run, and must not run twice: given up at once.
+    watch.chunk(&(endpoint_list(&worker) + "\n"));
+    // The attempt may have run and the class is at-most-once, so the message is given up immediately.
     assert_eq!(d.client().submit("a", "c=pay,d=15000,dest=1"), "+OK");
     let silent = registry.next("POST");
     let again = registry.next("POST");
-    assert_ne!(silent.connection, again.connection, "on a new connection");
+    assert_ne!(silent.connection, again.connection, "the notice is repeated on a new connection");
     let read = |a: &Arrival| serde_json::from_slice::<serde_json::Value>(&a.request.body).unwrap();
     assert_eq!(read(&silent), read(&again));
     let gap = again.request.at - silent.request.at;
     assert!(gap < Duration::from_millis(300), "{gap:?}");
 }
 
-/// Guards against a connection that is closed for its age in the very moment in which a request comes on it. The process
-/// stands still meanwhile, so that the timer and the bytes are there at once.
+/// Guards against a client connection that is closed by a timeout although a request has arrived on it. The
+/// process is stopped in between, so that it finds the expired timer and the received bytes at the same time.
 #[test]
-fn a_request_that_comes_as_its_connection_is_closed_for_its_age_is_answered() {
+fn a_request_that_arrives_as_its_connection_times_out_is_answered() {
     let worker = Worker::start(|_, _| OK);
-    let site = one(&worker);
+    let site = one_endpoint_site(&worker);
     let d = site.start();
-    let (mut young, mut half) = (d.client(), d.client());
-    half.send(b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n");
-    assert_eq!(d.client().ask(&[b"PING"]), "+PONG", "both are known by now");
+    let (mut idle_client, mut partial_client) = (d.client(), d.client());
+    partial_client.send(b"*5\r\n$6\r\nSUBMIT\r\n$1\r\n0\r\n");
+    assert_eq!(d.client().ask(&[b"PING"]), "+PONG", "both connections are accepted by now");
     d.halt();
-    // Past the patience with who says nothing, and with half a command.
+    // Longer than the timeouts for the first request and for an incomplete command.
     std::thread::sleep(Duration::from_millis(2_300));
-    young.send(&command(&[b"SUBMIT", b"0", b"young", b"c=safe,dest=1", b"x"]));
-    half.send(b"$4\r\nhalf\r\n$13\r\nc=safe,dest=1\r\n$1\r\nx\r\n");
+    idle_client.send(&command(&[b"SUBMIT", b"0", b"young", b"c=safe,dest=1", b"x"]));
+    partial_client.send(b"$4\r\nhalf\r\n$13\r\nc=safe,dest=1\r\n$1\r\nx\r\n");
     d.signal("-CONT");
-    assert_eq!((young.line(), half.line()), ("+OK".to_string(), "+OK".to_string()));
-    until("both are delivered", || worker.of("young") == 1 && worker.of("half") == 1);
+    assert_eq!((idle_client.line(), partial_client.line()), ("+OK".to_string(), "+OK".to_string()));
+    until("both messages are delivered", || worker.of("young") == 1 && worker.of("half") == 1);
 }
 
-/// Guards against an answer that came after the call's time was up, by the platform's clock, and is taken for the end of it:
-/// the platform waits for a notice, and the next message of the key for the platform. The process stands still while the
-/// answer comes and the time passes.
+/// Guards against a delivery after the deadline that counts as the final answer. By the registry's clock the
+/// message has expired, so the registry needs a notice, and the next message of the ordering key waits until
+/// the registry confirms it. The process is stopped while the endpoint's answer arrives and the deadline
+/// passes.
 #[test]
-fn a_delivery_as_its_time_is_up_is_told_and_its_key_waits_for_that() {
+fn a_delivery_after_the_deadline_is_notified_and_its_ordering_key_waits() {
     let (worker, registry) = (Puppet::start(), Puppet::start());
     let entry = entry("w1", &worker.address.to_string(), "a", 1, "in_service");
     let site = Site::new(&[]);
@@ -234,7 +247,7 @@
     watch.begin_watch();
     watch.chunk(&format!("{{\"rev\":7,\"all\":true,\"targets\":[{entry}]}}\n"));
     let (mut c, start) = (d.client(), Instant::now());
-    until("the list is known", || c.keyed("5", "first", "c=order,d=900,k=a,dest=1") == "+OK");
+    until("the endpoint list is known", || c.keyed("5", "first", "c=order,d=900,k=a,dest=1") == "+OK");
     let mut call = worker.next("POST");
     assert_eq!(call.request.header("x-txn"), "first");
     assert_eq!(c.keyed("5", "second", "c=order,k=b,dest=1"), "+OK");
@@ -244,15 +257,16 @@
     d.signal("-CONT");
     let mut notice = registry.next("POST");
     assert!(String::from_utf8_lossy(&notice.request.body).contains("first"));
-    assert!(worker.waiting().is_none(), "the key waits for the platform");
+    assert!(worker.waiting().is_none(), "the ordering key waits for the registry's confirmation");
     notice.write(b"HTTP/1.1 204 Done\r\n\r\n");
     assert_eq!(worker.next("POST").request.header("x-txn"), "second");
 }
 
-/// Guards against a repeat that is decided within the window in which repeats are dropped and written after it: its
-/// connection came up late. A first attempt may be written within its message's time only.
+/// Guards against a repeated attempt that is decided within the endpoint's deduplication window but written
+/// after it, because its connection was established late. The first attempt may be written until the deadline
+/// of the message, a repeat only until the end of the window.
 #[test]
-fn a_repeat_may_be_written_within_its_window_only() {
+fn a_repeat_is_only_written_within_the_deduplication_window() {
     let mut core = new_core();
     tell(&mut core, 0.0, &["w1"], Listing::Ready, false);
     submit(&mut core, 10.0, "a", "order");
@@ -263,9 +277,10 @@
     assert_eq!((again.attempt, again.write_by), (1, first + 20_000.0 - 2.0));
 }
 
-/// The same for a session with a broker that comes up late; the rule that kept it back is told with its end.
+/// The same for an MQTT session that is established late; the end of the attempt names the rule that
+/// prevented it.
 #[test]
-fn a_session_with_a_broker_that_comes_up_after_the_window_carries_nothing() {
+fn an_mqtt_session_established_after_the_window_sends_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = format!("mqtt://{}/inbox", listener.local_addr().unwrap());
     let reactor = Rc::new(Reactor::new().unwrap());
@@ -292,9 +307,10 @@
     assert!(brokers.is_empty());
 }
 
-/// Guards against a rule that keeps something back and says so nowhere: what a wire did not write is counted by its reason.
+/// Guards against attempts that a rule prevents without a trace: an attempt that a connection did not write
+/// is counted under the reason.
 #[test]
-fn what_a_wire_did_not_write_is_counted_by_its_rule() {
+fn an_unwritten_attempt_is_counted_by_reason() {
     let mut core = new_core();
     tell(&mut core, 0.0, &["w1"], Listing::Ready, false);
     submit(&mut core, 10.0, "a", "pay");
@@ -303,12 +319,13 @@
     core.outcome(at + 1.0, d.no, d.attempt, end);
     assert_eq!(core.guard.json()["refused"]["window_over"], 1);
     let (_, again) = next_delegation(&mut core, at + 1.0, 500).unwrap();
-    assert_eq!((again.attempt, d.attempt), (0, 0), "nothing went out: it is the first attempt still");
+    assert_eq!((again.attempt, d.attempt), (0, 0), "nothing was written, so this is still the first attempt");
 }
 
-/// Guards against an attempt that is written against a rule and is counted nowhere.
+/// Guards against an attempt that is written in violation of a rule and not counted. A write 151 ms past its
+/// limit counts.
 #[test]
-fn an_attempt_that_was_written_too_late_is_counted_as_a_violation() {
+fn an_attempt_written_too_late_counts_as_a_violation() {
     let mut core = new_core();
     tell(&mut core, 0.0, &["w1"], Listing::Ready, false);
     submit(&mut core, 10.0, "a", "pay");
@@ -321,9 +338,10 @@
     assert_eq!(core.guard.json()["violations"]["window_over"], 1);
 }
 
-/// The same on the wire: not a byte of it is written once the time is past, and the call is told to be unsent.
+/// The same for an HTTP connection: after the window no byte is written, and the attempt is reported as not
+/// sent.
 #[test]
-fn a_connection_that_comes_up_after_the_window_carries_nothing() {
+fn a_connection_established_after_the_window_sends_nothing() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let reactor = Rc::new(Reactor::new().unwrap());
@@ -342,7 +360,8 @@
     };
     let mut found = Vec::new();
     let mut events = mio::Events::with_capacity(8);
-    // By the timer while it is not up, and by its coming up.
+    // Call 1 ends by its timer while the connection is being established, call 2 when the connection is
+    // ready.
     workers.delegate(0.0, &delegation(1, 40.0), &reactor, &mut found);
     assert_eq!(workers.next_due(), Some(40.0));
     workers.tick(40.0, &mut found);
@@ -361,23 +380,23 @@
         let _ = std::io::Read::read_to_string(&mut c, &mut text);
         assert_eq!(text, "");
     }
-    // In time it is written.
+    // Within the window the call is written.
     workers.delegate(50.0, &delegation(3, 90.0), &reactor, &mut found);
     reactor.wait(&mut events, Duration::from_secs(5)).unwrap();
     workers.ready(60.0, 0, &mut found);
     assert!(found.iter().any(|f| matches!(f, Finding::Written(_))));
 }
 
-/// Guards against a call that was decided before its endpoint began to drain, or went from the list, and is written after the
-/// grace: its connection came up late.
+/// Guards against an attempt that is decided before its endpoint drains or leaves the endpoint list, and is
+/// written after the grace period because its connection was established late.
 #[test]
-fn what_waits_for_its_connection_is_held_back_once_its_endpoint_drains_or_goes() {
+fn an_unwritten_attempt_is_held_once_its_endpoint_drains_or_leaves() {
     for whole in [false, true] {
         let mut core = new_core();
         tell(&mut core, 0.0, &["w1"], Listing::Ready, false);
         submit(&mut core, 10.0, "a", "safe");
         let (_, d) = next_delegation(&mut core, 10.0, 5).unwrap();
-        // Draining, or gone: the whole list does not name it.
+        // The endpoint drains, or a complete list no longer contains it.
         let uids: &[&str] = if whole { &[] } else { &["w1"] };
         let orders = tell(&mut core, 20.0, uids, Listing::Draining, whole);
         let hold = Order::Hold { dest: 1, route: Some(d.route) };
@@ -385,10 +404,10 @@
     }
 }
 
-/// Guards against commands that were read ahead of the one that is served, and end with the process without an answer: a
-/// request that was read and whose connection is closed unanswered is lost.
+/// Guards against pipelined commands that are read but unanswered when the process exits: a client cannot
+/// know what became of a request that was read and whose connection was closed without an answer.
 #[test]
-fn commands_that_were_read_ahead_are_answered_before_the_end() {
+fn pipelined_commands_are_answered_before_the_process_exits() {
     const COMMANDS: usize = 600;
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
@@ -401,15 +420,15 @@
             command(&[b"SUBMIT", b"0000000000000000", id.as_bytes(), options.as_bytes(), b"x"])
         })
         .collect();
-    assert!(all.len() < 64 << 10, "one reading takes them all: {}", all.len());
-    // Told to leave with all of them read, it stands still until its time to leave is over.
+    assert!(all.len() < 64 << 10, "a single read returns all of them: {}", all.len());
+    // The process gets SIGTERM with all commands readable, and is stopped until its time to exit is over.
     d.halt();
     client.send(&all);
     d.signal("-TERM");
     d.signal("-CONT");
-    until("the first ones are sent", || worker.count() >= 3);
+    until("the first messages are sent", || worker.count() >= 3);
     d.halt();
-    assert!(worker.count() < COMMANDS, "all were served before");
+    assert!(worker.count() < COMMANDS, "the process is stopped before it has served all commands");
     std::thread::sleep(Duration::from_millis(3_400));
     d.signal("-CONT");
     let answers = std::iter::from_fn(|| Some(client.line()).filter(|l| !l.is_empty())).count();
@@ -417,10 +436,10 @@
     d.ended();
 }
 
-/// Guards against a rule on a key's order that waits for a session's client: what was delivered is over, though its client has
-/// not confirmed that it heard.
+/// Guards against an ordering rule that waits for the client of a session: a delivered message is finished
+/// for its ordering key, although the client has not confirmed the final answer yet.
 #[test]
-fn the_next_of_a_key_goes_once_the_one_before_is_delivered_to_a_session() {
+fn the_next_message_of_a_key_is_sent_once_the_previous_is_delivered() {
     let mut core = new_core();
     tell(&mut core, 0.0, &["w1"], Listing::Ready, false);
     for id in ["a", "b"] {
@@ -435,9 +454,9 @@
     }
     let (at, first) = next_delegation(&mut core, 10.0, 500).unwrap();
     assert_eq!(first.id, "a");
-    assert!(next_delegation(&mut core, at + 1.0, 500).is_none(), "the second one waits for the first");
+    assert!(next_delegation(&mut core, at + 1.0, 500).is_none(), "the second message waits for the first");
     core.outcome(at + 510.0, first.no, first.attempt, End::of(Outcome::Delivered));
     let (_, second) = next_delegation(&mut core, at + 510.0, 500).unwrap();
     assert_eq!(second.id, "b");
-    assert_eq!(core.holds(), 2, "the first one's client has not confirmed");
+    assert_eq!(core.holds(), 2, "the client of the first message has not confirmed its final answer");
 }
