--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Copies among dispatchers: three and five processes of the program with a fault proxy on each path between them.
+//! Replication among dispatchers: three and five processes with a fault proxy on each path between them.
 
 mod stand;
 use lilacbank_rig::{Fault, Proxy};
@@ -8,34 +8,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Dispatchers that keep copies for each other, each with a proxy of its own to each other one, to the worker and to its
-/// registry.
-struct Mates {
+/// Dispatchers that replicate messages to each other, each with its own fault proxy to every peer.
+struct PeerGroup {
     sites: Vec<Site>,
     listens: Vec<SocketAddr>,
-    /// By who connects to whom.
+    /// The proxies between peers, indexed by the connecting dispatcher and then by its target.
     paths: Vec<Vec<Proxy>>,
-    /// More keys of `[replication]`, and other tables of the operators' file.
-    more: String,
-    file: String,
+    /// Additional keys of `[replication]`.
+    replication_keys: String,
+    /// Other tables of the configuration file that `LILACBANK_TOGETHER` names.
+    other_tables: String,
 }
 
-impl Mates {
-    fn of(count: usize, worker: SocketAddr, more: &str) -> Mates {
+impl PeerGroup {
+    fn new(count: usize, worker: SocketAddr, more: &str) -> PeerGroup {
         let list = [entry("w1", &worker.to_string(), "a", 1, "in_service")];
         let mut sites: Vec<Site> = (0..count).map(|_| Site::new(&list)).collect();
         sites.iter_mut().for_each(|s| s.balancers = count as u32);
         let listens = addresses(count);
         let path = |to: &SocketAddr| Proxy::start(*to).unwrap();
         let paths = (0..count).map(|_| listens.iter().map(path).collect()).collect();
-        Mates { sites, listens, paths, more: more.to_string(), file: String::new() }
+        PeerGroup { sites, listens, paths, replication_keys: more.to_string(), other_tables: String::new() }
     }
 
     fn start(&self, n: usize) -> Dispatcher {
         let file = self.sites[n].dir.join("together.toml");
         let mut text = format!(
             "{}\n[replication]\nenabled = true\ninstallation = \"test\"\nlisten = \"{}\"\n{}\n",
-            self.file, self.listens[n], self.more
+            self.other_tables, self.listens[n], self.replication_keys
         );
         for m in (0..self.sites.len()).filter(|m| *m != n) {
             let at = self.paths[n][m].address;
@@ -54,8 +54,8 @@
     fn start_all(&self) -> Vec<Dispatcher> {
         let all: Vec<Dispatcher> = (0..self.sites.len()).map(|n| self.start(n)).collect();
         for d in &all {
-            until("it says yes", || d.client().ask(&[b"PING"]) == "+PONG");
-            until("it hears all others", || all_are(d, "alive"));
+            until("the dispatcher answers clients", || d.client().ask(&[b"PING"]) == "+PONG");
+            until("the dispatcher sees all peers as alive", || all_peers_are(d, "alive"));
         }
         all
     }
@@ -64,23 +64,24 @@
         std::fs::remove_dir_all(self.sites[n].dir.join("state")).unwrap();
     }
 
-    /// How often a message's end was told anywhere, and as what.
-    fn told(&self, id: &str) -> Vec<String> {
+    /// The notices of all sites that contain the final answer of this message.
+    fn notices(&self, id: &str) -> Vec<String> {
         let all = self.sites.iter().flat_map(|s| s.platform.notices.lock().unwrap().clone());
         all.filter(|l| l.contains(&format!("\"{id}\""))).collect()
     }
 }
 
-fn figures(d: &Dispatcher) -> serde_json::Value {
+fn replication_metrics(d: &Dispatcher) -> serde_json::Value {
     vars(d)["replication"].clone()
 }
 
-fn all_are(d: &Dispatcher, standing: &str) -> bool {
-    figures(d)["dispatchers"].as_object().is_some_and(|o| o.values().all(|v| v == standing))
+fn all_peers_are(d: &Dispatcher, standing: &str) -> bool {
+    replication_metrics(d)["dispatchers"].as_object().is_some_and(|o| o.values().all(|v| v == standing))
 }
 
-/// A worker that takes each reimbursement (`pay`) and never answers it, and refuses all else until it is opened.
-fn silent_for_pay() -> (Worker, Arc<std::sync::atomic::AtomicBool>, Arc<Mutex<Vec<String>>>) {
+/// An endpoint that runs each message of class `pay` without an answer, and refuses all others until it is
+/// opened.
+fn endpoint_silent_for_pay() -> (Worker, Arc<std::sync::atomic::AtomicBool>, Arc<Mutex<Vec<String>>>) {
     let open = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let effects = Arc::new(Mutex::new(Vec::new()));
     let (o, e) = (open.clone(), effects.clone());
@@ -99,186 +100,216 @@
     (worker, open, effects)
 }
 
-/// The owner is SIGKILLed in the middle of a call with a reimbursement that took effect, with approval orders of one key waiting, and
-/// its folder is lost. The others deliver what never ran, in its order, give the reimbursement its final answer without a
-/// call, and answer what is handed in again there. Without `look` (crates/replica/src/keeper.rs) nothing has an end; without the
-/// given-up step in `take_copies` (src/dispatch/copying.rs) the reimbursement goes again.
+/// Guards against messages of a killed owner that are lost or run twice. The owner is killed by SIGKILL and
+/// its state folder is lost while an attempt of an at-most-once message has taken effect and messages of one
+/// ordering key wait. The peers deliver in order what never ran, give the at-most-once message its final
+/// answer without a call, and answer messages that are submitted again to them. Without `look`
+/// (crates/replica/src/keeper.rs) no message gets a final answer; without the given-up step in `take_copies`
+/// (src/dispatch/copying.rs) the at-most-once message is sent again.
 #[test]
-fn a_killed_owner_s_messages_are_delivered_or_answered_by_the_others() {
-    let (worker, open, effects) = silent_for_pay();
-    let mates = Mates::of(3, worker.address, "ack = true");
-    let mut all = mates.start_all();
+fn the_peers_deliver_or_answer_the_messages_of_a_killed_owner() {
+    let (worker, open, effects) = endpoint_silent_for_pay();
+    let peers = PeerGroup::new(3, worker.address, "ack = true");
+    let mut all = peers.start_all();
     let mut c = all[0].client();
-    // Orders of one key: the first may have been tried, the others wait for it.
+    // Three messages of one ordering key: the first may have been attempted, the others wait for it.
     for n in 0..3 {
         let options = format!("c=order,k=o{n},t=acme,dest=1");
         assert_eq!(c.keyed("00000000000000aa", &format!("order-{n}"), &options), "+OK");
     }
     assert_eq!(c.submit("pay-0", "c=pay,t=acme,dest=1"), "+OK");
     let has = |id: &str| effects.lock().unwrap().iter().filter(|e| *e == id).count();
-    until("the reimbursement has run", || has("pay-0") == 1);
-    until("the others have copies", || all[1..].iter().all(|d| figures(d)["copies"].as_u64() >= Some(4)));
+    until("the at-most-once message has run", || has("pay-0") == 1);
+    until("the peers have copies", || {
+        all[1..].iter().all(|d| replication_metrics(d)["copies"].as_u64() >= Some(4))
+    });
     all.remove(0).kill();
-    mates.wipe(0);
+    peers.wipe(0);
     open.store(true, Ordering::SeqCst);
-    // Handed in again elsewhere before anybody has taken over: held already, not sent beside it.
+    // Submitted again to a peer before any peer has taken over: the peer already holds a copy and sends no
+    // second one.
     let again = all[0].client().submit("order-0", "c=order,k=o0,t=acme,dest=1,again=1");
     assert_eq!(again, "+OK");
-    until("the reimbursement has its final answer", || {
-        mates.told("pay-0").iter().any(|l| l.contains("given_up"))
+    until("the at-most-once message has its final answer", || {
+        peers.notices("pay-0").iter().any(|l| l.contains("given_up"))
+    });
+    until("the first ordered message is delivered or has a notice", || {
+        has("order-0") > 0 || !peers.notices("order-0").is_empty()
     });
-    until("the first order is delivered or told", || has("order-0") > 0 || !mates.told("order-0").is_empty());
-    until("the others are delivered", || has("order-1") > 0 && has("order-2") > 0);
+    until("the other ordered messages are delivered", || has("order-1") > 0 && has("order-2") > 0);
     let again = all[1].client().submit("pay-0", "c=pay,t=acme,dest=1,again=1");
     assert!(again.starts_with("-ERR"), "{again}");
-    let took: u64 = all.iter().map(|d| figures(d)["taken_over"].as_u64().unwrap()).sum();
-    assert_eq!(took, 4, "each by one of the two");
+    let took: u64 = all.iter().map(|d| replication_metrics(d)["taken_over"].as_u64().unwrap()).sum();
+    assert_eq!(took, 4, "each message is taken over by one of the two peers");
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(has("pay-0"), 1, "it never goes again");
+    assert_eq!(has("pay-0"), 1, "the at-most-once message is not sent again");
     let ran: Vec<String> =
         effects.lock().unwrap().iter().filter(|e| e.starts_with("order")).cloned().collect();
     assert!(ran.ends_with(&["order-1".to_string(), "order-2".to_string()]) && ran.len() <= 3, "{ran:?}");
 }
 
-/// What an owner had taken comes back to it with an empty folder from the others before they count it as gone: safe
-/// messages are delivered, a reimbursement that ran gets its final answer. Without `remember_own` (crates/replica) they
-/// wait for ever, as their owner lives and knows nothing of them.
+/// Guards against messages that wait forever after their owner restarts with an empty state folder, before
+/// its peers count it as gone. The owner gets its messages back from the copies of its peers: idempotent
+/// messages are delivered, and an at-most-once message that ran gets its final answer. Without `remember_own`
+/// (crates/replica) they wait forever, because their owner is alive but does not know them.
 #[test]
-fn an_owner_that_comes_back_with_an_empty_folder_hears_of_its_own_messages() {
-    let (worker, open, effects) = silent_for_pay();
-    let mates = Mates::of(3, worker.address, "ack = true");
-    let mut all = mates.start_all();
+fn an_owner_with_an_empty_state_folder_gets_its_messages_from_its_peers() {
+    let (worker, open, effects) = endpoint_silent_for_pay();
+    let peers = PeerGroup::new(3, worker.address, "ack = true");
+    let mut all = peers.start_all();
     let mut c = all[0].client();
     for n in 0..3 {
         assert_eq!(c.submit(&format!("safe-{n}"), "c=safe,t=acme,dest=1"), "+OK");
     }
     assert_eq!(c.submit("pay-0", "c=pay,t=acme,dest=1"), "+OK");
     let has = |id: &str| effects.lock().unwrap().iter().filter(|e| *e == id).count();
-    until("the reimbursement has run", || has("pay-0") == 1);
+    until("the at-most-once message has run", || has("pay-0") == 1);
     all.remove(0).kill();
-    mates.wipe(0);
+    peers.wipe(0);
     open.store(true, Ordering::SeqCst);
-    let back = mates.start(0);
-    until("it took its messages up again", || figures(&back)["taken_over"].as_u64() == Some(4));
-    until("the safe ones are delivered", || (0..3).all(|n| has(&format!("safe-{n}")) > 0));
-    until("the reimbursement has its final answer", || !mates.told("pay-0").is_empty());
+    let back = peers.start(0);
+    until("the owner has its messages again", || {
+        replication_metrics(&back)["taken_over"].as_u64() == Some(4)
+    });
+    until("the idempotent messages are delivered", || (0..3).all(|n| has(&format!("safe-{n}")) > 0));
+    until("the at-most-once message has its final answer", || !peers.notices("pay-0").is_empty());
     assert_eq!(has("pay-0"), 1);
-    assert!(all.iter().all(|d| figures(d)["taken_over"] == 0), "nobody counted it as gone");
+    assert!(
+        all.iter().all(|d| replication_metrics(d)["taken_over"] == 0),
+        "no peer counted the owner as gone"
+    );
 }
 
-/// One whose paths to the others are slowed by 500 ms either way for 8 s is never counted as gone; one that is cut off is.
-/// With `GONE_AFTER` (crates/replica/src/keeper.rs) and `SUSPECT_FOR` (view.rs) at a tenth the slow one is, too.
+/// Guards against a slow peer that counts as gone: a dispatcher whose connections to its peers are delayed by
+/// 500 ms each way for 8 s must not be, a disconnected one must. With `GONE_AFTER`
+/// (crates/replica/src/keeper.rs) and `SUSPECT_FOR` (view.rs) at a tenth of their values the slow one counts
+/// as gone, too.
 #[test]
-fn a_peer_slowed_by_half_a_second_stays_and_one_cut_off_counts_as_gone_and_comes_back() {
+fn a_slow_peer_stays_and_a_disconnected_one_counts_as_gone_and_returns() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let mates = Mates::of(3, worker.address, "");
-    let all = mates.start_all();
-    let around = |fault: Fault| {
+    let peers = PeerGroup::new(3, worker.address, "");
+    let all = peers.start_all();
+    let set_faults_around_n0 = |fault: Fault| {
         for n in 1..3 {
-            mates.paths[0][n].set(fault);
-            mates.paths[n][0].set(fault);
+            peers.paths[0][n].set(fault);
+            peers.paths[n][0].set(fault);
         }
     };
-    around(Fault::Delay(Duration::from_millis(500)));
+    set_faults_around_n0(Fault::Delay(Duration::from_millis(500)));
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(8) {
         for d in &all {
-            let seen = figures(d)["dispatchers"].clone();
+            let seen = replication_metrics(d)["dispatchers"].clone();
             assert!(seen.as_object().unwrap().values().all(|v| v != "gone"), "{seen}");
         }
         std::thread::sleep(Duration::from_millis(200));
     }
-    around(Fault::Reset);
-    let gone = |d: &Dispatcher| figures(d)["dispatchers"]["n0"] == "gone";
-    until("both others count it as gone", || gone(&all[1]) && gone(&all[2]));
-    assert_eq!(figures(&all[0])["majority"], false, "it knows that it is the one cut off");
-    assert!(!all_are(&all[0], "gone"), "and counts nobody as gone for the taking over");
-    around(Fault::Pass);
-    all.iter().for_each(|d| until("all hear each other", || all_are(d, "alive")));
+    set_faults_around_n0(Fault::Reset);
+    let gone = |d: &Dispatcher| replication_metrics(d)["dispatchers"]["n0"] == "gone";
+    until("both peers count it as gone", || gone(&all[1]) && gone(&all[2]));
+    assert_eq!(
+        replication_metrics(&all[0])["majority"],
+        false,
+        "the disconnected dispatcher knows that it has no majority"
+    );
+    assert!(!all_peers_are(&all[0], "gone"), "the disconnected dispatcher does not count its peers as gone");
+    set_faults_around_n0(Fault::Pass);
+    all.iter().for_each(|d| until("all see each other as alive", || all_peers_are(d, "alive")));
 }
 
-/// An endpoint set down on one dispatcher is out on all, also on one that starts later; set down here and up there at once
-/// ends the same everywhere. Without `tell_ban` (crates/replica) each knows its own alone.
+/// Guards against operator blocks that differ between dispatchers. An endpoint blocked on one dispatcher is
+/// blocked on all, and a dispatcher that starts later gets the current state. Concurrent commands on two
+/// dispatchers, one to block and one to unblock, end in the same state everywhere. Without `tell_ban`
+/// (crates/replica) each knows only its own blocks.
 #[test]
-fn an_operator_s_wish_holds_on_all_dispatchers() {
+fn an_operator_block_applies_on_all_dispatchers() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let mates = Mates::of(3, worker.address, "");
-    let mut all = mates.start_all();
-    let out = |d: &Dispatcher| vars(d)["members_unavailable"] == 1;
+    let peers = PeerGroup::new(3, worker.address, "");
+    let mut all = peers.start_all();
+    let is_blocked = |d: &Dispatcher| vars(d)["members_unavailable"] == 1;
     assert!(control(door(&all[0]), "set-down w1").starts_with("200"));
-    until("all have it out", || all.iter().all(out));
+    until("all dispatchers have the block", || all.iter().all(is_blocked));
     all.pop().unwrap().kill();
     assert!(control(door(&all[1]), "set-up w1").starts_with("200"));
-    until("both use it again", || !all.iter().any(out));
-    all.push(mates.start(2));
-    until("it hears the newest wish", || !out(&all[2]) && all_are(&all[2], "alive"));
+    until("both dispatchers use the endpoint again", || !all.iter().any(is_blocked));
+    all.push(peers.start(2));
+    until("the restarted dispatcher has the current state", || {
+        !is_blocked(&all[2]) && all_peers_are(&all[2], "alive")
+    });
     for _ in 0..5 {
         let (a, b) = (door(&all[0]), door(&all[1]));
         std::thread::scope(|s| {
             s.spawn(move || control(a, "set-down w1"));
             s.spawn(move || control(b, "set-up w1"));
         });
-        until("all agree", || {
+        until("all dispatchers agree", || {
             std::thread::sleep(Duration::from_millis(300));
-            let first = out(&all[0]);
-            all.iter().all(|d| out(d) == first)
+            let first = is_blocked(&all[0]);
+            all.iter().all(|d| is_blocked(d) == first)
         });
     }
 }
 
-/// A reimbursement that ran, handed in again at each of four others of which two know nothing of it: all say that it is held, and it
-/// runs once. Without `copied_verdict` the two that have copies, without `look_elsewhere` (src/dispatch/take_in.rs) the other two
-/// take it on as new.
+/// Guards against a second run of a message that is submitted again to another dispatcher. An at-most-once
+/// message that ran is submitted again to four peers, of which two have copies and two do not know it: all
+/// accept it as already held, and it runs once. Without `copied_verdict` the two with copies, without
+/// `look_elsewhere` (src/dispatch/take_in.rs) the other two accept it as a new message.
 #[test]
-fn what_another_holds_is_found_wherever_it_is_handed_in_again() {
-    let (worker, _open, effects) = silent_for_pay();
-    let mates = Mates::of(5, worker.address, "ack = true");
-    let all = mates.start_all();
+fn a_resubmitted_message_held_by_another_dispatcher_is_found() {
+    let (worker, _open, effects) = endpoint_silent_for_pay();
+    let peers = PeerGroup::new(5, worker.address, "ack = true");
+    let all = peers.start_all();
     assert_eq!(all[0].client().submit("pay-0", "c=pay,t=acme,dest=1"), "+OK");
-    until("it has run", || effects.lock().unwrap().len() == 1);
-    until("two have copies", || all[1..].iter().filter(|d| figures(d)["copies"] == 1).count() == 2);
+    until("the message has run", || effects.lock().unwrap().len() == 1);
+    until("two peers have copies", || {
+        all[1..].iter().filter(|d| replication_metrics(d)["copies"] == 1).count() == 2
+    });
     for d in &all[1..] {
         assert_eq!(d.client().submit("pay-0", "c=pay,t=acme,dest=1,again=1"), "+OK");
         assert_eq!(
             d.client().submit("safe-0", "c=safe,t=acme,dest=1,again=1"),
             "+OK",
-            "what nobody knows is new"
+            "a message that no dispatcher knows is accepted as new"
         );
     }
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!(effects.lock().unwrap().iter().filter(|e| *e == "pay-0").count(), 1);
-    let asked: u64 = all[1..].iter().map(|d| figures(d)["queries"].as_u64().unwrap()).sum();
-    assert!(asked >= 2, "{asked}");
+    let queries: u64 = all[1..].iter().map(|d| replication_metrics(d)["queries"].as_u64().unwrap()).sum();
+    assert!(queries >= 2, "{queries}");
 }
 
-/// A member's outage that one dispatcher alone has learnt is known to the others, and to one that comes back with an empty folder.
-/// Without `tell_health` (crates/replica/src/keeper.rs) each knows its own alone.
+/// Guards against an endpoint outage that only the dispatcher that detected it knows: its peers know it, too,
+/// and so does one that restarts with an empty state folder. Without `tell_health`
+/// (crates/replica/src/keeper.rs) each dispatcher knows only the outages that it detected itself.
 #[test]
-fn an_outage_learnt_by_one_is_known_to_all() {
+fn an_outage_detected_by_one_dispatcher_is_known_to_all() {
     let worker = Worker::start(|_, _| Reply::Break);
-    let mut mates = Mates::of(3, worker.address, "");
-    mates.file = "[recovery]\nenabled = true".into();
-    let mut all = mates.start_all();
+    let mut peers = PeerGroup::new(3, worker.address, "");
+    peers.other_tables = "[recovery]\nenabled = true".into();
+    let mut all = peers.start_all();
     let mut c = all[0].client();
     for n in 0..6 {
         c.submit(&format!("safe-{n}"), "c=safe,t=acme,dest=1");
     }
-    let away = |d: &Dispatcher| figures(d)["away"].as_array().is_some_and(|a| a.len() == 1);
-    until("all know that it is away", || all.iter().all(away));
+    let outage_known =
+        |d: &Dispatcher| replication_metrics(d)["away"].as_array().is_some_and(|a| a.len() == 1);
+    until("all dispatchers know the outage", || all.iter().all(outage_known));
     all.pop().unwrap().kill();
-    mates.wipe(2);
-    all.push(mates.start(2));
-    until("the one that came back knows it, too", || away(&all[2]));
-    assert_eq!(vars(&all[2])["upstream_requests"], 0, "without a call of its own");
+    peers.wipe(2);
+    all.push(peers.start(2));
+    until("the restarted dispatcher knows the outage, too", || outage_known(&all[2]));
+    assert_eq!(vars(&all[2])["upstream_requests"], 0, "the restarted dispatcher made no call");
 }
 
-/// Five dispatchers split into 3 and 2 under load with messages taken on both sides, then healed; three, of which one is
-/// killed with its folder. The audit of the rig: nothing lost, doubled or overlapping, one final answer each. Without the
-/// lease in `may_act` (crates/replica/src/keeper.rs) both sides act on one message (see also the keeper's histories).
+/// Runs two scenarios under the rig's audit: five dispatchers partitioned into 3 and 2 under load, with
+/// messages accepted on both sides, and reconnected; and three dispatchers of which one is killed and loses
+/// its state folder. No message is lost, delivered twice or has overlapping attempts, and each gets one final
+/// answer. Without the lease in `may_act` (crates/replica/src/keeper.rs) both sides of the partition act on
+/// one message (see also crates/replica/tests/keeper.rs).
 #[test]
-fn a_split_of_five_and_a_killed_one_of_three_keep_the_rules() {
+fn a_partition_of_five_and_a_killed_one_of_three_pass_the_audit() {
     use lilacbank_rig::scenario::Scenario;
-    let play = |name: &str, text: &str| {
+    let check = |name: &str, text: &str| {
         let scenario = Scenario::parse(name, text).unwrap();
         let program = std::path::Path::new(env!("CARGO_BIN_EXE_lilacbank"));
         let work = std::env::temp_dir().join(format!("lilacbank-{name}-{}", std::process::id()));
@@ -290,28 +321,31 @@
     let split = include_str!("../crates/rig/scenarios/copies/split.toml");
     let killed = include_str!("../crates/rig/scenarios/copies/killed.toml");
     std::thread::scope(|s| {
-        s.spawn(|| play("split", split));
-        s.spawn(|| play("killed", killed));
+        s.spawn(|| check("split", split));
+        s.spawn(|| check("killed", killed));
     });
 }
 
-/// A measurement, not a check: the time of `+OK` with copies off, on, and on with `ack`, in one run, as ratios. `cargo test
-/// --release --test replication -- --ignored --nocapture cost`
+/// A measurement, not a check: the latency of `+OK` without replication, with it, and with `ack`, as ratios
+/// within one run.
+///
+/// `cargo test --release --test replication -- --ignored --nocapture cost`
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_ok() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
     let alone = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let off = alone.start();
-    let (plain, acked) = (Mates::of(3, worker.address, ""), Mates::of(3, worker.address, "ack = true"));
+    let (plain, acked) =
+        (PeerGroup::new(3, worker.address, ""), PeerGroup::new(3, worker.address, "ack = true"));
     let (on, ack) = (plain.start_all(), acked.start_all());
     let mut clients = [off.client(), on[0].client(), ack[0].client()];
     let mut took = [const { Vec::new() }; 3];
     for n in 0..4_000 {
         for (which, c) in clients.iter_mut().enumerate() {
             let start = Instant::now();
-            let said = c.submit(&format!("m{which}-{n}"), "c=safe,t=acme,dest=1");
-            assert_eq!(said, "+OK");
+            let reply = c.submit(&format!("m{which}-{n}"), "c=safe,t=acme,dest=1");
+            assert_eq!(reply, "+OK");
             took[which].push(start.elapsed().as_micros() as f64);
         }
         std::thread::sleep(Duration::from_millis(1));
@@ -322,6 +356,6 @@
         let base = of(0, q);
         println!("p{}: off {base} us, on x{:.2}, ack x{:.2}", q * 100.0, of(1, q) / base, of(2, q) / base);
     }
-    let f = figures(&on[0]);
-    println!("bytes said for each message: {}", f["said_bytes"].as_f64().unwrap() / 4_000.0);
+    let f = replication_metrics(&on[0]);
+    println!("bytes sent between peers for each message: {}", f["said_bytes"].as_f64().unwrap() / 4_000.0);
 }
