--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! The ends of attempts in the core and on the wires, step by step: nothing else of a message, or of its key, goes out before the
-//! endpoint counts the last attempt as over.
+//! How attempts end in the core and on HTTP connections, step by step: the next attempt of a message, or of
+//! its ordering key, is sent only when the endpoint counts the previous attempt as ended.
 
 mod stand;
 use lilacbank::api::{Listing, Ms, Outcome};
@@ -15,83 +15,100 @@
 use std::rc::Rc;
 
 /// A core with two endpoints of one destination.
-fn core_of_two() -> Core {
+fn core_with_two_endpoints() -> Core {
     let mut core = new_core();
     tell(&mut core, 0.0, &["w0", "w1"], Listing::Ready, true);
     core
 }
 
-/// The next delegation of the turns from one millisecond up to another.
-fn turns(core: &mut Core, from: u32, until: u32) -> Option<Delegation> {
+/// The first delegation when the core runs once per millisecond from `from` until before `until`.
+fn next_delegation_between(core: &mut Core, from: u32, until: u32) -> Option<Delegation> {
     (from..until).find_map(|now| delegated(core.turn(Ms::from(now))))
 }
 
-/// Guards against a next attempt in the turn in which the last one is broken off: its request may have been written a moment
-/// before, as its connection came up late.
+/// Guards against a next attempt in the same run of the core that cancels the previous one. The request of
+/// the cancelled attempt may just have been written, because its connection was established late.
 #[test]
-fn the_next_attempt_waits_until_the_wire_has_told_the_end_of_the_last() {
-    let mut core = core_of_two();
+fn the_next_attempt_waits_until_the_end_of_the_last_is_reported() {
+    let mut core = core_with_two_endpoints();
     submit(&mut core, 10.0, "a", "safe");
-    let first = turns(&mut core, 10, 500).unwrap();
+    let first = next_delegation_between(&mut core, 10, 500).unwrap();
     let (mut now, mut orders) = (500, Vec::new());
     while !orders.iter().any(|o| matches!(o, Order::Abandon { .. })) {
         core.written(Ms::from(now), first.no, first.attempt);
         orders = core.turn(Ms::from(now));
         now += 1;
-        assert!(now < 5_000, "it is called off");
+        assert!(now < 5_000, "the attempt is cancelled in time");
     }
-    assert!(delegated(orders).is_none(), "in the same turn");
-    assert!(turns(&mut core, now, now + 900).is_none(), "while its end is not told");
+    assert!(delegated(orders).is_none(), "no next attempt in the same run");
+    assert!(
+        next_delegation_between(&mut core, now, now + 900).is_none(),
+        "no next attempt before the outcome is reported"
+    );
     core.outcome(Ms::from(now + 900), first.no, first.attempt, End::of(Outcome::Cancelled));
-    let next = turns(&mut core, now + 900, now + 1_400).expect("once its end is told");
+    let next = next_delegation_between(&mut core, now + 900, now + 1_400)
+        .expect("the next attempt follows the reported outcome");
     assert_eq!((next.no, next.attempt), (first.no, 1));
 }
 
-/// A message of an ordered class under one key, with so much time left.
+/// Submits a message of an ordered class with a fixed ordering key and `left` ms until its deadline.
 fn submit_keyed(core: &mut Core, now: Ms, id: &str, left: Ms) {
     core.submit(now, 2, Submission { key: Some(7), left: Some(left), ..submission(id, "order") });
 }
 
-/// Guards against the next message of a key while an attempt of the one before may run: its time was up, its end was told, and
-/// its endpoint does not know yet.
+/// Guards against an attempt of the next message of an ordering key while one of the previous message may
+/// still run: that message's deadline has passed and its final answer was sent, but its endpoint has not
+/// confirmed the end yet.
 #[test]
-fn the_next_of_a_key_waits_until_the_end_of_a_call_whose_time_was_up_is_known() {
-    let mut core = core_of_two();
+fn the_next_message_of_a_key_waits_until_an_expired_attempt_has_ended() {
+    let mut core = core_with_two_endpoints();
     submit_keyed(&mut core, 10.0, "a", 600.0);
     submit_keyed(&mut core, 11.0, "b", 9_000.0);
-    let first = turns(&mut core, 11, 400).unwrap();
+    let first = next_delegation_between(&mut core, 11, 400).unwrap();
     assert_eq!(first.id, "a");
     core.written(300.0, first.no, first.attempt);
-    // Called off or not: at 610 its time is up, and its end is told at once.
-    let mut told = false;
+    // Whether the attempt is cancelled or not, the deadline passes at 610 and the final answer is sent
+    // immediately.
+    let mut answered = false;
     for now in 400..620 {
         let orders = core.turn(Ms::from(now));
         assert!(!orders.iter().any(|o| matches!(o, Order::Delegate(_))), "at {now}: {orders:?}");
-        told |= orders.iter().any(|o| matches!(o, Order::Tell(t) if t.no == first.no));
+        answered |= orders.iter().any(|o| matches!(o, Order::Tell(t) if t.no == first.no));
     }
-    assert!(told, "its client is told in time");
+    assert!(answered, "the client gets the final answer in time");
     core.confirmed(620.0, first.no);
-    assert!(turns(&mut core, 620, 1_300).is_none(), "its endpoint does not know yet");
+    assert!(
+        next_delegation_between(&mut core, 620, 1_300).is_none(),
+        "the endpoint has not confirmed the end yet"
+    );
     core.outcome(1_300.0, first.no, first.attempt, End::of(Outcome::Late));
-    assert!(turns(&mut core, 1_300, 1_399).is_none(), "its key rests");
-    assert_eq!(turns(&mut core, 1_400, 2_000).map(|d| d.id), Some("b".to_string()));
+    assert!(
+        next_delegation_between(&mut core, 1_300, 1_399).is_none(),
+        "the ordering key is in its quiet period"
+    );
+    assert_eq!(next_delegation_between(&mut core, 1_400, 2_000).map(|d| d.id), Some("b".to_string()));
 }
 
-/// The same for an attempt that the endpoint has ended: the message waits for the second word of its wire, and its slot does not.
+/// The same for an attempt that the endpoint has ended: the message waits until the connection reports the
+/// confirmed end, but its slot is free before.
 #[test]
-fn what_its_endpoint_has_ended_waits_for_the_second_word_of_the_wire() {
-    let mut core = core_of_two();
+fn a_message_whose_endpoint_ended_the_attempt_waits_for_the_confirmed_end() {
+    let mut core = core_with_two_endpoints();
     submit(&mut core, 10.0, "a", "safe");
-    let first = turns(&mut core, 10, 500).unwrap();
+    let first = next_delegation_between(&mut core, 10, 500).unwrap();
     core.written(500.0, first.no, first.attempt);
     core.outcome(500.0, first.no, first.attempt, End { pending: Some(300.0), ..End::of(Outcome::Reset) });
     assert_eq!(core.out(), 0);
-    assert!(turns(&mut core, 500, 1_500).is_none(), "longer than was said, without a word");
+    assert!(
+        next_delegation_between(&mut core, 500, 1_500).is_none(),
+        "the message waits longer than the announced 300 ms while the end is not reported"
+    );
     core.outcome(1_500.0, first.no, first.attempt, End::of(Outcome::Reset));
-    let next = turns(&mut core, 1_500, 2_000).expect("once its endpoint knows");
+    let next =
+        next_delegation_between(&mut core, 1_500, 2_000).expect("the next attempt follows the confirmed end");
     assert_eq!((next.id.as_str(), next.attempt), ("a", 1));
     let refused = &core.guard.json()["refused"]["unconfirmed"];
-    assert!(refused.as_u64() >= Some(1), "the guard keeps it back and counts it: {refused}");
+    assert!(refused.as_u64() >= Some(1), "the guard prevents the attempt and counts it: {refused}");
 }
 
 /// An attempt for the endpoint at this address.
@@ -101,17 +118,17 @@
     Delegation { no: 1, attempt: 0, route: 0, address, dest: 1, id, idempotency, body, patience, write_by }
 }
 
-/// A wire with one attempt that is written and then broken off at 100 ms, and its endpoint's side.
-struct BrokenOff {
+/// A connection with one attempt that is written and then cancelled at 100 ms, and the endpoint's end of it.
+struct CancelledAttempt {
     workers: Workers,
     reactor: Rc<Reactor>,
     endpoint: TcpStream,
     found: Vec<Finding>,
 }
 
-impl BrokenOff {
-    /// Its request is written and read.
-    fn written() -> BrokenOff {
+impl CancelledAttempt {
+    /// An attempt whose request is written.
+    fn written() -> CancelledAttempt {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let reactor = Rc::new(Reactor::new().unwrap());
         let mut workers = Workers::new(new_core().settings(), 8);
@@ -119,77 +136,80 @@
         let mut found = Vec::new();
         workers.delegate(0.0, &delegation(address), &reactor, &mut found);
         let (endpoint, _) = listener.accept().unwrap();
-        let mut wire = BrokenOff { workers, reactor, endpoint, found };
-        wire.look(10.0);
-        assert!(matches!(wire.found.as_slice(), [Finding::Written(_)]), "{:?}", wire.found);
-        wire.found.clear();
-        wire
+        let mut connection = CancelledAttempt { workers, reactor, endpoint, found };
+        connection.look(10.0);
+        assert!(matches!(connection.found.as_slice(), [Finding::Written(_)]), "{:?}", connection.found);
+        connection.found.clear();
+        connection
     }
 
-    /// It is broken off, and its endpoint has read the request and the end behind it.
-    fn new() -> BrokenOff {
-        let mut wire = BrokenOff::written();
-        wire.workers.abandon(100.0, Task::Delegation(1, 0), Outcome::Late, &mut wire.found);
-        assert!(wire.found.is_empty(), "{:?}", wire.found);
+    /// A cancelled attempt whose endpoint has read the request and the end of the stream after it.
+    fn new() -> CancelledAttempt {
+        let mut connection = CancelledAttempt::written();
+        connection.workers.abandon(100.0, Task::Delegation(1, 0), Outcome::Late, &mut connection.found);
+        assert!(connection.found.is_empty(), "{:?}", connection.found);
         let mut request = Vec::new();
-        wire.endpoint.read_to_end(&mut request).unwrap();
-        assert!(request.starts_with(b"POST /inbox"), "its sending has ended behind the request");
-        wire
+        connection.endpoint.read_to_end(&mut request).unwrap();
+        assert!(request.starts_with(b"POST /inbox"), "the stream ends after the request");
+        connection
     }
 
-    /// Waits for something to happen on the connection.
+    /// Waits for an event on the connection and handles it.
     fn look(&mut self, now: Ms) {
         let mut events = mio::Events::with_capacity(8);
         self.reactor.wait(&mut events, PATIENCE).unwrap();
         self.workers.ready(now, 0, &mut self.found);
     }
 
-    /// The ends that were told since the last look: outcome, confirmation, and for how long that is pending.
+    /// The ends reported since the last call: outcome, confirmation, and how long the confirmation is
+    /// pending.
     fn ends(&mut self) -> Vec<(Outcome, Option<Confirmation>, Option<Ms>)> {
-        let told = std::mem::take(&mut self.found);
+        let reported = std::mem::take(&mut self.found);
         let end = |f| match f {
             Finding::Ended { end, .. } => Some((end.outcome, end.confirmed, end.pending)),
             Finding::Written(_) => None,
         };
-        told.into_iter().filter_map(end).collect()
+        reported.into_iter().filter_map(end).collect()
     }
 }
 
-/// Guards against an end that is told before the endpoint knows of it, or never, and against an answer that is lost with it.
+/// Guards against an attempt whose end is reported before the endpoint has noticed it, or never, and against
+/// an answer that is lost because the attempt was cancelled.
 #[test]
-fn the_wire_tells_the_end_of_an_attempt_once_its_endpoint_knows() {
-    let mut answered = BrokenOff::new();
+fn the_end_of_an_attempt_is_reported_once_its_endpoint_has_noticed_it() {
+    let mut answered = CancelledAttempt::new();
     answered.endpoint.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     answered.look(150.0);
     assert_eq!(answered.ends(), [(Outcome::Delivered, Some(Confirmation::Answered), None)]);
 
-    let mut ended = BrokenOff::new();
+    let mut ended = CancelledAttempt::new();
     ended.endpoint.shutdown(Shutdown::Both).unwrap();
     ended.look(150.0);
-    assert_eq!(ended.ends(), [(Outcome::Late, None, Some(CONFIRM_CROSSED))], "its slot is free");
+    assert_eq!(ended.ends(), [(Outcome::Late, None, Some(CONFIRM_CROSSED))], "the slot is free");
     assert_eq!(ended.workers.next_due(), Some(150.0 + CONFIRM_CROSSED));
     ended.workers.tick(150.0 + CONFIRM_CROSSED, &mut ended.found);
     assert_eq!(ended.ends(), [(Outcome::Late, Some(Confirmation::EndedByEndpoint), None)]);
 
-    let mut silent = BrokenOff::new();
+    let mut silent = CancelledAttempt::new();
     assert_eq!(silent.workers.next_due(), Some(100.0 + CONFIRM_MOST));
     silent.workers.tick(99.0 + CONFIRM_MOST, &mut silent.found);
     assert!(silent.ends().is_empty());
     silent.workers.tick(100.0 + CONFIRM_MOST, &mut silent.found);
     assert_eq!(silent.ends(), [(Outcome::Late, Some(Confirmation::TimedOut), None)]);
-    until("it is reset", || silent.endpoint.peer_addr().is_err());
+    until("the connection is reset", || silent.endpoint.peer_addr().is_err());
 }
 
-/// The same for an attempt that was not written: no endpoint knows of it, and its end is told at once.
+/// The same for an attempt that was not written: no endpoint knows of it, so its end is reported immediately.
 #[test]
-fn the_wire_tells_at_once_the_end_of_an_attempt_that_was_not_written() {
+fn the_end_of_an_unwritten_attempt_is_reported_immediately() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let reactor = Rc::new(Reactor::new().unwrap());
     let mut workers = Workers::new(new_core().settings(), 8);
     let address = listener.local_addr().unwrap().to_string();
     let mut found = Vec::new();
     workers.delegate(0.0, &delegation(address), &reactor, &mut found);
-    // Whoever wrote it is asked, not who has been told: nothing was seen of the connection yet.
+    // Whether the attempt was written follows from the connection itself: no event of it has been handled
+    // yet.
     workers.abandon(5.0, Task::Delegation(1, 0), Outcome::Late, &mut found);
     let ended = |f: &Finding| match f {
         Finding::Ended { end, .. } => (end.outcome, end.confirmed),
@@ -199,37 +219,41 @@
     assert_eq!(ends, [(Outcome::NoConnection, Some(Confirmation::NeverBegun))]);
 }
 
-/// Guards against a spoilt answer of an endpoint that does not end its connection: this side ends it, nothing more is read of it
-/// but its end, and nothing is told before.
+/// Guards against a malformed answer from an endpoint that keeps its connection open. The dispatcher ends the
+/// connection, ignores further bytes except for the end of the stream, and reports the end of the attempt
+/// only after that.
 #[test]
-fn an_attempt_whose_answer_is_spoilt_ends_once_its_endpoint_knows() {
-    let mut wire = BrokenOff::written();
-    wire.endpoint.write_all(b"nonsense\r\n\r\n").unwrap();
-    wire.look(100.0);
-    assert!(wire.ends().is_empty(), "its slot is taken");
-    wire.endpoint.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
-    wire.look(120.0);
-    assert!(wire.ends().is_empty(), "no answer to it");
-    wire.endpoint.shutdown(Shutdown::Both).unwrap();
-    wire.look(150.0);
-    assert_eq!(wire.ends(), [(Outcome::Reset, None, Some(CONFIRM_CROSSED))]);
-    wire.workers.tick(150.0 + CONFIRM_CROSSED, &mut wire.found);
-    assert_eq!(wire.ends(), [(Outcome::Reset, Some(Confirmation::EndedByEndpoint), None)]);
+fn an_attempt_with_a_malformed_answer_ends_once_its_endpoint_has_noticed_it() {
+    let mut connection = CancelledAttempt::written();
+    connection.endpoint.write_all(b"nonsense\r\n\r\n").unwrap();
+    connection.look(100.0);
+    assert!(connection.ends().is_empty(), "the slot is still in use");
+    connection.endpoint.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+    connection.look(120.0);
+    assert!(connection.ends().is_empty(), "later bytes are not an answer");
+    connection.endpoint.shutdown(Shutdown::Both).unwrap();
+    connection.look(150.0);
+    assert_eq!(connection.ends(), [(Outcome::Reset, None, Some(CONFIRM_CROSSED))]);
+    connection.workers.tick(150.0 + CONFIRM_CROSSED, &mut connection.found);
+    assert_eq!(connection.ends(), [(Outcome::Reset, Some(Confirmation::EndedByEndpoint), None)]);
 }
 
-/// Guards against a slot that is given away while the endpoint still counts the call of it.
+/// Guards against a slot that is reused while the endpoint still counts the call that holds it.
 #[test]
-fn a_call_that_is_broken_off_holds_its_slot_until_its_endpoint_knows() {
-    let mut core = core_of_two();
-    let handed_in = 2 * core.settings().slots;
-    (0..handed_in).for_each(|n| submit(&mut core, 10.0, &format!("m{n}"), "safe"));
-    let mut out = Vec::new();
+fn a_cancelled_attempt_holds_its_slot_until_its_endpoint_has_noticed_it() {
+    let mut core = core_with_two_endpoints();
+    let submitted = 2 * core.settings().slots;
+    (0..submitted).for_each(|n| submit(&mut core, 10.0, &format!("m{n}"), "safe"));
+    let mut outstanding = Vec::new();
     for now in 10..300 {
         let orders = core.turn(Ms::from(now));
-        out.extend(orders.into_iter().filter_map(|o| delegated(vec![o])));
+        outstanding.extend(orders.into_iter().filter_map(|o| delegated(vec![o])));
     }
-    assert!(!out.is_empty() && out.len() < handed_in, "all places are taken, and some messages wait");
-    out.iter().for_each(|d| core.written(300.0, d.no, d.attempt));
+    assert!(
+        !outstanding.is_empty() && outstanding.len() < submitted,
+        "all slots are in use, and some messages wait"
+    );
+    outstanding.iter().for_each(|d| core.written(300.0, d.no, d.attempt));
     let mut abandoned = None;
     for now in 300..3_000 {
         for order in core.turn(Ms::from(now)) {
@@ -238,14 +262,14 @@
                     abandoned = abandoned.or(Some((no, attempt, outcome)))
                 }
                 Order::Delegate(d) => {
-                    panic!("{} goes out at {now}, all places are taken: {abandoned:?}", d.id)
+                    panic!("{} is sent at {now} although all slots are in use: {abandoned:?}", d.id)
                 }
                 _ => {}
             }
         }
     }
-    let (no, attempt, outcome) = abandoned.expect("one is called off");
-    assert_eq!(core.out(), out.len());
+    let (no, attempt, outcome) = abandoned.expect("an attempt is cancelled");
+    assert_eq!(core.out(), outstanding.len());
     core.outcome(3_000.0, no, attempt, End::of(outcome));
-    assert_eq!(core.out(), out.len() - 1, "its slot is free");
+    assert_eq!(core.out(), outstanding.len() - 1, "the slot is free");
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,27 +1,29 @@
-//! Crossings of rare events: reloads in a shutdown, repeats with little time left, a folder that fails while its journal is
-//! written anew, a start with very many endpoints.
+//! Combinations of rare events: configuration reloads during a shutdown, repeats shortly before the deadline,
+//! a state folder that fails while its journal is compacted, a start with very many endpoints.
 
 mod stand;
 use stand::*;
 use std::time::{Duration, Instant};
 
 const OK: Reply = Reply::Answer("200 OK");
-/// A final answer may come so long after its time: 300 ms by the protocol, and what a loaded test machine adds.
-const LATE: Duration = Duration::from_millis(1_000);
+/// How long after its deadline a final answer may arrive: 300 ms by the protocol, the rest for a loaded test
+/// machine.
+const LATEST_ANSWER: Duration = Duration::from_millis(1_000);
 
 fn site_of(worker: &Worker) -> Site {
     Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
 }
 
-/// The platform's notices of a message, wherever it was told.
-fn noticed(platforms: &[&Platform], id: &str) -> Vec<String> {
+/// The notices of a message at all of these registries.
+fn all_notices(platforms: &[&Platform], id: &str) -> Vec<String> {
     platforms.iter().flat_map(|p| p.noticed(id)).collect()
 }
 
-/// Guards against ends that are lost with the address they were to be told at, while the process leaves and its endpoint says
-/// nothing: configurations come in a row, and the times of some messages are up between them.
+/// Guards against final answers that are lost when a reload replaces the address that notices go to. While
+/// the process shuts down and its endpoint answers nothing, the configuration is reloaded several times in a
+/// row, and the deadlines of some messages fall in between.
 #[test]
-fn ends_are_told_through_reloads_in_a_row_over_an_endpoint_that_hangs_in_a_shutdown() {
+fn final_answers_survive_reloads_during_a_shutdown_with_a_hanging_endpoint() {
     let worker = Worker::start(|_, _| Reply::Silence);
     let site = site_of(&worker);
     let second = Platform::start(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]).unwrap();
@@ -35,7 +37,7 @@
         let options = format!("c={class},d={left},k=k{n},dest=1");
         assert_eq!(client.keyed(&format!("{:x}", n + 1), id, &options), "+OK");
     }
-    until("some are out", || worker.count() >= 2);
+    until("some attempts have reached the endpoint", || worker.count() >= 2);
     d.signal("-TERM");
     let addresses = [second.address, site.platform.address];
     for round in 0..8 {
@@ -44,26 +46,29 @@
         std::thread::sleep(Duration::from_millis(if round % 3 == 0 { 20 } else { 300 }));
     }
     let platforms = [&site.platform, &second];
-    // At 3.3 s the process leaves; what is due a while before that has its end.
+    // The process exits at 3.3 s; messages that are due sufficiently before have their final answers by then.
     let due = |n: usize| Duration::from_millis(700 + 100 * n as u64);
-    let early = (0..24).filter(|n| due(*n) + LATE < Duration::from_millis(3_000));
+    let early = (0..24).filter(|n| due(*n) + LATEST_ANSWER < Duration::from_millis(3_000));
     for n in early {
-        until("it has its end", || !noticed(&platforms, &ids[n]).is_empty());
-        assert!(begun.elapsed() < Duration::from_millis(4_500), "{} ends late", ids[n]);
+        until("the message has its final answer", || !all_notices(&platforms, &ids[n]).is_empty());
+        assert!(begun.elapsed() < Duration::from_millis(4_500), "the final answer of {} is late", ids[n]);
     }
     assert!(d.ended() < Duration::from_millis(3_700));
     let _next = site.start();
     for id in &ids {
-        until("each has its end after the next start", || !noticed(&platforms, id).is_empty());
+        until("each message has its final answer after the next start", || {
+            !all_notices(&platforms, id).is_empty()
+        });
     }
     for (n, id) in ids.iter().enumerate().filter(|(n, _)| n % 3 == 2) {
-        assert!(worker.of(id) <= 1, "{n}: an unsafe one went out twice");
+        assert!(worker.of(id) <= 1, "{n}: an at-most-once message was sent twice");
     }
 }
 
-/// Guards against a message that is refused with milliseconds left, is repeated beyond its time, or gets no end or two.
+/// Guards against a message that an endpoint refuses milliseconds before the deadline and that is then
+/// repeated after the deadline, or gets no final answer or two.
 #[test]
-fn what_is_refused_with_milliseconds_left_ends_once_and_in_time() {
+fn a_message_refused_shortly_before_its_deadline_ends_once_and_in_time() {
     let refused = "429 Too Many Requests\r\nRetry-After: 0.002";
     let worker = Worker::start(move |_, nth| match nth % 12 {
         3 => Reply::Answer(refused),
@@ -74,41 +79,51 @@
     let site = site_of(&worker);
     let d = site.start();
     let mut client = d.client();
-    let mut taken = Vec::new();
-    // In rounds, until enough were taken on: after some resets the dispatcher refuses for a while.
+    let mut accepted = Vec::new();
+    // In rounds, until enough messages are accepted: after some resets the dispatcher rejects messages for a
+    // while.
     let mut number = 0..4_000_usize;
-    while taken.len() < 80 && !number.is_empty() {
-        let first = taken.len();
+    while accepted.len() < 80 && !number.is_empty() {
+        let first = accepted.len();
         for n in number.by_ref().take(20) {
             let (id, left) = (format!("m{n:04}"), 1 + n % 60);
             let class = ["safe", "order", "pay"][n % 3];
             let options = format!("c={class},d={left},k=k{n},dest=1");
             if client.keyed(&format!("{:x}", n + 1), &id, &options) == "+OK" {
-                taken.push((id, Instant::now() + Duration::from_millis(left as u64)));
+                accepted.push((id, Instant::now() + Duration::from_millis(left as u64)));
             }
         }
-        for (id, due) in &taken[first..] {
-            until("it has its end", || worker.of(id) > 0 || !site.platform.noticed(id).is_empty());
-            assert!(Instant::now() < *due + Duration::from_millis(400) + LATE, "{id} ends late");
+        for (id, due) in &accepted[first..] {
+            until("the message has its final answer", || {
+                worker.of(id) > 0 || !site.platform.noticed(id).is_empty()
+            });
+            assert!(
+                Instant::now() < *due + Duration::from_millis(400) + LATEST_ANSWER,
+                "the final answer of {id} is late"
+            );
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    assert!(taken.len() > 60, "{}", taken.len());
+    assert!(accepted.len() > 60, "{}", accepted.len());
     std::thread::sleep(Duration::from_millis(300));
-    for (id, due) in &taken {
-        let mut told = site.platform.noticed(id);
-        told.dedup();
-        assert!(told.len() <= 1, "{id}: {told:?}");
+    for (id, due) in &accepted {
+        let mut notices = site.platform.noticed(id);
+        notices.dedup();
+        assert!(notices.len() <= 1, "{id}: {notices:?}");
         let calls = worker.calls.lock().unwrap();
         let last = calls.iter().filter(|c| c.header("x-txn") == id).map(|c| c.at).max();
-        // A process may be held up for 150 ms between its clock and the write.
-        assert!(last.is_none_or(|at| at < *due + Duration::from_millis(150)), "{id} is sent after its time");
+        // A process may be delayed by 150 ms between reading its clock and the write.
+        assert!(
+            last.is_none_or(|at| at < *due + Duration::from_millis(150)),
+            "{id} is sent after its deadline"
+        );
     }
 }
 
-/// Messages go through a dispatcher whose folder fails in spans of 300 ms, so that some compactions fall on them; then it is
-/// killed, and the next one ends what is left. Names of faults, of which one span after another has its turn.
-fn a_failing_folder_loses_nothing(faults: &[&str]) {
+/// Sends messages through a dispatcher whose state folder fails in periods of 300 ms, so that some
+/// compactions hit one. Then the dispatcher is killed, and the next process ends the remaining messages. The
+/// periods use the given faults in turn.
+fn check_failing_folder(faults: &[&str]) {
     let worker = Worker::start(|_, nth| if nth % 5 == 4 { Reply::Break } else { OK });
     let mut site = site_of(&worker);
     site.disk_mb = 0.1;
@@ -123,41 +138,41 @@
     let d = site.start_under(&schedule.join("; "), &[]);
     let mut client = d.client();
     let begun = Instant::now();
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     let mut most = 0;
     while begun.elapsed() < Duration::from_secs(5) {
-        let id = format!("m{:04}", taken.len());
-        let class = ["safe", "pay"][taken.len() % 2];
+        let id = format!("m{:04}", accepted.len());
+        let class = ["safe", "pay"][accepted.len() % 2];
         let answer = client.try_submit(&id, &format!("c={class},t=acme,d=6000,dest=1"));
-        assert!(!answer.is_empty(), "{faults:?}: {id} gets no answer");
+        assert!(!answer.is_empty(), "{faults:?}: {id} gets no reply");
         if answer == "+OK" {
-            taken.push(id);
+            accepted.push(id);
         }
         let size = std::fs::metadata(site.dir.join("state").join("journal")).map_or(0, |m| m.len());
         most = most.max(size);
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!(most < 100_000, "{faults:?}: the journal grew to {most} bytes");
-    assert!(taken.len() > 400, "{faults:?}: {}", taken.len());
+    assert!(accepted.len() > 400, "{faults:?}: {}", accepted.len());
     d.kill();
     let _next = site.start();
     let ended = |id: &String| worker.of(id) > 0 || !site.platform.noticed(id).is_empty();
-    until("each has its end", || taken.iter().all(ended));
+    until("each message has its final answer", || accepted.iter().all(ended));
     let twice: Vec<&String> =
-        taken.iter().enumerate().filter(|(n, id)| n % 2 == 1 && worker.of(id) > 1).map(|t| t.1).collect();
+        accepted.iter().enumerate().filter(|(n, id)| n % 2 == 1 && worker.of(id) > 1).map(|t| t.1).collect();
     assert!(twice.is_empty(), "{faults:?}: sent twice: {twice:?}");
 }
 
-/// Guards against a journal that cannot be written anew for a while: it neither grows beyond its limit, nor loses what it
-/// holds, nor forgets which attempts went out.
+/// Guards against a journal whose compaction fails for a while and that then grows beyond its limit, loses
+/// messages or forgets which attempts were sent.
 #[test]
-fn a_folder_that_fails_while_its_journal_is_written_anew_loses_nothing() {
-    a_failing_folder_loses_nothing(&["eio", "enospc"]);
+fn a_folder_that_fails_during_compaction_loses_nothing() {
+    check_failing_folder(&["eio", "enospc"]);
 }
 
-/// The same for each function that a compaction calls, one at a time.
+/// The same for each system call of a compaction, one at a time.
 #[test]
-fn each_call_that_fails_while_the_journal_is_written_anew_loses_nothing() {
+fn each_system_call_that_fails_during_compaction_loses_nothing() {
     let faults = [
         "open64 EMFILE",
         "write EDQUOT",
@@ -170,51 +185,53 @@
         "statx EIO",
         "flock ENOLCK",
     ];
-    let plays = faults.map(|fault| std::thread::spawn(move || a_failing_folder_loses_nothing(&[fault])));
-    // All are waited for first: a process that outlives this test would keep its output open.
-    let broken = plays.map(|play| play.join().is_err());
+    let runs = faults.map(|fault| std::thread::spawn(move || check_failing_folder(&[fault])));
+    // All threads are joined first: a dispatcher that outlives the test would keep its output open.
+    let broken = runs.map(|run| run.join().is_err());
     assert!(!broken.contains(&true), "{broken:?} of {faults:?}");
 }
 
-/// Sixteen times the endpoints: the start and the restart serve at once, and what was held is delivered.
+/// Guards against a slow start with 3,200 endpoints, sixteen times the usual number: the first start and two
+/// restarts accept and deliver messages within seconds.
 #[test]
-fn a_restart_with_very_many_endpoints_serves_at_once() {
+fn a_restart_with_very_many_endpoints_serves_within_seconds() {
     const ENDPOINTS: usize = 3_200;
     let worker = Worker::start(|_, _| OK);
     let address = worker.address.to_string();
     let entries: Vec<String> =
         (0..ENDPOINTS).map(|n| entry(&format!("w{n}"), &address, "a", n as u64 / 4, "in_service")).collect();
     let site = Site::new(&entries);
-    for life in 0..3 {
+    for incarnation in 0..3 {
         let begun = Instant::now();
         let d = site.start();
         let mut client = d.client();
-        let ids: Vec<String> = (0..40).map(|n| format!("l{life}-{n}")).collect();
+        let ids: Vec<String> = (0..40).map(|n| format!("l{incarnation}-{n}")).collect();
         for (n, id) in ids.iter().enumerate() {
             let options = format!("c=safe,t=acme,d=6000,dest={}", n * 20);
             while client.submit(id, &options) != "+OK" {
-                assert!(begun.elapsed() < Duration::from_secs(10), "nothing is taken on");
+                assert!(begun.elapsed() < Duration::from_secs(10), "no message is accepted");
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
-        until("all are delivered", || ids.iter().all(|id| worker.of(id) > 0));
+        until("all messages are delivered", || ids.iter().all(|id| worker.of(id) > 0));
         assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
         d.kill();
     }
 }
 
-/// Guards against ends that are owed and told late once connections come up again: no connection could be made for a while,
-/// and the time between two tries had grown.
+/// Guards against late notices after an outage of the network: no connection could be established for a
+/// while, and the backoff between two tries had grown.
 #[test]
-fn ends_are_told_at_once_when_connections_come_up_again() {
-    // The tries have a rhythm; one of these ends falls well before the next try.
-    let plays = [2_600, 3_000, 3_500, 4_000].map(|up| std::thread::spawn(move || ends_are_told_once_up(up)));
-    // All are waited for first: a process that outlives this test would keep its output open.
-    let ends: Vec<_> = plays.into_iter().map(|play| play.join()).collect();
-    ends.into_iter().for_each(|end| end.unwrap());
+fn notices_are_sent_promptly_once_connections_are_possible_again() {
+    // The tries follow a fixed pattern; at least one of these outages ends well before the next try.
+    let runs =
+        [2_600, 3_000, 3_500, 4_000].map(|up| std::thread::spawn(move || check_notices_after_outage(up)));
+    // All threads are joined first: a dispatcher that outlives the test would keep its output open.
+    let results: Vec<_> = runs.into_iter().map(|run| run.join()).collect();
+    results.into_iter().for_each(|result| result.unwrap());
 }
 
-fn ends_are_told_once_up(up_ms: u64) {
+fn check_notices_after_outage(up_ms: u64) {
     let worker = Worker::start(|_, _| Reply::Silence);
     let site = site_of(&worker);
     let begun = Instant::now();
@@ -222,21 +239,25 @@
     let started = Instant::now();
     let mut client = d.client();
     std::thread::sleep(Duration::from_millis(800).saturating_sub(begun.elapsed()));
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for n in 0..30 {
         let (id, left) = (format!("m{n:02}"), 500 + 100 * n);
         if client.submit(&id, &format!("c=pay,t=acme,d={left},dest=1")) == "+OK" {
-            taken.push((id, Instant::now() + Duration::from_millis(left)));
+            accepted.push((id, Instant::now() + Duration::from_millis(left)));
         }
     }
-    assert!(taken.len() > 10, "{}", taken.len());
-    // The schedule begins with the process, so connections come up so long after its start at the latest.
+    assert!(accepted.len() > 10, "{}", accepted.len());
+    // The schedule begins with the process, so connections are possible at the latest this long after its
+    // start.
     let up = started + Duration::from_millis(up_ms);
     std::thread::sleep((up + Duration::from_millis(700)).saturating_duration_since(Instant::now()));
-    let open: Vec<&String> = taken
+    let unanswered: Vec<&String> = accepted
         .iter()
         .filter(|(id, due)| *due < Instant::now() && site.platform.noticed(id).is_empty())
         .map(|t| &t.0)
         .collect();
-    assert!(open.is_empty(), "no end 700 ms after connections came up again: {open:?}");
+    assert!(
+        unanswered.is_empty(),
+        "no final answer 700 ms after connections were possible again: {unanswered:?}"
+    );
 }
