--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a while for want of memory, buffers or descriptors (`crates/faults`): nothing that was read
-//! loses its answer by it, and a start waits for them.
+//! System calls that fail temporarily because memory, buffers or descriptors are short (`crates/faults`). No
+//! request that was read may lose its answer, and a start must wait until the calls succeed.
 
 mod stand;
 use stand::*;
@@ -7,78 +7,78 @@
 use std::time::{Duration, Instant};
 
 const OK: Reply = Reply::Answer("200 OK");
-/// A fault lasts so long.
-const SPAN: Duration = Duration::from_millis(250);
-/// A client waits so long for its answer.
-const CLIENT_PATIENCE: Duration = Duration::from_millis(400);
+/// The duration of a fault.
+const FAULT_DURATION: Duration = Duration::from_millis(250);
+/// The longest time within which a client must get its answer.
+const ANSWER_LIMIT: Duration = Duration::from_millis(400);
 
 fn site_of(worker: &Worker) -> Site {
     Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
 }
 
-/// Spans of a fault over the first seconds of a process, in milliseconds; it begins a while after the process.
-fn spans(fault: &str) -> String {
+/// A schedule with four periods of a fault, in milliseconds; the first begins 1 s after the process.
+fn fault_schedule(fault: &str) -> String {
     let all: Vec<String> = (0..4)
-        .map(|n| format!("fail {} {} {fault}", 1_000 + 900 * n, 1_000 + 900 * n + SPAN.as_millis()))
+        .map(|n| format!("fail {} {} {fault}", 1_000 + 900 * n, 1_000 + 900 * n + FAULT_DURATION.as_millis()))
         .collect();
     all.join("; ")
 }
 
-/// Hands messages in while one call fails in spans: each is answered on its connection, and each that is taken on and was
-/// never refused has its effect or its notice.
-fn each_is_answered_under(fault: &str, on_new_connections: bool) -> Result<(), String> {
+/// Submits messages while one system call fails in periods. Each must be answered on its connection, each
+/// accepted message must reach the endpoint or have a notice, and none may be given up.
+fn every_message_is_answered_under(fault: &str, on_new_connections: bool) -> Result<(), String> {
     let worker = Worker::start(|_, _| OK);
     let site = site_of(&worker);
-    let d = site.start_under(&spans(fault), &[]);
+    let d = site.start_under(&fault_schedule(fault), &[]);
     let begun = Instant::now();
     let mut client = d.client();
-    let (mut taken, mut late) = (Vec::new(), Vec::new());
-    let mut number = 0;
+    let (mut accepted, mut late) = (Vec::new(), Vec::new());
+    let mut next_number = 0;
     while begun.elapsed() < Duration::from_millis(4_800) {
-        let (id, class) = (format!("m{number:04}"), ["safe", "pay"][number % 2]);
-        number += 1;
+        let (id, class) = (format!("m{next_number:04}"), ["safe", "pay"][next_number % 2]);
+        next_number += 1;
         if on_new_connections {
             client = d.client();
         }
-        let asked = Instant::now();
+        let submitted = Instant::now();
         let answer = client.try_submit(&id, &format!("c={class},t=acme,d=6000,dest=1"));
         if answer.is_empty() {
             return Err(format!("{fault}: {id} is closed without an answer at {:?}", begun.elapsed()));
         }
-        late.extend(Some(asked.elapsed()).filter(|took| *took > CLIENT_PATIENCE));
+        late.extend(Some(submitted.elapsed()).filter(|took| *took > ANSWER_LIMIT));
         if answer == "+OK" {
-            taken.push(id);
+            accepted.push(id);
         }
         std::thread::sleep(Duration::from_millis(4));
     }
-    // A busy machine may hold one up.
+    // A busy machine may delay one answer.
     if late.len() > 1 || late.iter().any(|took| *took > Duration::from_secs(1)) {
         return Err(format!("{fault}: answered after {late:?}"));
     }
-    if taken.len() < 80 {
-        return Err(format!("{fault}: {} taken on", taken.len()));
+    if accepted.len() < 80 {
+        return Err(format!("{fault}: {} accepted", accepted.len()));
     }
-    until("each has its end", || {
-        taken.iter().all(|id| worker.of(id) > 0 || !site.platform.noticed(id).is_empty())
+    until("each message is sent or has a notice", || {
+        accepted.iter().all(|id| worker.of(id) > 0 || !site.platform.noticed(id).is_empty())
     });
     let given_up =
-        taken.iter().filter(|id| site.platform.noticed(id).iter().any(|n| n.contains("given_up"))).count();
+        accepted.iter().filter(|id| site.platform.noticed(id).iter().any(|n| n.contains("given_up"))).count();
     if given_up > 0 {
-        return Err(format!("{fault}: {given_up} of {} given up", taken.len()));
+        return Err(format!("{fault}: {given_up} of {} given up", accepted.len()));
     }
     d.kill();
     Ok(())
 }
 
-fn each_on_one_connection(fault: &str) -> Result<(), String> {
-    each_is_answered_under(fault, false)
+fn messages_on_one_connection_under(fault: &str) -> Result<(), String> {
+    every_message_is_answered_under(fault, false)
 }
 
-fn each_on_a_new_connection(fault: &str) -> Result<(), String> {
-    each_is_answered_under(fault, true)
+fn messages_on_new_connections_under(fault: &str) -> Result<(), String> {
+    every_message_is_answered_under(fault, true)
 }
 
-fn it_starts_under(fault: &str) -> Result<(), String> {
+fn starts_under(fault: &str) -> Result<(), String> {
     let worker = Worker::start(|_, _| OK);
     let d = site_of(&worker).start_under(&format!("fail 0 700 {fault}"), &[]);
     match d.client().submit("m0", "c=safe,t=acme,d=6000,dest=1").as_str() {
@@ -87,32 +87,35 @@
     }
 }
 
-/// Plays all at once and waits for all: a process that outlives its test keeps the test's output open.
-fn all_hold(play: fn(&str) -> Result<(), String>, faults: &[&'static str]) {
-    let plays: Vec<_> = faults.iter().map(|&fault| std::thread::spawn(move || play(fault))).collect();
-    let ends: Vec<_> = plays.into_iter().map(|play| play.join()).collect();
-    let broken: Vec<String> = ends.into_iter().filter_map(|end| end.unwrap().err()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+/// Runs a check for all faults concurrently and joins all threads first: a dispatcher that outlives the test
+/// would keep the test's output open.
+fn check_all_faults(check: fn(&str) -> Result<(), String>, faults: &[&'static str]) {
+    let threads: Vec<_> = faults.iter().map(|&fault| std::thread::spawn(move || check(fault))).collect();
+    let results: Vec<_> = threads.into_iter().map(|thread| thread.join()).collect();
+    let errors: Vec<String> = results.into_iter().filter_map(|result| result.unwrap().err()).collect();
+    assert!(errors.is_empty(), "{errors:#?}");
 }
 
-/// Guards against connections that are closed over a request that was read, or an attempt that counts as one that may have
-/// run, since the system had no buffer for a moment.
+/// Guards against a temporary shortage of socket buffers that closes a connection whose request was read, or
+/// makes an attempt count as one that may have run.
 #[test]
-fn want_of_buffers_on_a_socket_costs_no_answer() {
+fn a_shortage_of_socket_buffers_loses_no_answer() {
     let faults = ["send ENOBUFS", "send ENOMEM", "recv ENOMEM", "recv ENOBUFS"];
-    all_hold(each_on_one_connection, &faults);
+    check_all_faults(messages_on_one_connection_under, &faults);
 }
 
-/// Guards against new clients that are closed with their request since the poll could not take one more for a moment.
+/// Guards against new client connections that are closed with their request because `epoll_ctl` failed
+/// temporarily.
 #[test]
-fn a_new_connection_that_the_poll_does_not_take_yet_is_served() {
+fn a_new_connection_that_cannot_be_registered_yet_is_served_later() {
     let faults = ["epoll_ctl ENOMEM", "epoll_ctl ENOSPC"];
-    all_hold(each_on_a_new_connection, &faults);
+    check_all_faults(messages_on_new_connections_under, &faults);
 }
 
-/// Whatever accepting answers for a while, clients are taken once it is over, and each connection gets its answer.
+/// Guards against clients that are lost while `accept4` fails temporarily, whatever the error: they are
+/// accepted afterwards, and each connection gets its answer.
 #[test]
-fn clients_wait_while_they_cannot_be_accepted() {
+fn clients_that_cannot_be_accepted_yet_are_served_later() {
     let faults = [
         "accept4 EMFILE",
         "accept4 ENFILE",
@@ -124,12 +127,13 @@
         "accept4 ENETDOWN",
         "accept4 EINTR",
     ];
-    all_hold(each_on_a_new_connection, &faults);
+    check_all_faults(messages_on_new_connections_under, &faults);
 }
 
-/// Attempts that find no socket or no way never ran: they cost nothing but time.
+/// Guards against messages that are given up because an attempt found no socket or no route. Such an attempt
+/// never ran, so the message is only delayed.
 #[test]
-fn connections_that_cannot_be_made_cost_no_message() {
+fn failing_connection_attempts_lose_no_message() {
     let faults = [
         "socket EMFILE",
         "socket ENFILE",
@@ -141,12 +145,13 @@
         "connect ETIMEDOUT",
         "connect EPERM",
     ];
-    all_hold(each_on_one_connection, &faults);
+    check_all_faults(messages_on_one_connection_under, &faults);
 }
 
-/// Guards against a start that ends, and leaves what its folder holds without an end, since a call failed for a moment.
+/// Guards against a start that exits because a system call failed temporarily, and so leaves the messages in
+/// its state folder without a final answer.
 #[test]
-fn a_start_waits_for_calls_that_fail_for_a_while() {
+fn a_start_waits_for_system_calls_that_fail_temporarily() {
     let faults = [
         "pipe2 EMFILE",
         "pipe2 ENFILE",
@@ -157,13 +162,13 @@
         "flock ENOLCK",
         "flock EINTR",
     ];
-    all_hold(it_starts_under, &faults);
+    check_all_faults(starts_under, &faults);
 }
 
-/// Guards against a process that stands still, or ends, over a log that nobody takes: its reader stops or is gone, or its
-/// disk is full.
+/// Guards against a process that blocks or exits because its log cannot be written: the reader of the log
+/// stops or is gone, or the disk is full. The test lets the reader stop.
 #[test]
-fn a_log_that_nobody_takes_holds_nothing_up() {
+fn an_unread_log_does_not_block_the_process() {
     let worker = Worker::start(|_, _| OK);
     let site = site_of(&worker);
     let mut d = site.start_with("127.0.0.1:0", &[("RUST_LOG", "lilacbank=debug")]);
@@ -173,18 +178,19 @@
     for n in 0..600 {
         let id = format!("m{n:04}");
         let answer = client.try_submit(&id, "c=safe,t=acme,d=6000,dest=1");
-        assert!(!answer.is_empty(), "{id} gets no answer beside a log that is not read");
+        assert!(!answer.is_empty(), "{id} gets no answer while the log is not read");
     }
-    until("all are delivered", || worker.count() >= 600);
+    until("all messages are delivered", || worker.count() >= 600);
     d.read_log_again();
     d.signal("-TERM");
     d.logged(" records of the log were dropped: nobody took them");
     d.logged("leaves with 0 calls");
 }
 
-/// Guards against a process that uses up its core while something fails for long: each thing is tried again by time.
+/// Guards against a process that uses a whole core while a system call fails permanently: each failed
+/// operation is retried after a wait.
 #[test]
-fn what_fails_for_long_costs_little() {
+fn permanently_failing_system_calls_use_little_cpu() {
     let faults = [
         "write ENOSPC",
         "rename EIO",
@@ -197,7 +203,7 @@
         "send ENOBUFS",
         "recv ENOMEM",
     ];
-    fn it_rests_under(fault: &str) -> Result<(), String> {
+    fn uses_little_cpu_under(fault: &str) -> Result<(), String> {
         let worker = Worker::start(|_, _| Reply::Silence);
         let d = site_of(&worker).start_under(&format!("fail 700 1e12 {fault}"), &[]);
         let mut client = d.client();
@@ -205,7 +211,7 @@
             client.try_submit(&format!("m{n}"), "c=safe,t=acme,d=20000,dest=1");
         }
         std::thread::sleep(Duration::from_millis(900));
-        // Some meet the fault with a request, on connections old and new.
+        // Some requests meet the fault, on old and new connections.
         let begin = |mut client: Client| client.0.get_mut().write_all(&command(&[b"PING"])).map(|()| client);
         let clients: Vec<_> =
             (0..20).filter_map(|_| Client::try_connect(d.address()).and_then(begin).ok()).collect();
@@ -217,8 +223,8 @@
         if used < Duration::from_millis(450) {
             Ok(())
         } else {
-            Err(format!("{fault}: {used:?} of 3 s"))
+            Err(format!("{fault}: {used:?} of CPU time in 3 s"))
         }
     }
-    all_hold(it_rests_under, &faults);
+    check_all_faults(uses_little_cpu_under, &faults);
 }
--- a/tests/full_folder.rs
+++ b/tests/full_folder.rs
@@ -1,4 +1,5 @@
-//! A folder that takes no writes for a while: what it holds is delivered all the same once it does.
+//! A state folder that cannot be written for a while: the messages in it are delivered once it can be written
+//! again.
 
 mod stand;
 use stand::*;
@@ -7,25 +8,26 @@
 
 const MESSAGES: usize = 60;
 
-/// 60 messages are taken on while their endpoint is silent, the process is killed, and the next one starts under the
-/// schedule of faults with the endpoint well. All are delivered, but what may have run and must not run twice.
-fn all_are_delivered_by_a_start_under(schedule: &str) {
+/// A dispatcher accepts 60 messages while their endpoint is silent and is killed; the next process starts
+/// under a schedule of faults while the endpoint answers. All messages are delivered, except at-most-once
+/// messages that may have run: these are given up.
+fn check_start_under(schedule: &str) {
     let (worker, answers) = silent_until_told();
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let d = site.start();
     let mut client = d.client();
     let ids = hand_in_each_class(&mut client, MESSAGES, 12_000);
     d.kill();
-    let tried: Vec<usize> = ids.iter().map(|(id, _)| worker.of(id)).collect();
+    let attempts: Vec<usize> = ids.iter().map(|(id, _)| worker.of(id)).collect();
     answers.store(true, Ordering::SeqCst);
     let _d = site.start_under(schedule, &[]);
-    for ((id, class), tried) in ids.iter().zip(tried) {
-        if *class == "pay" && tried > 0 {
-            until(&format!("{id} may have run and ends"), || !site.platform.noticed(id).is_empty());
-            assert_eq!(worker.of(id), tried, "{id} is not sent again");
+    for ((id, class), attempts) in ids.iter().zip(attempts) {
+        if *class == "pay" && attempts > 0 {
+            until(&format!("{id} may have run and is given up"), || !site.platform.noticed(id).is_empty());
+            assert_eq!(worker.of(id), attempts, "{id} is not sent again");
         } else {
             until(&format!("{id} of {class} is delivered"), || {
-                worker.of(id) > tried || !site.platform.noticed(id).is_empty()
+                worker.of(id) > attempts || !site.platform.noticed(id).is_empty()
             });
             assert_eq!(site.platform.noticed(id), Vec::<String>::new(), "{id} of {class}");
         }
@@ -36,28 +38,29 @@
     assert!(twice.is_empty(), "{twice:?}");
 }
 
-/// Guards against calls that cannot be written down, count as attempts that failed, and are handed back with time left.
+/// Guards against attempts that cannot be recorded in the journal and then count as failed, so that messages
+/// are returned before their deadline.
 #[test]
-fn what_a_start_finds_is_delivered_once_a_full_folder_has_room() {
-    all_are_delivered_by_a_start_under("enospc 0 2000");
+fn pending_messages_are_delivered_once_a_full_folder_has_room() {
+    check_start_under("enospc 0 2000");
 }
 
 /// The same with half of each record written before the error.
 #[test]
-fn what_a_start_finds_is_delivered_once_a_folder_that_tears_writes_has_room() {
-    all_are_delivered_by_a_start_under("enospc 0 2000 1");
+fn pending_messages_are_delivered_once_a_folder_with_torn_writes_has_room() {
+    check_start_under("enospc 0 2000 1");
 }
 
-/// The same with an I/O error on opens, reads, writes, truncations and renames, from the first one on.
+/// The same with an I/O error for every open, read, write, truncation and rename from the start.
 #[test]
-fn what_a_start_finds_is_delivered_once_a_folder_that_fails_works_again() {
-    all_are_delivered_by_a_start_under("eio 0 1500");
+fn pending_messages_are_delivered_once_a_failing_folder_works_again() {
+    check_start_under("eio 0 1500");
 }
 
-/// The same for each function on the folder with errors of its manual, one at a time. All plays are waited for first: a process
-/// that outlives the test would keep its output open.
+/// The same for each system call on the state folder with the errors that its manual lists, one at a time.
+/// All threads are joined first: a dispatcher that outlives the test would keep its output open.
 #[test]
-fn what_a_start_finds_is_delivered_once_each_call_on_the_folder_works_again() {
+fn pending_messages_are_delivered_once_each_system_call_works_again() {
     let faults = [
         "open64 EMFILE",
         "open64 ENFILE",
@@ -77,20 +80,17 @@
         "statx EIO",
         "statx ENOMEM",
     ];
-    let plays = faults.map(|fault| {
-        (
-            fault,
-            std::thread::spawn(move || all_are_delivered_by_a_start_under(&format!("fail 0 1500 {fault}"))),
-        )
-    });
-    let broken = plays.map(|(fault, play)| play.join().is_err().then_some(fault));
+    let runs = faults
+        .map(|fault| (fault, std::thread::spawn(move || check_start_under(&format!("fail 0 1500 {fault}")))));
+    let broken = runs.map(|(fault, run)| run.join().is_err().then_some(fault));
     assert!(broken.iter().all(Option::is_none), "{:?}", broken.iter().flatten().collect::<Vec<_>>());
 }
 
-/// Guards against half a record, left by a write that failed, taken for a file that was cut off: nothing is missing before
-/// it, and what was never tried is not given up for fear that it may have run.
+/// Guards against a partial record of a failed write that is mistaken for a truncated journal. Nothing is
+/// missing before the partial record, so messages that were never attempted must not be given up as ones that
+/// may have run.
 #[test]
-fn half_a_record_at_the_end_gives_nothing_up_that_was_never_tried() {
+fn a_partial_record_at_the_end_does_not_give_up_unattempted_messages() {
     let (worker, answers) = silent_until_told();
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
@@ -106,27 +106,29 @@
     let journal = site.dir.join("state").join("journal");
     let whole = std::fs::metadata(&journal).unwrap().len();
     assert!(client.submit("late", "c=pay,t=acme,d=15000,dest=1").starts_with("-BUSY"));
-    assert!(std::fs::metadata(&journal).unwrap().len() > whole, "half a record stands at the end");
+    assert!(std::fs::metadata(&journal).unwrap().len() > whole, "the journal ends with a partial record");
     d.kill();
-    let tried: Vec<usize> = ids.iter().map(|id| worker.of(id)).collect();
-    assert!(tried.iter().filter(|t| **t == 0).count() > 20);
+    let attempts: Vec<usize> = ids.iter().map(|id| worker.of(id)).collect();
+    assert!(attempts.iter().filter(|t| **t == 0).count() > 20);
     answers.store(true, Ordering::SeqCst);
     let _next = site.start();
-    for (id, tried) in ids.iter().zip(tried) {
-        if tried == 0 {
-            until(&format!("{id} ends"), || worker.of(id) > 0 || !site.platform.noticed(id).is_empty());
+    for (id, attempts) in ids.iter().zip(attempts) {
+        if attempts == 0 {
+            until(&format!("{id} is delivered or has a notice"), || {
+                worker.of(id) > 0 || !site.platform.noticed(id).is_empty()
+            });
             assert_eq!(worker.of(id), 1, "{id} is delivered: {:?}", site.platform.noticed(id));
         } else {
-            until(&format!("{id} may have run"), || !site.platform.noticed(id).is_empty());
-            assert_eq!(worker.of(id), tried);
+            until(&format!("{id} may have run and is given up"), || !site.platform.noticed(id).is_empty());
+            assert_eq!(worker.of(id), attempts);
         }
     }
 }
 
-/// Guards against ends that are not in the journal: they came while the folder was full, and a later start takes messages that
-/// were delivered for ones that may have run.
+/// Guards against final answers that are missing in the journal because the state folder was full when they
+/// arrived: the next start would treat delivered messages as ones that may have run.
 #[test]
-fn ends_that_came_while_the_folder_was_full_are_known_to_the_next_start() {
+fn final_answers_during_a_full_folder_are_known_to_the_next_start() {
     let worker = Worker::start(|_, _| Reply::After(Duration::from_millis(2_500), "200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
@@ -136,7 +138,7 @@
     for id in &ids {
         assert_eq!(client.submit(id, "c=pay,t=acme,d=15000,dest=1"), "+OK");
     }
-    until("they are out", || worker.count() == 2);
+    until("both attempts have reached the endpoint", || worker.count() == 2);
     assert!(begun.elapsed() < Duration::from_millis(900), "the machine is too slow for this test");
     std::thread::sleep(Duration::from_millis(4_500).saturating_sub(begun.elapsed()));
     d.kill();
@@ -147,15 +149,16 @@
     }
 }
 
-/// The same for a process that is told to leave meanwhile: it has 3.3 s, and the folder takes its records before that.
+/// The same for a process that gets SIGTERM while the folder is full: it has 3.3 s to exit, and the folder
+/// can be written again before that.
 #[test]
-fn ends_that_came_while_the_folder_was_full_are_written_before_the_process_leaves() {
+fn final_answers_during_a_full_folder_are_written_before_the_exit() {
     let worker = Worker::start(|_, _| Reply::After(Duration::from_millis(2_500), "200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
     let mut d = site.start_under("enospc 2000 4000", &[]);
     assert_eq!(d.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"), "+OK");
-    until("it is out", || worker.count() == 1);
+    until("the attempt has reached the endpoint", || worker.count() == 1);
     assert!(begun.elapsed() < Duration::from_millis(900), "the machine is too slow for this test");
     std::thread::sleep(Duration::from_millis(2_200).saturating_sub(begun.elapsed()));
     d.signal("-TERM");
@@ -166,49 +169,57 @@
     assert_eq!((worker.of("m1"), site.platform.noticed("m1")), (1, vec![]), "m1 was delivered");
 }
 
-/// Guards against an attempt whose length cannot be written beside the journal and goes out all the same: a cut that takes its
-/// mark would not be seen. It waits, and then goes once.
+/// Guards against an attempt that is sent although the journal length that covers its record cannot be stored
+/// beside the journal: a truncation that removes the record would go unnoticed. The attempt waits and is then
+/// sent once.
 #[test]
-fn an_attempt_whose_length_cannot_be_written_waits_and_is_sent_once() {
+fn an_attempt_waits_for_the_stored_journal_length_and_is_sent_once() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let d = site.start_under("eio 1000 3000 2", &[]);
     let started = std::time::Instant::now();
     std::thread::sleep(Duration::from_millis(1_100));
-    assert_eq!(d.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"), "+OK", "the journal takes it on");
+    assert_eq!(
+        d.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"),
+        "+OK",
+        "the journal records the message"
+    );
     std::thread::sleep(Duration::from_millis(2_500).saturating_sub(started.elapsed()));
-    assert_eq!(worker.count(), 0, "sent without its length");
-    until("it is sent", || worker.of("m1") == 1);
+    assert_eq!(worker.count(), 0, "the attempt is sent before the journal length is stored");
+    until("the message is sent", || worker.of("m1") == 1);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!((worker.of("m1"), site.platform.noticed("m1")), (1, vec![]));
 }
 
-/// Guards against a journal that may not grow as far as its settings say, as its disk is smaller or the system limits its
-/// files: what is over is thrown out of it once it takes no more, and the process is not ended by the signal of that limit.
+/// Guards against a journal that cannot grow to its configured size, because the disk is smaller or the
+/// system limits file sizes. Finished records are compacted away when the journal cannot grow, and the signal
+/// for an exceeded file size limit does not end the process.
 #[test]
-fn a_journal_that_may_not_grow_is_compacted_and_goes_on() {
+fn a_journal_that_cannot_grow_is_compacted_and_stays_usable() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
-    // 100 KB, in blocks of 512 bytes, where the settings allow 3 MB; the messages write 145 KB, of which 40 stay of use.
+    // The limit of 200 blocks of 512 bytes is 100 KB, while the settings allow 3 MB. The messages
+    // write 145 KB, of which 40 KB remain needed.
     const MESSAGES: usize = 700;
     let d = site.start_limited("-f 200", &[]);
     let mut client = d.client();
     let begun = std::time::Instant::now();
-    let mut taken = 0;
-    while taken < MESSAGES && begun.elapsed() < Duration::from_secs(12) {
-        let id = format!("m{taken:04}");
+    let mut accepted = 0;
+    while accepted < MESSAGES && begun.elapsed() < Duration::from_secs(12) {
+        let id = format!("m{accepted:04}");
         let answer = client.try_submit(&id, "c=safe,t=acme,d=6000,dest=1");
-        assert!(!answer.is_empty(), "the process has ended after {taken} messages");
-        taken += usize::from(answer == "+OK");
+        assert!(!answer.is_empty(), "the process has exited after {accepted} messages");
+        accepted += usize::from(answer == "+OK");
         std::thread::sleep(Duration::from_millis(1));
     }
-    assert_eq!(taken, MESSAGES, "it takes no more");
-    until("all are delivered", || worker.count() >= MESSAGES);
+    assert_eq!(accepted, MESSAGES, "the dispatcher accepts no more messages");
+    until("all messages are delivered", || worker.count() >= MESSAGES);
 }
 
-/// Guards against a log that is filled by one complaint for each message that a full folder turns away.
+/// Guards against a log that grows by one record for each message that is rejected because the state folder
+/// is full.
 #[test]
-fn a_full_folder_is_complained_of_in_growing_intervals() {
+fn a_full_folder_is_logged_at_growing_intervals() {
     let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
     let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let mut d = site.start_under("enospc 700 1e12", &[]);
@@ -219,6 +230,6 @@
     }
     d.signal("-USR1");
     d.logged("rules: ");
-    let complaints = d.seen().lines().filter(|line| line.contains("takes nothing more")).count();
-    assert!((1..=3).contains(&complaints), "{complaints} lines for 200 messages");
+    let warnings = d.seen().lines().filter(|line| line.contains("takes nothing more")).count();
+    assert!((1..=3).contains(&warnings), "{warnings} lines for 200 messages");
 }
