--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,5 @@
-//! The schedule of `crates/faults`: what does not read ends the process, so that no test passes for want of its faults.
+//! The fault schedule of `crates/faults`. An invalid schedule ends the process, so that no test passes
+//! because its faults are missing.
 
 mod stand;
 use std::process::{Command, Output};
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn a_schedule_that_reads_lets_the_process_run() {
+fn a_valid_schedule_lets_the_process_run() {
     let out = run_under(
         "clock 0 1e12 -3600000; late 0 9; enospc 5 10 1; halt 0 9; fail 1 2 send ENOBUFS",
         "/nowhere",
@@ -23,10 +24,10 @@
     assert!(out.status.success() && out.stderr.is_empty(), "{out:?}");
 }
 
-/// Each mistake is named with what to write instead.
+/// Each error names the mistake and the correct form.
 #[test]
-fn a_schedule_that_does_not_read_ends_the_process_and_says_why() {
-    let wrong = [
+fn an_invalid_schedule_ends_the_process_with_an_explanation() {
+    let invalid = [
         ("enospc", "/nowhere", "'enospc': write KIND FROM UNTIL [ARGUMENT]"),
         ("clock 0 9; flood 0 10", "/nowhere", "'flood 0 10': the kind is one of clock, enospc,"),
         ("eio 10 5", "/nowhere", "'eio 10 5': FROM is before UNTIL"),
@@ -40,25 +41,26 @@
         ("fail 0 5 rename EIO", "", "set it to the folder whose files fail"),
         ("eio 0 5", "", "set it to the folder whose files fail"),
     ];
-    for (schedule, folder, says) in wrong {
+    for (schedule, folder, expected) in invalid {
         let out = run_under(schedule, folder);
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{schedule}: {text}");
-        assert!(text.starts_with("LILACBANK_FAULTS: ") && text.contains(says), "{schedule}: {text}");
+        assert!(text.starts_with("LILACBANK_FAULTS: ") && text.contains(expected), "{schedule}: {text}");
     }
 }
 
-/// Guards against a soak whose connections all come up at once. The registry's comes up late first, then the endpoint's.
+/// Guards against a schedule entry `late` that has no effect, so that every connection of a soak is
+/// established immediately. The connection to the registry is delayed first, then the one to the endpoint.
 #[test]
-fn late_connections_come_up_as_late_as_the_schedule_says() {
-    const LATE: Duration = Duration::from_millis(400);
+fn connections_are_delayed_as_the_schedule_specifies() {
+    const DELAY: Duration = Duration::from_millis(400);
     let worker = stand::Worker::start(|_, _| stand::Reply::Answer("200 OK"));
     let site = stand::Site::new(&[stand::entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let start = Instant::now();
-    let dispatcher = site.start_under(&format!("late 0 60000 {}", LATE.as_millis()), &[]);
+    let dispatcher = site.start_under(&format!("late 0 60000 {}", DELAY.as_millis()), &[]);
     let mut client = dispatcher.client();
     assert_eq!(client.submit("m", "c=safe,d=5000,dest=1"), "+OK");
-    stand::until("it is delivered", || worker.of("m") == 1);
+    stand::until("the message is delivered", || worker.of("m") == 1);
     let called = worker.calls.lock().unwrap()[0].at;
-    assert!(called.duration_since(start) >= 2 * LATE, "{:?}", called.duration_since(start));
+    assert!(called.duration_since(start) >= 2 * DELAY, "{:?}", called.duration_since(start));
 }
