--- a/crates/cells/examples/blast.rs
+++ b/crates/cells/examples/blast.rs
@@ -2,7 +2,7 @@
 //! at a size that real sockets do not allow: `cargo run --release -p lilacbank-cells --example blast --
 //! docs/design/cells-blast.svg`
 
-use lilacbank_cells::placement::{home, shard, Place};
+use lilacbank_cells::placement::{place, shard, Candidate};
 use plotters::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,8 +12,8 @@
 const SHARDS: usize = 2;
 const HARMFUL_TENANTS: [usize; 4] = [0, 1, 5, 10];
 
-fn places(n: usize) -> Vec<Place> {
-    (0..n).map(|c| Place { name: format!("cell-{c}"), weight: 1.0 }).collect()
+fn places(n: usize) -> Vec<Candidate> {
+    (0..n).map(|c| Candidate { name: format!("cell-{c}"), weight: 1.0 }).collect()
 }
 
 fn name(t: usize) -> String {
@@ -33,11 +33,11 @@
     let plain = |cells: usize| -> Vec<Vec<usize>> {
         (0..TENANTS).map(|t| vec![(xxh3_64(name(t).as_bytes()) % cells as u64) as usize]).collect()
     };
-    let cells = |at: &[Place]| -> Vec<Vec<usize>> {
-        (0..TENANTS).map(|t| home(&name(t), at).into_iter().collect()).collect()
+    let cells = |at: &[Candidate]| -> Vec<Vec<usize>> {
+        (0..TENANTS).map(|t| place(&name(t), at).into_iter().collect()).collect()
     };
     let shuffled =
-        |at: &[Place]| -> Vec<Vec<usize>> { (0..TENANTS).map(|t| shard(&name(t), at, SHARDS)).collect() };
+        |at: &[Candidate]| -> Vec<Vec<usize>> { (0..TENANTS).map(|t| shard(&name(t), at, SHARDS)).collect() };
     let all: Vec<Vec<usize>> = vec![vec![0]; TENANTS];
     let placements = [
         ("no cells", all.clone(), all, 1),
--- a/crates/cells/src/bulkhead.rs
+++ b/crates/cells/src/bulkhead.rs
@@ -9,15 +9,15 @@
 //! borrowers' attempts end; until then no returned unit is lent again.
 
 /// A cell, by its index in the cell map.
-pub type CellNo = usize;
+pub type CellIndex = usize;
 
 /// Whether the units of a pool can be taken back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lending {
+pub enum Revocability {
     /// A unit can be taken back at once.
     Revocable,
     /// A unit comes back when its holder is done with it, so a percentage of each share is never lent.
-    Held {
+    NonRevocable {
         /// The percentage of each share that is reserved for its owner.
         reserve: u32,
     },
@@ -25,21 +25,21 @@
 
 /// The result of a request for a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grant {
+pub enum Acquisition {
     /// A unit of the cell's own share.
-    Own,
+    OwnShare,
     /// A unit of another cell's share that is idle now.
     Lent,
     /// A unit, once that cell has returned one that it borrowed.
-    After(CellNo),
+    AfterRevoking(CellIndex),
     /// No unit: the cell's share is in use, and nothing is idle.
-    Full,
+    Denied,
 }
 
-impl Grant {
+impl Acquisition {
     /// Whether a unit was granted.
-    pub fn given(self) -> bool {
-        self != Grant::Full
+    pub fn is_granted(self) -> bool {
+        self != Acquisition::Denied
     }
 }
 
@@ -63,25 +63,25 @@
 
 /// Units of one kind of capacity, such as slots, held messages or space in the journal.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Pool {
+pub struct CapacityPool {
     capacity: u64,
-    lending: Lending,
+    lending: Revocability,
     allocations: Vec<Allocation>,
 }
 
-impl Pool {
+impl CapacityPool {
     /// A pool of `capacity` units, divided by weight; the remainder of the division goes to the first cells,
     /// one unit each.
-    pub fn new(capacity: u64, weights: &[f64], lending: Lending) -> Pool {
+    pub fn new(capacity: u64, weights: &[f64], lending: Revocability) -> CapacityPool {
         let allocations = vec![Allocation { guaranteed: 0, used: 0, needed: 0 }; weights.len()];
-        let mut pool = Pool { capacity, lending, allocations };
-        pool.divide(capacity, weights);
+        let mut pool = CapacityPool { capacity, lending, allocations };
+        pool.set_weights(capacity, weights);
         pool
     }
 
     /// Changes the division while units are in use. Nothing is taken away: units in use beyond the new share
     /// count as borrowed from now on.
-    pub fn divide(&mut self, capacity: u64, weights: &[f64]) {
+    pub fn set_weights(&mut self, capacity: u64, weights: &[f64]) {
         self.capacity = capacity;
         self.allocations.resize(
             weights.len().max(self.allocations.len()),
@@ -105,19 +105,19 @@
 
     /// Sets what a cell has needed at the same time recently: that much of its share is not lent if it cannot
     /// be taken back.
-    pub fn keep(&mut self, cell: CellNo, needed: u64) {
+    pub fn set_recent_need(&mut self, cell: CellIndex, needed: u64) {
         if let Some(allocation) = self.allocations.get_mut(cell) {
             allocation.needed = needed;
         }
     }
 
     /// Units that a cell has in use.
-    pub fn used(&self, cell: CellNo) -> u64 {
+    pub fn used(&self, cell: CellIndex) -> u64 {
         self.allocations.get(cell).map_or(0, |p| p.used)
     }
 
     /// The guaranteed share of a cell, in units.
-    pub fn guaranteed(&self, cell: CellNo) -> u64 {
+    pub fn guaranteed(&self, cell: CellIndex) -> u64 {
         self.allocations.get(cell).map_or(0, |p| p.guaranteed)
     }
 
@@ -126,11 +126,11 @@
     }
 
     /// Idle units reserved for their owners, because they could not be taken back when the owners need them.
-    fn reserved_for_others(&self, cell: CellNo) -> u64 {
+    fn reserved_for_others(&self, cell: CellIndex) -> u64 {
         let others = self.allocations.iter().enumerate().filter(|(n, _)| *n != cell).map(|p| p.1);
         match self.lending {
-            Lending::Revocable => 0,
-            Lending::Held { reserve } => {
+            Revocability::Revocable => 0,
+            Revocability::NonRevocable { reserve } => {
                 let reserved = |p: &Allocation| (p.guaranteed * u64::from(reserve)).div_ceil(100);
                 others.map(|p| p.idle().min(reserved(p).max(p.needed.saturating_sub(p.used)))).sum()
             }
@@ -139,7 +139,7 @@
 
     /// Units that a cell may have in total at present: its units in use, the free units of its share, and
     /// those that can be lent.
-    pub fn most(&self, cell: CellNo) -> u64 {
+    pub fn max_available(&self, cell: CellIndex) -> u64 {
         let Some(allocation) = self.allocations.get(cell) else { return 0 };
         let free = self.free();
         let own = allocation.idle().min(free);
@@ -147,42 +147,42 @@
     }
 
     /// Counts units that a cell already uses: those of an earlier process.
-    pub fn force(&mut self, cell: CellNo, units: u64) {
+    pub fn acquire_unconditionally(&mut self, cell: CellIndex, units: u64) {
         if let Some(allocation) = self.allocations.get_mut(cell) {
             allocation.used += units;
         }
     }
 
     /// The result that [`Pool::take`] would return now.
-    pub fn ask(&self, cell: CellNo) -> Grant {
-        let Some(allocation) = self.allocations.get(cell) else { return Grant::Full };
+    pub fn check(&self, cell: CellIndex) -> Acquisition {
+        let Some(allocation) = self.allocations.get(cell) else { return Acquisition::Denied };
         let free = self.free();
         if allocation.used < allocation.guaranteed {
             if free > 0 {
-                return Grant::Own;
+                return Acquisition::OwnShare;
             }
             // The cell's own units are lent out: the cell that borrowed the most returns one.
             let most = self.allocations.iter().enumerate().filter(|(n, p)| *n != cell && p.borrowed() > 0);
             let most = most.max_by_key(|(n, p)| (p.borrowed(), std::cmp::Reverse(*n))).map(|m| m.0);
             return match (most, self.lending) {
-                (Some(other), Lending::Revocable) => Grant::After(other),
-                _ => Grant::Full,
+                (Some(other), Revocability::Revocable) => Acquisition::AfterRevoking(other),
+                _ => Acquisition::Denied,
             };
         }
         match free > self.reserved_for_others(cell) {
-            true => Grant::Lent,
-            false => Grant::Full,
+            true => Acquisition::Lent,
+            false => Acquisition::Denied,
         }
     }
 
     /// Takes a unit. After [`Grant::After`] the named cell's unit counts as returned already, and the host
     /// has to make sure that it is.
-    pub fn take(&mut self, cell: CellNo) -> Grant {
-        let grant = self.ask(cell);
-        if let Grant::After(other) = grant {
-            self.give(other);
+    pub fn acquire(&mut self, cell: CellIndex) -> Acquisition {
+        let grant = self.check(cell);
+        if let Acquisition::AfterRevoking(other) = grant {
+            self.release(other);
         }
-        if grant.given() {
+        if grant.is_granted() {
             if let Some(allocation) = self.allocations.get_mut(cell) {
                 allocation.used += 1;
             }
@@ -191,7 +191,7 @@
     }
 
     /// Returns a unit.
-    pub fn give(&mut self, cell: CellNo) {
+    pub fn release(&mut self, cell: CellIndex) {
         if let Some(allocation) = self.allocations.get_mut(cell) {
             allocation.used = allocation.used.saturating_sub(1);
         }
@@ -201,7 +201,7 @@
 /// Divides the processing time of the core among cells by start-time fair queueing over measured costs: the
 /// cell that has used the least relative to its weight goes next, and unused time is not saved up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Turns {
+pub struct FairScheduler {
     weights: Vec<f64>,
     /// Time used so far, divided by the weight.
     spent: Vec<f64>,
@@ -209,15 +209,15 @@
     now: f64,
 }
 
-impl Turns {
+impl FairScheduler {
     /// A scheduler in which no cell has used any time.
-    pub fn new(weights: &[f64]) -> Turns {
-        Turns { weights: weights.to_vec(), spent: vec![0.0; weights.len()], now: 0.0 }
+    pub fn new(weights: &[f64]) -> FairScheduler {
+        FairScheduler { weights: weights.to_vec(), spent: vec![0.0; weights.len()], now: 0.0 }
     }
 
     /// The order in which the cells with pending work go.
-    pub fn order(&mut self, wanting: impl IntoIterator<Item = CellNo>) -> Vec<CellNo> {
-        let mut all: Vec<CellNo> = wanting.into_iter().filter(|c| *c < self.spent.len()).collect();
+    pub fn order(&mut self, wanting: impl IntoIterator<Item = CellIndex>) -> Vec<CellIndex> {
+        let mut all: Vec<CellIndex> = wanting.into_iter().filter(|c| *c < self.spent.len()).collect();
         for cell in &all {
             // Time that a cell did not use while it was idle is forfeited.
             self.spent[*cell] = self.spent[*cell].max(self.now);
@@ -230,7 +230,7 @@
     }
 
     /// Charges a cell for the time that it used.
-    pub fn used(&mut self, cell: CellNo, cost: f64) {
+    pub fn charge(&mut self, cell: CellIndex, cost: f64) {
         if let (Some(spent), Some(weight)) = (self.spent.get_mut(cell), self.weights.get(cell)) {
             *spent += cost / weight.max(f64::MIN_POSITIVE);
         }
@@ -245,41 +245,49 @@
     /// Guards against a cell under heavy load that keeps its neighbour's guaranteed share.
     #[test]
     fn revocable_units_are_returned_at_once_when_their_owner_needs_them() {
-        let mut pool = Pool::new(10, &[1.0, 1.0], Lending::Revocable);
-        let taken = (0..20).filter(|_| pool.take(0).given()).count();
+        let mut pool = CapacityPool::new(10, &[1.0, 1.0], Revocability::Revocable);
+        let taken = (0..20).filter(|_| pool.acquire(0).is_granted()).count();
         assert_eq!((taken, pool.used(0)), (10, 10));
         for n in 1..=5 {
-            assert_eq!(pool.take(1), Grant::After(0));
+            assert_eq!(pool.acquire(1), Acquisition::AfterRevoking(0));
             assert_eq!((pool.used(0), pool.used(1)), (10 - n, n));
         }
-        assert_eq!((pool.take(1), pool.take(0)), (Grant::Full, Grant::Full));
-        pool.give(1);
-        assert_eq!((pool.take(0), pool.take(1)), (Grant::Lent, Grant::After(0)));
+        assert_eq!((pool.acquire(1), pool.acquire(0)), (Acquisition::Denied, Acquisition::Denied));
+        pool.release(1);
+        assert_eq!((pool.acquire(0), pool.acquire(1)), (Acquisition::Lent, Acquisition::AfterRevoking(0)));
     }
 
     #[test]
     fn units_that_cannot_be_taken_back_are_lent_only_beyond_a_reserve() {
-        let mut pool = Pool::new(20, &[1.0, 1.0], Lending::Held { reserve: 50 });
-        pool.keep(1, 9);
-        assert_eq!((pool.most(0), pool.most(1)), (11, 15), "units needed recently are not lent");
-        pool.keep(1, 2);
-        let taken = (0..40).filter(|_| pool.take(0).given()).count();
+        let mut pool = CapacityPool::new(20, &[1.0, 1.0], Revocability::NonRevocable { reserve: 50 });
+        pool.set_recent_need(1, 9);
+        assert_eq!(
+            (pool.max_available(0), pool.max_available(1)),
+            (11, 15),
+            "units needed recently are not lent"
+        );
+        pool.set_recent_need(1, 2);
+        let taken = (0..40).filter(|_| pool.acquire(0).is_granted()).count();
         assert_eq!(taken, 15, "half of the other share is reserved");
-        assert!((0..5).all(|_| pool.take(1) == Grant::Own));
-        assert_eq!(pool.take(1), Grant::Full, "further units are free only when borrowed ones are returned,");
-        pool.give(0);
-        assert_eq!(pool.take(0), Grant::Full, "and they are not lent to the borrower again");
-        assert_eq!(pool.take(1), Grant::Own);
+        assert!((0..5).all(|_| pool.acquire(1) == Acquisition::OwnShare));
+        assert_eq!(
+            pool.acquire(1),
+            Acquisition::Denied,
+            "further units are free only when borrowed ones are returned,"
+        );
+        pool.release(0);
+        assert_eq!(pool.acquire(0), Acquisition::Denied, "and they are not lent to the borrower again");
+        assert_eq!(pool.acquire(1), Acquisition::OwnShare);
     }
 
     #[test]
     fn a_new_division_takes_no_units_away_and_lends_no_more() {
-        let mut pool = Pool::new(10, &[1.0], Lending::Revocable);
-        (0..10).for_each(|_| assert!(pool.take(0).given()));
-        pool.divide(10, &[1.0, 4.0]);
+        let mut pool = CapacityPool::new(10, &[1.0], Revocability::Revocable);
+        (0..10).for_each(|_| assert!(pool.acquire(0).is_granted()));
+        pool.set_weights(10, &[1.0, 4.0]);
         assert_eq!((pool.guaranteed(0), pool.guaranteed(1), pool.used(0)), (2, 8, 10));
-        assert_eq!(pool.take(1), Grant::After(0));
-        assert_eq!(pool.take(0), Grant::Full);
+        assert_eq!(pool.acquire(1), Acquisition::AfterRevoking(0));
+        assert_eq!(pool.acquire(0), Acquisition::Denied);
     }
 
     proptest! {
@@ -291,25 +299,25 @@
             reserve in prop::option::of(0u32..=100),
             operations in prop::collection::vec((0usize..5, prop::bool::ANY), 0..200),
         ) {
-            let lending = reserve.map_or(Lending::Revocable, |reserve| Lending::Held { reserve });
-            let mut pool = Pool::new(capacity, &weights, lending);
+            let lending = reserve.map_or(Revocability::Revocable, |reserve| Revocability::NonRevocable { reserve });
+            let mut pool = CapacityPool::new(capacity, &weights, lending);
             for (cell, takes) in operations {
                 if !takes {
-                    pool.give(cell);
+                    pool.release(cell);
                     continue;
                 }
-                let most = pool.most(cell);
+                let most = pool.max_available(cell);
                 let (entitled, before) = (pool.used(cell) < pool.guaranteed(cell), pool.used(cell));
-                let grant = pool.take(cell);
+                let grant = pool.acquire(cell);
                 prop_assert!(
-                    !entitled || lending != Lending::Revocable || grant.given(),
+                    !entitled || lending != Revocability::Revocable || grant.is_granted(),
                     "an owner did not get a unit of its share"
                 );
                 prop_assert!(
-                    most > before || !matches!(grant, Grant::Own | Grant::Lent),
+                    most > before || !matches!(grant, Acquisition::OwnShare | Acquisition::Lent),
                     "more units than Pool::most allows"
                 );
-                prop_assert_eq!(pool.used(cell), before + u64::from(grant.given()));
+                prop_assert_eq!(pool.used(cell), before + u64::from(grant.is_granted()));
                 let sum: u64 = (0..weights.len()).map(|c| pool.used(c)).sum();
                 prop_assert!(sum <= capacity);
             }
@@ -320,11 +328,11 @@
     /// others.
     #[test]
     fn time_is_shared_by_weight_and_not_saved_up() {
-        let mut turns = Turns::new(&[1.0, 1.0]);
+        let mut turns = FairScheduler::new(&[1.0, 1.0]);
         let mut used = [0.0, 0.0];
-        let run = |turns: &mut Turns, wanting: &[usize], cost: [f64; 2]| {
+        let run = |turns: &mut FairScheduler, wanting: &[usize], cost: [f64; 2]| {
             let first = turns.order(wanting.iter().copied())[0];
-            turns.used(first, cost[first]);
+            turns.charge(first, cost[first]);
             first
         };
         for _ in 0..400 {
@@ -333,7 +341,7 @@
             used[first] += cost[first];
         }
         assert!((used[0] / used[1] - 1.0).abs() < 0.1, "{used:?}");
-        let mut turns = Turns::new(&[1.0, 1.0]);
+        let mut turns = FairScheduler::new(&[1.0, 1.0]);
         (0..100).for_each(|_| assert_eq!(run(&mut turns, &[0], [1.0, 1.0]), 0));
         let next: Vec<usize> = (0..6).map(|_| run(&mut turns, &[0, 1], [1.0, 1.0])).collect();
         assert_eq!(next.iter().filter(|c| **c == 0).count(), 3, "{next:?}");
--- a/crates/cells/src/moving.rs
+++ b/crates/cells/src/moving.rs
@@ -21,7 +21,7 @@
 use std::fmt;
 
 /// A dispatcher, by number.
-pub type Node = u32;
+pub type DispatcherId = u32;
 /// The number of an ownership period; grows with each offer.
 pub type Epoch = u64;
 
@@ -45,35 +45,35 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Phase<C> {
     /// Another dispatcher owns the tenant.
-    Away {
+    OwnedElsewhere {
         /// The owner, if it is known.
-        at: Option<Node>,
+        at: Option<DispatcherId>,
     },
     /// Owns the tenant and serves it.
-    Settled,
+    Owned,
     /// Owns the tenant; nothing new starts, and running attempts end.
     Draining {
         /// The receiver of the move.
-        to: Node,
+        to: DispatcherId,
     },
     /// Owns the tenant and has offered its contents under the next epoch.
     Offered {
         /// The receiver of the offer.
-        to: Node,
+        to: DispatcherId,
         /// The offered contents.
         contents: C,
     },
     /// No longer owns the tenant; repeats the commit until it is acknowledged.
     Committed {
         /// The new owner.
-        to: Node,
+        to: DispatcherId,
         /// The offered contents, in case the new owner lost them and asks for them again.
         contents: C,
     },
     /// Does not own the tenant yet; has recorded an offer.
     Received {
         /// The owner that made the offer.
-        from: Node,
+        from: DispatcherId,
         /// The offered contents.
         contents: C,
     },
@@ -81,7 +81,7 @@
 
 /// The state of a tenant's ownership on one dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Seat<C> {
+pub struct TenantOwnership<C> {
     /// The highest epoch that this dispatcher took part in.
     pub epoch: Epoch,
     /// The dispatcher's role.
@@ -90,7 +90,7 @@
 
 /// A peer message of the move protocol. It may be lost, duplicated or late.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Word<C> {
+pub enum HandoffMessage<C> {
     /// Offers the tenant under this epoch.
     Offer {
         /// The epoch of the offer.
@@ -99,7 +99,7 @@
         contents: C,
     },
     /// Acknowledges that the offer is recorded.
-    Received {
+    OfferRecorded {
         /// The epoch of the offer.
         epoch: Epoch,
     },
@@ -109,22 +109,22 @@
         epoch: Epoch,
     },
     /// Acknowledges the commit: the tenant is served by the sender.
-    Settled {
+    CommitAcknowledged {
         /// The epoch of the offer.
         epoch: Epoch,
     },
     /// The offer is withdrawn.
-    Cancel {
+    Withdraw {
         /// The epoch of the offer.
         epoch: Epoch,
     },
     /// The committed offer is not known to the sender.
-    Unknown {
+    UnknownOffer {
         /// The epoch of the offer.
         epoch: Epoch,
     },
     /// The sender knows a later epoch.
-    Stale {
+    StaleEpoch {
         /// The later epoch.
         epoch: Epoch,
     },
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input<C> {
     /// The operator moves the tenant to that dispatcher.
-    Move(Node),
+    Move(DispatcherId),
     /// The operator aborts the move, or a message's deadline is too close to wait for the receiver.
     Abort,
     /// The operator has ensured that the receiver never starts again, and takes back a committed handoff that
@@ -155,18 +155,18 @@
     Drained(C),
     /// That dispatcher considers itself the owner under the same epoch, which differing versions of a cell
     /// map can cause, and is the one of the two that keeps the tenant.
-    Yield(Node),
+    YieldTo(DispatcherId),
     /// Time has passed, or the process has started: peer messages may have been lost.
     Tick,
     /// A message from a peer.
-    Heard(Node, Word<C>),
+    MessageReceived(DispatcherId, HandoffMessage<C>),
 }
 
 /// An order to the host, to be carried out after the new state has been recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Order<C> {
+pub enum HostAction<C> {
     /// Send a message to a peer.
-    Tell(Node, Word<C>),
+    Send(DispatcherId, HandoffMessage<C>),
     /// Start nothing new; report [`Input::Drained`] once nothing is running.
     Drain,
     /// Serve again what was held.
@@ -174,76 +174,78 @@
     /// Serve the tenant, beginning with these contents.
     Serve(C),
     /// Drop what was held: another dispatcher owns it.
-    Forget,
+    DropContents,
     /// Accept nothing more, and finish what is held here.
-    Finish,
+    StopAccepting,
 }
 
 /// Why an operator's request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum MoveError {
     /// The tenant is not served here.
     NotOwner,
     /// The tenant is being moved already.
-    Underway,
+    MoveInProgress,
     /// The tenant is already on the requested dispatcher.
-    Here,
+    AlreadyThere,
     /// The tenant has been handed over; it can only be moved back from its new owner.
-    TooLate,
+    AlreadyCommitted,
     /// The tenant does not wait for another dispatcher's acknowledgement.
-    NotOwed,
+    NothingToReclaim,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for MoveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refused::NotOwner => "the tenant is not served here; ask the dispatcher that serves it",
-            Refused::Underway => "the tenant is being moved already; wait, or abort that move first",
-            Refused::Here => "the tenant is there already",
-            Refused::TooLate => "the tenant has been handed over; move it back from where it is now",
-            Refused::NotOwed => {
+            MoveError::NotOwner => "the tenant is not served here; ask the dispatcher that serves it",
+            MoveError::MoveInProgress => "the tenant is being moved already; wait, or abort that move first",
+            MoveError::AlreadyThere => "the tenant is there already",
+            MoveError::AlreadyCommitted => {
+                "the tenant has been handed over; move it back from where it is now"
+            }
+            MoveError::NothingToReclaim => {
                 "the tenant does not wait here for another dispatcher; there is nothing to reclaim"
             }
         })
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for MoveError {}
 
-type Transition<C> = (Seat<C>, Vec<Order<C>>);
+type Transition<C> = (TenantOwnership<C>, Vec<HostAction<C>>);
 
-impl<C: Clone> Seat<C> {
+impl<C: Clone> TenantOwnership<C> {
     /// The initial state of a tenant that belongs to this dispatcher.
-    pub fn settled() -> Seat<C> {
-        Seat { epoch: 1, phase: Phase::Settled }
+    pub fn owned_here() -> TenantOwnership<C> {
+        TenantOwnership { epoch: 1, phase: Phase::Owned }
     }
 
     /// The initial state of a tenant that belongs to another dispatcher.
-    pub fn away(at: Option<Node>) -> Seat<C> {
-        Seat { epoch: 0, phase: Phase::Away { at } }
+    pub fn owned_elsewhere(at: Option<DispatcherId>) -> TenantOwnership<C> {
+        TenantOwnership { epoch: 0, phase: Phase::OwnedElsewhere { at } }
     }
 
     /// Whether messages of the tenant may start here.
-    pub fn serves(&self) -> bool {
-        matches!(self.phase, Phase::Settled)
+    pub fn is_serving(&self) -> bool {
+        matches!(self.phase, Phase::Owned)
     }
 
     /// Whether this dispatcher is responsible for the messages held for the tenant.
-    pub fn owns(&self) -> bool {
-        matches!(self.phase, Phase::Settled | Phase::Draining { .. } | Phase::Offered { .. })
+    pub fn is_owner(&self) -> bool {
+        matches!(self.phase, Phase::Owned | Phase::Draining { .. } | Phase::Offered { .. })
     }
 
     /// Whether a move is in progress, so that peer messages may have to be repeated.
     pub fn is_moving(&self) -> bool {
-        !matches!(self.phase, Phase::Settled | Phase::Away { .. })
+        !matches!(self.phase, Phase::Owned | Phase::OwnedElsewhere { .. })
     }
 
     fn unchanged(&self) -> Transition<C> {
         (self.clone(), Vec::new())
     }
 
-    fn reply(&self, to: Node, message: Word<C>) -> Transition<C> {
-        (self.clone(), vec![Order::Tell(to, message)])
+    fn reply(&self, to: DispatcherId, message: HandoffMessage<C>) -> Transition<C> {
+        (self.clone(), vec![HostAction::Send(to, message)])
     }
 
     /// The state after an input, and the orders to carry out once that state is recorded.
@@ -251,235 +253,262 @@
     /// # Errors
     ///
     /// If an operator's request cannot be met; the state does not change then.
-    pub fn step(&self, input: Input<C>, faults: Faults) -> Result<Transition<C>, Refused> {
+    pub fn handle(&self, input: Input<C>, faults: Faults) -> Result<Transition<C>, MoveError> {
         Ok(match input {
             Input::Move(to) => return self.begin_move(to),
             Input::Abort => return self.abort(faults),
             Input::Reclaim => return self.reclaim(),
-            Input::Yield(to) if self.serves() => {
-                (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(to) } }, vec![Order::Finish])
-            }
-            Input::Yield(_) => self.unchanged(),
+            Input::YieldTo(to) if self.is_serving() => (
+                TenantOwnership { epoch: self.epoch, phase: Phase::OwnedElsewhere { at: Some(to) } },
+                vec![HostAction::StopAccepting],
+            ),
+            Input::YieldTo(_) => self.unchanged(),
             Input::Drained(contents) => self.on_drained(contents),
             Input::Tick => self.retransmit(),
-            Input::Heard(from, message) => self.receive(from, message, faults),
+            Input::MessageReceived(from, message) => self.receive(from, message, faults),
         })
     }
 
-    fn begin_move(&self, to: Node) -> Result<Transition<C>, Refused> {
+    fn begin_move(&self, to: DispatcherId) -> Result<Transition<C>, MoveError> {
         match &self.phase {
-            Phase::Settled => {
-                let state = Seat { epoch: self.epoch, phase: Phase::Draining { to } };
-                Ok((state, vec![Order::Drain]))
+            Phase::Owned => {
+                let state = TenantOwnership { epoch: self.epoch, phase: Phase::Draining { to } };
+                Ok((state, vec![HostAction::Drain]))
             }
-            Phase::Away { at } if *at == Some(to) => Err(Refused::Here),
-            Phase::Away { .. } | Phase::Received { .. } => Err(Refused::NotOwner),
-            Phase::Draining { .. } | Phase::Offered { .. } => Err(Refused::Underway),
-            Phase::Committed { .. } => Err(Refused::TooLate),
+            Phase::OwnedElsewhere { at } if *at == Some(to) => Err(MoveError::AlreadyThere),
+            Phase::OwnedElsewhere { .. } | Phase::Received { .. } => Err(MoveError::NotOwner),
+            Phase::Draining { .. } | Phase::Offered { .. } => Err(MoveError::MoveInProgress),
+            Phase::Committed { .. } => Err(MoveError::AlreadyCommitted),
         }
     }
 
     /// Before the commit, the owner aborts alone: no other dispatcher has a right to the tenant yet.
-    fn abort(&self, faults: Faults) -> Result<Transition<C>, Refused> {
+    fn abort(&self, faults: Faults) -> Result<Transition<C>, MoveError> {
         match &self.phase {
             Phase::Draining { .. } => {
-                Ok((Seat { epoch: self.epoch, phase: Phase::Settled }, vec![Order::Resume]))
+                Ok((TenantOwnership { epoch: self.epoch, phase: Phase::Owned }, vec![HostAction::Resume]))
             }
             Phase::Offered { to, .. } => {
                 let offered = self.epoch + 1;
                 // The epoch is used up: a late peer message about this offer must not be taken for one about
                 // the next.
                 let epoch = if faults.reuse_epoch { self.epoch } else { offered };
-                let cancel = Order::Tell(*to, Word::Cancel { epoch: offered });
-                Ok((Seat { epoch, phase: Phase::Settled }, vec![Order::Resume, cancel]))
+                let cancel = HostAction::Send(*to, HandoffMessage::Withdraw { epoch: offered });
+                Ok((TenantOwnership { epoch, phase: Phase::Owned }, vec![HostAction::Resume, cancel]))
             }
             // Without the owner's commit this dispatcher has no right to the tenant, and the owner still has
             // its contents.
-            Phase::Received { from, .. } => {
-                Ok((Seat { epoch: self.epoch, phase: Phase::Away { at: Some(*from) } }, Vec::new()))
-            }
-            Phase::Committed { contents, .. } if faults.abort_after_commit => {
-                Ok((Seat { epoch: self.epoch, phase: Phase::Settled }, vec![Order::Serve(contents.clone())]))
-            }
-            Phase::Committed { .. } => Err(Refused::TooLate),
-            Phase::Settled | Phase::Away { .. } => Err(Refused::NotOwner),
+            Phase::Received { from, .. } => Ok((
+                TenantOwnership { epoch: self.epoch, phase: Phase::OwnedElsewhere { at: Some(*from) } },
+                Vec::new(),
+            )),
+            Phase::Committed { contents, .. } if faults.abort_after_commit => Ok((
+                TenantOwnership { epoch: self.epoch, phase: Phase::Owned },
+                vec![HostAction::Serve(contents.clone())],
+            )),
+            Phase::Committed { .. } => Err(MoveError::AlreadyCommitted),
+            Phase::Owned | Phase::OwnedElsewhere { .. } => Err(MoveError::NotOwner),
         }
     }
 
     /// Takes the tenant back after the commit, on the operator's assurance that no other dispatcher acts on
     /// it. A new owner that appears late finds itself superseded.
-    fn reclaim(&self) -> Result<Transition<C>, Refused> {
+    fn reclaim(&self) -> Result<Transition<C>, MoveError> {
         match &self.phase {
             Phase::Committed { .. } => {
-                Ok((Seat { epoch: self.epoch + 1, phase: Phase::Settled }, vec![Order::Resume]))
+                Ok((TenantOwnership { epoch: self.epoch + 1, phase: Phase::Owned }, vec![HostAction::Resume]))
             }
-            _ => Err(Refused::NotOwed),
+            _ => Err(MoveError::NothingToReclaim),
         }
     }
 
     fn on_drained(&self, contents: C) -> Transition<C> {
         let Phase::Draining { to } = &self.phase else { return self.unchanged() };
-        let offer = Word::Offer { epoch: self.epoch + 1, contents: contents.clone() };
-        let state = Seat { epoch: self.epoch, phase: Phase::Offered { to: *to, contents } };
-        (state, vec![Order::Tell(*to, offer)])
+        let offer = HandoffMessage::Offer { epoch: self.epoch + 1, contents: contents.clone() };
+        let state = TenantOwnership { epoch: self.epoch, phase: Phase::Offered { to: *to, contents } };
+        (state, vec![HostAction::Send(*to, offer)])
     }
 
     /// The commit point: from here on the tenant belongs to the receiver.
-    fn commit(&self, to: Node) -> Transition<C> {
+    fn commit(&self, to: DispatcherId) -> Transition<C> {
         let Phase::Offered { contents, .. } = &self.phase else { return self.unchanged() };
         let epoch = self.epoch + 1;
         let phase = Phase::Committed { to, contents: contents.clone() };
-        (Seat { epoch, phase }, vec![Order::Forget, Order::Tell(to, Word::Commit { epoch })])
+        (
+            TenantOwnership { epoch, phase },
+            vec![HostAction::DropContents, HostAction::Send(to, HandoffMessage::Commit { epoch })],
+        )
     }
 
     /// Repeats peer messages that may have been lost.
     fn retransmit(&self) -> Transition<C> {
         match &self.phase {
             Phase::Offered { to, contents } => {
-                self.reply(*to, Word::Offer { epoch: self.epoch + 1, contents: contents.clone() })
+                self.reply(*to, HandoffMessage::Offer { epoch: self.epoch + 1, contents: contents.clone() })
             }
-            Phase::Committed { to, .. } => self.reply(*to, Word::Commit { epoch: self.epoch }),
-            Phase::Received { from, .. } => self.reply(*from, Word::Query { epoch: self.epoch }),
+            Phase::Committed { to, .. } => self.reply(*to, HandoffMessage::Commit { epoch: self.epoch }),
+            Phase::Received { from, .. } => self.reply(*from, HandoffMessage::Query { epoch: self.epoch }),
             // Attempts that were running when the process ended have ended with it.
-            Phase::Draining { .. } => (self.clone(), vec![Order::Drain]),
-            Phase::Settled | Phase::Away { .. } => self.unchanged(),
+            Phase::Draining { .. } => (self.clone(), vec![HostAction::Drain]),
+            Phase::Owned | Phase::OwnedElsewhere { .. } => self.unchanged(),
         }
     }
 
-    fn receive(&self, from: Node, message: Word<C>, faults: Faults) -> Transition<C> {
+    fn receive(&self, from: DispatcherId, message: HandoffMessage<C>, faults: Faults) -> Transition<C> {
         match message {
-            Word::Offer { epoch, contents } => self.on_offer(from, epoch, contents, faults),
-            Word::Received { epoch } => match &self.phase {
+            HandoffMessage::Offer { epoch, contents } => self.on_offer(from, epoch, contents, faults),
+            HandoffMessage::OfferRecorded { epoch } => match &self.phase {
                 Phase::Offered { to, .. }
                     if *to == from && (epoch == self.epoch + 1 || faults.ignore_epochs) =>
                 {
                     let (state, orders) = self.commit(from);
                     if faults.forget_before_ack {
-                        return (Seat { epoch: state.epoch, phase: Phase::Away { at: Some(from) } }, orders);
+                        return (
+                            TenantOwnership {
+                                epoch: state.epoch,
+                                phase: Phase::OwnedElsewhere { at: Some(from) },
+                            },
+                            orders,
+                        );
                     }
                     (state, orders)
                 }
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => {
-                    self.reply(from, Word::Commit { epoch })
+                    self.reply(from, HandoffMessage::Commit { epoch })
                 }
                 // An out-of-date offer: a dispatcher that still holds it has to drop it.
-                _ if epoch < self.epoch || (epoch == self.epoch && self.owns()) => {
-                    self.reply(from, Word::Cancel { epoch })
+                _ if epoch < self.epoch || (epoch == self.epoch && self.is_owner()) => {
+                    self.reply(from, HandoffMessage::Withdraw { epoch })
                 }
                 _ => self.unchanged(),
             },
-            Word::Commit { epoch } => self.on_commit(from, epoch, faults),
-            Word::Settled { epoch } => match &self.phase {
+            HandoffMessage::Commit { epoch } => self.on_commit(from, epoch, faults),
+            HandoffMessage::CommitAcknowledged { epoch } => match &self.phase {
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => self.complete(from),
                 _ => self.unchanged(),
             },
-            Word::Cancel { epoch } => match &self.phase {
+            HandoffMessage::Withdraw { epoch } => match &self.phase {
                 Phase::Received { from: by, .. }
                     if *by == from && (epoch == self.epoch || faults.ignore_epochs) =>
                 {
-                    (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(from) } }, Vec::new())
+                    (
+                        TenantOwnership {
+                            epoch: self.epoch,
+                            phase: Phase::OwnedElsewhere { at: Some(from) },
+                        },
+                        Vec::new(),
+                    )
                 }
                 _ => self.unchanged(),
             },
-            Word::Unknown { epoch } => match &self.phase {
+            HandoffMessage::UnknownOffer { epoch } => match &self.phase {
                 Phase::Committed { to, contents } if *to == from && epoch == self.epoch => {
-                    self.reply(from, Word::Offer { epoch, contents: contents.clone() })
+                    self.reply(from, HandoffMessage::Offer { epoch, contents: contents.clone() })
                 }
                 _ => self.unchanged(),
             },
-            Word::Stale { epoch } => self.on_stale(from, epoch),
-            Word::Claim { epoch } => self.on_claim(from, epoch),
-            Word::Query { epoch } => match &self.phase {
+            HandoffMessage::StaleEpoch { epoch } => self.on_stale(from, epoch),
+            HandoffMessage::Claim { epoch } => self.on_claim(from, epoch),
+            HandoffMessage::Query { epoch } => match &self.phase {
                 Phase::Committed { to, .. } if *to == from && epoch == self.epoch => {
-                    self.reply(from, Word::Commit { epoch })
+                    self.reply(from, HandoffMessage::Commit { epoch })
                 }
                 Phase::Offered { to, .. } if *to == from && epoch == self.epoch + 1 => self.unchanged(),
-                _ if epoch <= self.epoch => self.reply(from, Word::Cancel { epoch }),
+                _ if epoch <= self.epoch => self.reply(from, HandoffMessage::Withdraw { epoch }),
                 _ => self.unchanged(),
             },
         }
     }
 
     /// The other dispatcher serves the tenant: the move is complete here.
-    fn complete(&self, at: Node) -> Transition<C> {
-        (Seat { epoch: self.epoch, phase: Phase::Away { at: Some(at) } }, Vec::new())
+    fn complete(&self, at: DispatcherId) -> Transition<C> {
+        (TenantOwnership { epoch: self.epoch, phase: Phase::OwnedElsewhere { at: Some(at) } }, Vec::new())
     }
 
-    fn on_offer(&self, from: Node, epoch: Epoch, contents: C, faults: Faults) -> Transition<C> {
+    fn on_offer(&self, from: DispatcherId, epoch: Epoch, contents: C, faults: Faults) -> Transition<C> {
         let known = match &self.phase {
             Phase::Received { from: by, .. } => epoch == self.epoch && *by == from,
             _ => false,
         };
         if known {
-            return self.reply(from, Word::Received { epoch });
+            return self.reply(from, HandoffMessage::OfferRecorded { epoch });
         }
-        let idle = matches!(self.phase, Phase::Away { .. } | Phase::Received { .. });
+        let idle = matches!(self.phase, Phase::OwnedElsewhere { .. } | Phase::Received { .. });
         // An offer that was dropped here may be sent again under its epoch, if its owner has committed it.
-        let again = epoch == self.epoch && matches!(self.phase, Phase::Away { .. });
+        let again = epoch == self.epoch && matches!(self.phase, Phase::OwnedElsewhere { .. });
         if idle && (epoch > self.epoch || again || faults.ignore_epochs) {
             if faults.serve_on_offer {
-                let state = Seat { epoch, phase: Phase::Settled };
-                return (state, vec![Order::Serve(contents), Order::Tell(from, Word::Received { epoch })]);
+                let state = TenantOwnership { epoch, phase: Phase::Owned };
+                return (
+                    state,
+                    vec![
+                        HostAction::Serve(contents),
+                        HostAction::Send(from, HandoffMessage::OfferRecorded { epoch }),
+                    ],
+                );
             }
-            let state = Seat { epoch, phase: Phase::Received { from, contents } };
-            return (state, vec![Order::Tell(from, Word::Received { epoch })]);
+            let state = TenantOwnership { epoch, phase: Phase::Received { from, contents } };
+            return (state, vec![HostAction::Send(from, HandoffMessage::OfferRecorded { epoch })]);
         }
         // This dispatcher's own offer or ownership is later than the received offer, or is the received
         // offer.
         let mine = self.epoch;
         if epoch == mine && !idle {
-            self.reply(from, Word::Settled { epoch })
+            self.reply(from, HandoffMessage::CommitAcknowledged { epoch })
         } else if epoch < mine {
-            self.reply(from, Word::Stale { epoch: mine })
+            self.reply(from, HandoffMessage::StaleEpoch { epoch: mine })
         } else {
             self.unchanged()
         }
     }
 
-    fn on_commit(&self, from: Node, epoch: Epoch, faults: Faults) -> Transition<C> {
+    fn on_commit(&self, from: DispatcherId, epoch: Epoch, faults: Faults) -> Transition<C> {
         match &self.phase {
             Phase::Received { from: by, contents }
                 if *by == from && (epoch == self.epoch || faults.ignore_epochs) =>
             {
-                let state = Seat { epoch: self.epoch.max(epoch), phase: Phase::Settled };
-                let settled = Order::Tell(from, Word::Settled { epoch });
-                (state, vec![Order::Serve(contents.clone()), settled])
+                let state = TenantOwnership { epoch: self.epoch.max(epoch), phase: Phase::Owned };
+                let settled = HostAction::Send(from, HandoffMessage::CommitAcknowledged { epoch });
+                (state, vec![HostAction::Serve(contents.clone()), settled])
             }
             // A repeated commit: the tenant is, or was, served here.
             _ if epoch == self.epoch
-                && !matches!(self.phase, Phase::Away { .. } | Phase::Received { .. }) =>
+                && !matches!(self.phase, Phase::OwnedElsewhere { .. } | Phase::Received { .. }) =>
             {
-                self.reply(from, Word::Settled { epoch })
+                self.reply(from, HandoffMessage::CommitAcknowledged { epoch })
             }
             // The offer was dropped, or lost with the state folder; the owner still has the contents.
-            Phase::Away { .. } | Phase::Received { .. } if epoch >= self.epoch => {
-                self.reply(from, Word::Unknown { epoch })
+            Phase::OwnedElsewhere { .. } | Phase::Received { .. } if epoch >= self.epoch => {
+                self.reply(from, HandoffMessage::UnknownOffer { epoch })
             }
-            _ => self.reply(from, Word::Stale { epoch: self.epoch }),
+            _ => self.reply(from, HandoffMessage::StaleEpoch { epoch: self.epoch }),
         }
     }
 
     /// A peer knows a later epoch than this dispatcher.
-    fn on_stale(&self, from: Node, epoch: Epoch) -> Transition<C> {
+    fn on_stale(&self, from: DispatcherId, epoch: Epoch) -> Transition<C> {
         match &self.phase {
             // Only the new owner can have assigned a later epoch.
             Phase::Committed { .. } if epoch > self.epoch => self.complete(from),
             // An owner with an outdated state folder: another dispatcher owned the tenant after it. It stops.
-            Phase::Settled | Phase::Draining { .. } | Phase::Offered { .. } if epoch > self.epoch + 1 => {
-                (Seat { epoch, phase: Phase::Away { at: None } }, vec![Order::Forget])
-            }
+            Phase::Owned | Phase::Draining { .. } | Phase::Offered { .. } if epoch > self.epoch + 1 => (
+                TenantOwnership { epoch, phase: Phase::OwnedElsewhere { at: None } },
+                vec![HostAction::DropContents],
+            ),
             _ => self.unchanged(),
         }
     }
 
     /// A peer reports that it serves the tenant.
-    fn on_claim(&self, from: Node, epoch: Epoch) -> Transition<C> {
-        let there = |epoch| Seat { epoch, phase: Phase::Away { at: Some(from) } };
+    fn on_claim(&self, from: DispatcherId, epoch: Epoch) -> Transition<C> {
+        let there = |epoch| TenantOwnership { epoch, phase: Phase::OwnedElsewhere { at: Some(from) } };
         match &self.phase {
-            Phase::Away { at } if epoch > self.epoch || (epoch == self.epoch && *at != Some(from)) => {
+            Phase::OwnedElsewhere { at }
+                if epoch > self.epoch || (epoch == self.epoch && *at != Some(from)) =>
+            {
                 (there(epoch), Vec::new())
             }
-            Phase::Away { .. } => self.unchanged(),
+            Phase::OwnedElsewhere { .. } => self.unchanged(),
             // From the new owner, or a later one.
             Phase::Committed { .. } if epoch >= self.epoch => self.complete(from),
             Phase::Committed { .. } => self.unchanged(),
@@ -487,8 +516,8 @@
             Phase::Received { .. } if epoch >= self.epoch => (there(epoch), Vec::new()),
             Phase::Received { .. } => self.unchanged(),
             // An outdated state folder: its contents were handed over long ago.
-            _ if epoch > self.epoch => (there(epoch), vec![Order::Forget]),
-            _ => self.reply(from, Word::Claim { epoch: self.epoch }),
+            _ if epoch > self.epoch => (there(epoch), vec![HostAction::DropContents]),
+            _ => self.reply(from, HandoffMessage::Claim { epoch: self.epoch }),
         }
     }
 }
--- a/crates/cells/src/placement.rs
+++ b/crates/cells/src/placement.rs
@@ -8,7 +8,7 @@
 
 /// A candidate for a placement, with its weight relative to the other candidates.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct Candidate {
     /// The name of the candidate.
     pub name: String,
     /// The weight; nothing is placed on a candidate of weight 0.
@@ -16,7 +16,7 @@
 }
 
 /// The score of a candidate for a tenant; the highest wins.
-fn score(tenant: &str, place: &Place) -> f64 {
+fn score(tenant: &str, place: &Candidate) -> f64 {
     // The length of the name distinguishes ("ab", "c") from ("a", "bc").
     let seed = xxh3_64_with_seed(place.name.as_bytes(), place.name.len() as u64);
     let hash = xxh3_64_with_seed(tenant.as_bytes(), seed);
@@ -26,17 +26,17 @@
 }
 
 /// The index of the tenant's place in the list; `None` if no place has a weight above 0.
-pub fn home(tenant: &str, places: &[Place]) -> Option<usize> {
+pub fn place(tenant: &str, places: &[Candidate]) -> Option<usize> {
     ranked(tenant, places).next()
 }
 
 /// The `size` places with the highest scores for a tenant (shuffle sharding): two tenants rarely share all of
 /// them.
-pub fn shard(tenant: &str, places: &[Place], size: usize) -> Vec<usize> {
+pub fn shard(tenant: &str, places: &[Candidate], size: usize) -> Vec<usize> {
     ranked(tenant, places).take(size).collect()
 }
 
-fn ranked(tenant: &str, places: &[Place]) -> impl Iterator<Item = usize> {
+fn ranked(tenant: &str, places: &[Candidate]) -> impl Iterator<Item = usize> {
     let scored = places.iter().enumerate().filter(|(_, p)| p.weight > 0.0);
     let mut scored: Vec<(f64, usize)> = scored.map(|(at, p)| (score(tenant, p), at)).collect();
     scored.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
@@ -45,7 +45,7 @@
 
 /// A cell of the cell map.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Area {
+pub struct PlacedCell {
     /// The name of the cell.
     pub name: String,
     /// Its weight in the placement of tenants that are not pinned to a cell.
@@ -57,12 +57,14 @@
 }
 
 /// The cell of a tenant, and the dispatcher of that cell that serves it until an operator moves it.
-pub fn lives<'a>(areas: &'a [Area], tenant: &str) -> Option<(&'a str, &'a str)> {
+pub fn place_tenant<'a>(areas: &'a [PlacedCell], tenant: &str) -> Option<(&'a str, &'a str)> {
     let pinned = areas.iter().find(|a| a.tenants.iter().any(|t| t == tenant));
-    let places: Vec<Place> = areas.iter().map(|a| Place { name: a.name.clone(), weight: a.weight }).collect();
-    let area = pinned.or_else(|| home(tenant, &places).map(|at| &areas[at]))?;
-    let at: Vec<Place> = area.dispatchers.iter().map(|d| Place { name: d.clone(), weight: 1.0 }).collect();
-    let dispatcher = home(tenant, &at)?;
+    let places: Vec<Candidate> =
+        areas.iter().map(|a| Candidate { name: a.name.clone(), weight: a.weight }).collect();
+    let area = pinned.or_else(|| place(tenant, &places).map(|at| &areas[at]))?;
+    let at: Vec<Candidate> =
+        area.dispatchers.iter().map(|d| Candidate { name: d.clone(), weight: 1.0 }).collect();
+    let dispatcher = place(tenant, &at)?;
     Some((&area.name, &area.dispatchers[dispatcher]))
 }
 
@@ -70,15 +72,15 @@
 mod tests {
     use super::*;
 
-    fn places(weights: &[f64]) -> Vec<Place> {
-        weights.iter().enumerate().map(|(n, w)| Place { name: format!("cell-{n}"), weight: *w }).collect()
+    fn places(weights: &[f64]) -> Vec<Candidate> {
+        weights.iter().enumerate().map(|(n, w)| Candidate { name: format!("cell-{n}"), weight: *w }).collect()
     }
 
     const TENANTS: usize = 20_000;
 
-    fn homes(places: &[Place]) -> Vec<String> {
+    fn homes(places: &[Candidate]) -> Vec<String> {
         let name = |n: usize| {
-            home(&format!("tenant-{n}"), places).map_or(String::new(), |at| places[at].name.clone())
+            place(&format!("tenant-{n}"), places).map_or(String::new(), |at| places[at].name.clone())
         };
         (0..TENANTS).map(name).collect()
     }
@@ -94,7 +96,7 @@
         let share = moved.len() as f64 / TENANTS as f64;
         assert!((share - 1.0 / 11.0).abs() < 0.01, "{share}");
         // The order of the list does not matter.
-        let reversed: Vec<Place> = old.iter().rev().cloned().collect();
+        let reversed: Vec<Candidate> = old.iter().rev().cloned().collect();
         assert_eq!(homes(&reversed), a);
     }
 
@@ -103,7 +105,7 @@
         let all = homes(&places(&[1.0, 3.0, 0.0]));
         let share = |name: &str| all.iter().filter(|h| *h == name).count() as f64 / TENANTS as f64;
         assert!((share("cell-0") - 0.25).abs() < 0.015 && share("cell-2") == 0.0, "{}", share("cell-0"));
-        assert_eq!(home("t", &places(&[0.0])), None);
+        assert_eq!(place("t", &places(&[0.0])), None);
         assert_eq!(shard("t", &places(&[1.0, 1.0, 0.0]), 5).len(), 2);
     }
 }
--- a/crates/cells/src/wire.rs
+++ b/crates/cells/src/wire.rs
@@ -5,7 +5,7 @@
 //! [`Frames`] splits received bytes into envelopes; it does no I/O. Unknown fields are skipped. An envelope
 //! of an unsupported version is an error, because the fields that this version lacks may be essential.
 
-use crate::moving::{Phase, Seat, Word};
+use crate::moving::{HandoffMessage, Phase, TenantOwnership};
 use prost::Message as _;
 use std::fmt;
 
@@ -13,11 +13,11 @@
 pub const VERSION: u32 = 1;
 /// Size limit of an envelope, in bytes: all messages of a tenant fit, and invalid input cannot exhaust the
 /// memory.
-pub const FRAME_MOST: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// A message that is handed over, with everything that the delivery rules need to know about its past.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Held {
+pub struct HandedOverMessage {
     /// The client that submitted it; empty for the platform's clients.
     #[prost(string, tag = "1")]
     pub client: String,
@@ -32,16 +32,16 @@
     pub key: Option<u64>,
     /// Its idempotency key.
     #[prost(string, tag = "5")]
-    pub idempotency: String,
+    pub idempotency_key: String,
     /// Its destination.
     #[prost(uint64, tag = "6")]
-    pub dest: u64,
+    pub destination: u64,
     /// Its deadline, in milliseconds since 1970.
     #[prost(uint64, tag = "7")]
     pub valid_until: u64,
     /// Where to send its final answer; only its front end interprets this.
     #[prost(bytes = "vec", tag = "8")]
-    pub reply: Vec<u8>,
+    pub reply_to: Vec<u8>,
     /// The message body.
     #[prost(bytes = "vec", tag = "9")]
     pub body: Vec<u8>,
@@ -50,18 +50,18 @@
     pub attempts: u32,
     /// When the first attempt that may have run was sent, in milliseconds since 1970.
     #[prost(uint64, optional, tag = "11")]
-    pub ran_at: Option<u64>,
+    pub first_attempt_at: Option<u64>,
     /// The zone in which that attempt may have run; a repeat goes nowhere else.
     #[prost(string, tag = "12")]
-    pub ran_in: String,
+    pub first_attempt_zone: String,
     /// Its sequence number at the former owner.
     #[prost(uint64, tag = "13")]
-    pub no: u64,
+    pub number: u64,
 }
 
 /// An ordering key whose messages wait, because one of them may still run at the former owner.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Parked {
+pub struct QuietKey {
     /// The ordering key.
     #[prost(uint64, tag = "1")]
     pub key: u64,
@@ -73,7 +73,7 @@
 /// A message that has ended, or that ends at the former owner: when submitted again, it does not count as a
 /// new one.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Past {
+pub struct EndedMessage {
     /// The client that submitted it.
     #[prost(string, tag = "1")]
     pub client: String,
@@ -83,39 +83,39 @@
     pub id: String,
     /// Whether `id` is such a name.
     #[prost(bool, tag = "3")]
-    pub name: bool,
+    pub id_is_remembered_name: bool,
     /// How it ended: 0 delivered, 1 given up, 2 returned.
     #[prost(uint32, tag = "4")]
-    pub ending: u32,
+    pub final_answer: u32,
     /// The delay after which a returned message may be submitted again, in milliseconds.
     #[prost(uint64, tag = "5")]
-    pub wait: u64,
+    pub retry_after_ms: u64,
     /// Until when it is remembered, in milliseconds since 1970.
     #[prost(uint64, tag = "6")]
-    pub until: u64,
+    pub remembered_until: u64,
 }
 
 /// Everything that is held and known of a tenant.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Contents {
+pub struct TenantContents {
     /// The messages, in the order in which they were accepted.
     #[prost(message, repeated, tag = "1")]
-    pub held: Vec<Held>,
+    pub messages: Vec<HandedOverMessage>,
     /// Ordering keys that wait.
     #[prost(message, repeated, tag = "2")]
-    pub parked: Vec<Parked>,
+    pub quiet_keys: Vec<QuietKey>,
     /// Messages that have ended.
     #[prost(message, repeated, tag = "3")]
-    pub past: Vec<Past>,
+    pub ended: Vec<EndedMessage>,
     /// Since when delivery is suspended, in milliseconds since 1970.
     #[prost(uint64, tag = "4")]
-    pub still_since: u64,
+    pub suspended_since: u64,
 }
 
 /// A request of the operators' tool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Ask {
+pub enum ToolRequestKind {
     /// No request; never sent.
     None = 0,
     /// Report the ownership of one tenant, or of all.
@@ -130,10 +130,10 @@
 
 /// A request of the operators' tool, with its arguments.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Wish {
+pub struct ToolRequest {
     /// The request.
-    #[prost(enumeration = "Ask", tag = "1")]
-    pub ask: i32,
+    #[prost(enumeration = "ToolRequestKind", tag = "1")]
+    pub kind: i32,
     /// For a move: the receiver.
     #[prost(string, tag = "2")]
     pub to: String,
@@ -141,7 +141,7 @@
 
 /// The ownership state of a tenant, for display.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Report {
+pub struct OwnershipReport {
     /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
@@ -150,7 +150,7 @@
     pub phase: String,
     /// The dispatcher on the other side; may be empty.
     #[prost(string, tag = "3")]
-    pub other: String,
+    pub peer: String,
     /// The epoch.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
@@ -159,30 +159,30 @@
     pub held: u64,
     /// The held messages whose delivery is suspended.
     #[prost(uint64, tag = "6")]
-    pub still: u64,
+    pub suspended: u64,
     /// For how long this phase has lasted, in milliseconds, at most since the start of the process.
     #[prost(uint64, tag = "7")]
-    pub since: u64,
+    pub phase_ms: u64,
     /// For how long messages were suspended in the last move that ended here, in milliseconds.
     #[prost(uint64, tag = "8")]
-    pub stood: u64,
+    pub last_suspension_ms: u64,
 }
 
 /// The answer to a request of the operators' tool.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Answer {
+pub struct ToolAnswer {
     /// Why the request is rejected; empty if it is met.
     #[prost(string, tag = "1")]
-    pub refused: String,
+    pub rejected: String,
     /// The requested ownership states.
     #[prost(message, repeated, tag = "2")]
-    pub seats: Vec<Report>,
+    pub ownerships: Vec<OwnershipReport>,
 }
 
 /// The kind of an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Kind {
+pub enum MessageKind {
     /// No kind; never sent.
     None = 0,
     /// See [`Word::Offer`].
@@ -206,11 +206,11 @@
     /// The offer cannot be accepted: there is no room for it, or it has names that are unknown to the sender.
     NoRoom = 10,
     /// Asks whether a dispatcher serves this tenant, before it is placed for the first time.
-    Whose = 11,
+    OwnerQuery = 11,
     /// A request of the operators' tool.
-    Wish = 12,
+    ToolRequest = 12,
     /// The answer to such a request.
-    Answer = 13,
+    ToolAnswer = 13,
 }
 
 /// A peer message about a tenant.
@@ -230,26 +230,26 @@
     #[prost(string, tag = "4")]
     pub tenant: String,
     /// The kind of the message.
-    #[prost(enumeration = "Kind", tag = "5")]
+    #[prost(enumeration = "MessageKind", tag = "5")]
     pub kind: i32,
     /// The epoch.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
     /// The contents of the tenant, in an offer.
     #[prost(message, optional, tag = "7")]
-    pub contents: Option<Contents>,
+    pub contents: Option<TenantContents>,
     /// The version of the sender's cell map.
     #[prost(uint64, tag = "8")]
-    pub map: u64,
+    pub map_version: u64,
     /// The request of the operators' tool.
     #[prost(message, optional, tag = "9")]
-    pub wish: Option<Wish>,
+    pub tool_request: Option<ToolRequest>,
     /// The answer to it.
     #[prost(message, optional, tag = "10")]
-    pub answer: Option<Answer>,
+    pub answer: Option<ToolAnswer>,
     /// Why an offer cannot be accepted.
     #[prost(string, tag = "11")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// Why received bytes cannot be decoded.
@@ -258,22 +258,24 @@
     /// A frame declares this length, which exceeds [`FRAME_MOST`].
     TooLong(u64),
     /// The length or the body of a frame is not valid protobuf.
-    Garbled(String),
+    Malformed(String),
     /// This version is not supported.
     Version(u32),
     /// This kind is unknown, or has no move message.
-    Kind(i32),
+    UnknownKind(i32),
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::TooLong(n) => write!(f, "frame of {n} bytes exceeds the limit of {FRAME_MOST} bytes"),
-            WireError::Garbled(why) => write!(f, "frame cannot be decoded: {why}"),
+            WireError::TooLong(n) => {
+                write!(f, "frame of {n} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")
+            }
+            WireError::Malformed(why) => write!(f, "frame cannot be decoded: {why}"),
             WireError::Version(v) => {
                 write!(f, "unsupported protocol version {v}; this dispatcher supports version {VERSION}")
             }
-            WireError::Kind(k) => write!(f, "unknown message kind {k}"),
+            WireError::UnknownKind(k) => write!(f, "unknown message kind {k}"),
         }
     }
 }
@@ -281,17 +283,23 @@
 impl std::error::Error for WireError {}
 
 /// Encodes a message of the move protocol.
-pub fn envelope(from: &str, to: &str, tenant: &str, map: u64, message: &Word<Contents>) -> Envelope {
+pub fn handoff_envelope(
+    from: &str,
+    to: &str,
+    tenant: &str,
+    map: u64,
+    message: &HandoffMessage<TenantContents>,
+) -> Envelope {
     let (kind, epoch, contents) = match message {
-        Word::Offer { epoch, contents } => (Kind::Offer, epoch, Some(contents.clone())),
-        Word::Received { epoch } => (Kind::Received, epoch, None),
-        Word::Commit { epoch } => (Kind::Commit, epoch, None),
-        Word::Settled { epoch } => (Kind::Settled, epoch, None),
-        Word::Cancel { epoch } => (Kind::Cancel, epoch, None),
-        Word::Unknown { epoch } => (Kind::Unknown, epoch, None),
-        Word::Stale { epoch } => (Kind::Stale, epoch, None),
-        Word::Query { epoch } => (Kind::Query, epoch, None),
-        Word::Claim { epoch } => (Kind::Claim, epoch, None),
+        HandoffMessage::Offer { epoch, contents } => (MessageKind::Offer, epoch, Some(contents.clone())),
+        HandoffMessage::OfferRecorded { epoch } => (MessageKind::Received, epoch, None),
+        HandoffMessage::Commit { epoch } => (MessageKind::Commit, epoch, None),
+        HandoffMessage::CommitAcknowledged { epoch } => (MessageKind::Settled, epoch, None),
+        HandoffMessage::Withdraw { epoch } => (MessageKind::Cancel, epoch, None),
+        HandoffMessage::UnknownOffer { epoch } => (MessageKind::Unknown, epoch, None),
+        HandoffMessage::StaleEpoch { epoch } => (MessageKind::Stale, epoch, None),
+        HandoffMessage::Query { epoch } => (MessageKind::Query, epoch, None),
+        HandoffMessage::Claim { epoch } => (MessageKind::Claim, epoch, None),
     };
     Envelope {
         version: VERSION,
@@ -301,20 +309,20 @@
         kind: kind as i32,
         epoch: *epoch,
         contents,
-        map,
+        map_version: map,
         ..Envelope::default()
     }
 }
 
 /// Creates an envelope that is not a message of the move protocol.
-pub fn plain(from: &str, to: &str, tenant: &str, map: u64, kind: Kind) -> Envelope {
+pub fn envelope_of_kind(from: &str, to: &str, tenant: &str, map: u64, kind: MessageKind) -> Envelope {
     Envelope {
         version: VERSION,
         from: from.into(),
         to: to.into(),
         tenant: tenant.into(),
         kind: kind as i32,
-        map,
+        map_version: map,
         ..Envelope::default()
     }
 }
@@ -325,24 +333,31 @@
     /// # Errors
     ///
     /// If the version is not supported, or the envelope holds no message of the move protocol.
-    pub fn word(&self) -> Result<Word<Contents>, WireError> {
+    pub fn handoff_message(&self) -> Result<HandoffMessage<TenantContents>, WireError> {
         if self.version != VERSION {
             return Err(WireError::Version(self.version));
         }
         let epoch = self.epoch;
-        Ok(match Kind::try_from(self.kind) {
-            Ok(Kind::Offer) => Word::Offer { epoch, contents: self.contents.clone().unwrap_or_default() },
-            Ok(Kind::Received) => Word::Received { epoch },
-            Ok(Kind::Commit) => Word::Commit { epoch },
-            Ok(Kind::Settled) => Word::Settled { epoch },
-            Ok(Kind::Cancel) => Word::Cancel { epoch },
-            Ok(Kind::Unknown) => Word::Unknown { epoch },
-            Ok(Kind::Stale) => Word::Stale { epoch },
-            Ok(Kind::Query) => Word::Query { epoch },
-            Ok(Kind::Claim) => Word::Claim { epoch },
-            Ok(Kind::None | Kind::NoRoom | Kind::Whose | Kind::Wish | Kind::Answer) | Err(_) => {
-                return Err(WireError::Kind(self.kind))
+        Ok(match MessageKind::try_from(self.kind) {
+            Ok(MessageKind::Offer) => {
+                HandoffMessage::Offer { epoch, contents: self.contents.clone().unwrap_or_default() }
             }
+            Ok(MessageKind::Received) => HandoffMessage::OfferRecorded { epoch },
+            Ok(MessageKind::Commit) => HandoffMessage::Commit { epoch },
+            Ok(MessageKind::Settled) => HandoffMessage::CommitAcknowledged { epoch },
+            Ok(MessageKind::Cancel) => HandoffMessage::Withdraw { epoch },
+            Ok(MessageKind::Unknown) => HandoffMessage::UnknownOffer { epoch },
+            Ok(MessageKind::Stale) => HandoffMessage::StaleEpoch { epoch },
+            Ok(MessageKind::Query) => HandoffMessage::Query { epoch },
+            Ok(MessageKind::Claim) => HandoffMessage::Claim { epoch },
+            Ok(
+                MessageKind::None
+                | MessageKind::NoRoom
+                | MessageKind::OwnerQuery
+                | MessageKind::ToolRequest
+                | MessageKind::ToolAnswer,
+            )
+            | Err(_) => return Err(WireError::UnknownKind(self.kind)),
         })
     }
 
@@ -354,14 +369,14 @@
 
 /// Splits received bytes into frames and decodes their envelopes.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
 }
 
 /// Length of the longest varint, in bytes.
 const MAX_VARINT_BYTES: usize = 10;
 
-impl Frames {
+impl FrameDecoder {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -372,20 +387,22 @@
     /// # Errors
     ///
     /// If the bytes are not a valid frame; the connection must then be closed.
-    pub fn take(&mut self) -> Result<Option<Envelope>, WireError> {
+    pub fn next_envelope(&mut self) -> Result<Option<Envelope>, WireError> {
         let length_end = self.bytes.iter().take(MAX_VARINT_BYTES).position(|b| b & 0x80 == 0);
         let Some(at) = length_end else {
             return match self.bytes.len() < MAX_VARINT_BYTES {
                 true => Ok(None),
-                false => Err(WireError::Garbled("the frame length is not a valid varint".into())),
+                false => Err(WireError::Malformed("the frame length is not a valid varint".into())),
             };
         };
         let length = prost::encoding::decode_varint(&mut &self.bytes[..=at]);
-        let length = length.map_err(|e| WireError::Garbled(e.to_string()))?;
-        let size =
-            usize::try_from(length).ok().filter(|n| *n <= FRAME_MOST).ok_or(WireError::TooLong(length))?;
+        let length = length.map_err(|e| WireError::Malformed(e.to_string()))?;
+        let size = usize::try_from(length)
+            .ok()
+            .filter(|n| *n <= MAX_FRAME_BYTES)
+            .ok_or(WireError::TooLong(length))?;
         let Some(body) = self.bytes.get(at + 1..at + 1 + size) else { return Ok(None) };
-        let envelope = Envelope::decode(body).map_err(|e| WireError::Garbled(e.to_string()))?;
+        let envelope = Envelope::decode(body).map_err(|e| WireError::Malformed(e.to_string()))?;
         self.bytes.drain(..at + 1 + size);
         Ok(Some(envelope))
     }
@@ -393,7 +410,7 @@
 
 /// The stored form of a tenant's ownership state; dispatchers are identified by name.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SeatRecord {
+pub struct OwnershipRecord {
     /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
@@ -405,28 +422,32 @@
     pub phase: u32,
     /// The dispatcher on the other side; empty if there is none.
     #[prost(string, tag = "4")]
-    pub other: String,
+    pub peer: String,
     /// The contents of a received offer.
     #[prost(message, optional, tag = "5")]
-    pub contents: Option<Contents>,
+    pub contents: Option<TenantContents>,
     /// Sequence numbers of the offered messages, which are in the same journal.
     #[prost(uint64, repeated, tag = "6")]
-    pub offered: Vec<u64>,
+    pub offered_numbers: Vec<u64>,
     /// The state is settled only once the received messages are recorded, under sequence numbers from this
     /// one on.
     #[prost(uint64, optional, tag = "7")]
     pub adopts_from: Option<u64>,
     /// Ordering keys that wait here for a message that ends at the former owner.
     #[prost(message, repeated, tag = "8")]
-    pub parked: Vec<Parked>,
+    pub quiet_keys: Vec<QuietKey>,
 }
 
 /// Converts an ownership state to its stored form; `name` returns the name of a dispatcher.
-pub fn record(tenant: &str, state: &Seat<Contents>, name: impl Fn(u32) -> String) -> SeatRecord {
-    let sequence_numbers = |c: &Contents| c.held.iter().map(|h| h.no).collect();
+pub fn to_record(
+    tenant: &str,
+    state: &TenantOwnership<TenantContents>,
+    name: impl Fn(u32) -> String,
+) -> OwnershipRecord {
+    let sequence_numbers = |c: &TenantContents| c.messages.iter().map(|h| h.number).collect();
     let (phase, other, contents, offered) = match &state.phase {
-        Phase::Away { at } => (0, *at, None, Vec::new()),
-        Phase::Settled => (1, None, None, Vec::new()),
+        Phase::OwnedElsewhere { at } => (0, *at, None, Vec::new()),
+        Phase::Owned => (1, None, None, Vec::new()),
         Phase::Draining { to } => (2, Some(*to), None, Vec::new()),
         Phase::Offered { to, contents } => (3, Some(*to), None, sequence_numbers(contents)),
         Phase::Committed { to, contents } => (4, Some(*to), None, sequence_numbers(contents)),
@@ -434,41 +455,49 @@
     };
     let other = other.map(name).unwrap_or_default();
     let tenant = tenant.into();
-    SeatRecord { tenant, epoch: state.epoch, phase, other, contents, offered, ..SeatRecord::default() }
+    OwnershipRecord {
+        tenant,
+        epoch: state.epoch,
+        phase,
+        peer: other,
+        contents,
+        offered_numbers: offered,
+        ..OwnershipRecord::default()
+    }
 }
 
-impl SeatRecord {
+impl OwnershipRecord {
     /// Converts all times in the record after a step of the wall clock; `time` maps milliseconds since 1970.
     pub fn map_times(&mut self, time: impl Fn(u64) -> u64) {
-        let parked = self.contents.iter_mut().flat_map(|c| &mut c.parked).chain(&mut self.parked);
+        let parked = self.contents.iter_mut().flat_map(|c| &mut c.quiet_keys).chain(&mut self.quiet_keys);
         parked.for_each(|p| p.until = time(p.until));
         let Some(contents) = &mut self.contents else { return };
-        contents.still_since = time(contents.still_since);
-        contents.past.iter_mut().for_each(|p| p.until = time(p.until));
-        for held in &mut contents.held {
+        contents.suspended_since = time(contents.suspended_since);
+        contents.ended.iter_mut().for_each(|p| p.remembered_until = time(p.remembered_until));
+        for held in &mut contents.messages {
             held.valid_until = time(held.valid_until);
-            held.ran_at = held.ran_at.map(&time);
+            held.first_attempt_at = held.first_attempt_at.map(&time);
         }
     }
 
     /// Restores the ownership state; `None` if the record is invalid. `node` returns the number of a
     /// dispatcher, and `offered` the messages that are recorded under the offered sequence numbers.
-    pub fn seat(
+    pub fn to_ownership(
         &self,
         mut node: impl FnMut(&str) -> u32,
-        offered: impl FnOnce(&[u64]) -> Contents,
-    ) -> Option<Seat<Contents>> {
-        let other = Some(self.other.as_str()).filter(|o| !o.is_empty()).map(&mut node);
+        offered: impl FnOnce(&[u64]) -> TenantContents,
+    ) -> Option<TenantOwnership<TenantContents>> {
+        let other = Some(self.peer.as_str()).filter(|o| !o.is_empty()).map(&mut node);
         let phase = match self.phase {
-            0 => Phase::Away { at: other },
-            1 => Phase::Settled,
+            0 => Phase::OwnedElsewhere { at: other },
+            1 => Phase::Owned,
             2 => Phase::Draining { to: other? },
-            3 => Phase::Offered { to: other?, contents: offered(&self.offered) },
-            4 => Phase::Committed { to: other?, contents: offered(&self.offered) },
+            3 => Phase::Offered { to: other?, contents: offered(&self.offered_numbers) },
+            4 => Phase::Committed { to: other?, contents: offered(&self.offered_numbers) },
             5 => Phase::Received { from: other?, contents: self.contents.clone()? },
             _ => return None,
         };
-        Some(Seat { epoch: self.epoch, phase })
+        Some(TenantOwnership { epoch: self.epoch, phase })
     }
 }
 
@@ -477,105 +506,106 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn contents() -> Contents {
-        let held = |id: &str, ran| Held {
+    fn contents() -> TenantContents {
+        let held = |id: &str, ran| HandedOverMessage {
             id: id.into(),
             key: Some(7),
             body: vec![0, 255],
-            ran_at: ran,
-            ..Held::default()
+            first_attempt_at: ran,
+            ..HandedOverMessage::default()
         };
-        Contents { held: vec![held("a", Some(5)), held("b", None)], ..Contents::default() }
+        TenantContents { messages: vec![held("a", Some(5)), held("b", None)], ..TenantContents::default() }
     }
 
-    fn messages() -> Vec<Word<Contents>> {
+    fn messages() -> Vec<HandoffMessage<TenantContents>> {
         let epoch = 9;
         vec![
-            Word::Offer { epoch, contents: contents() },
-            Word::Offer { epoch, contents: Contents::default() },
-            Word::Received { epoch },
-            Word::Commit { epoch },
-            Word::Settled { epoch },
-            Word::Cancel { epoch },
-            Word::Unknown { epoch },
-            Word::Stale { epoch },
-            Word::Query { epoch },
-            Word::Claim { epoch },
+            HandoffMessage::Offer { epoch, contents: contents() },
+            HandoffMessage::Offer { epoch, contents: TenantContents::default() },
+            HandoffMessage::OfferRecorded { epoch },
+            HandoffMessage::Commit { epoch },
+            HandoffMessage::CommitAcknowledged { epoch },
+            HandoffMessage::Withdraw { epoch },
+            HandoffMessage::UnknownOffer { epoch },
+            HandoffMessage::StaleEpoch { epoch },
+            HandoffMessage::Query { epoch },
+            HandoffMessage::Claim { epoch },
         ]
     }
 
     /// Guards against peer messages that are lost or changed when they arrive in pieces.
     #[test]
     fn messages_arrive_unchanged_in_pieces_of_any_size() {
-        let all: Vec<Envelope> = messages().iter().map(|w| envelope("n1", "n2", "sotrans", 3, w)).collect();
+        let all: Vec<Envelope> =
+            messages().iter().map(|w| handoff_envelope("n1", "n2", "sotrans", 3, w)).collect();
         let bytes: Vec<u8> = all.iter().flat_map(Envelope::frame).collect();
         for size in [1, 2, 3, 7, 64, bytes.len()] {
-            let (mut frames, mut got) = (Frames::default(), Vec::new());
+            let (mut frames, mut got) = (FrameDecoder::default(), Vec::new());
             for piece in bytes.chunks(size) {
                 frames.push(piece);
-                while let Some(e) = frames.take().unwrap() {
+                while let Some(e) = frames.next_envelope().unwrap() {
                     got.push(e);
                 }
             }
             assert_eq!(got, all);
-            let back: Vec<_> = got.iter().map(|e| e.word().unwrap()).collect();
+            let back: Vec<_> = got.iter().map(|e| e.handoff_message().unwrap()).collect();
             assert_eq!(back, messages());
         }
     }
 
     #[test]
     fn unsupported_versions_kinds_and_lengths_are_errors() {
-        let good = envelope("a", "b", "t", 1, &Word::Commit { epoch: 1 });
-        assert_eq!(Envelope { version: 2, ..good.clone() }.word(), Err(WireError::Version(2)));
-        assert_eq!(Envelope { kind: 99, ..good.clone() }.word(), Err(WireError::Kind(99)));
-        assert_eq!(Envelope { kind: 0, ..good }.word(), Err(WireError::Kind(0)));
+        let good = handoff_envelope("a", "b", "t", 1, &HandoffMessage::Commit { epoch: 1 });
+        assert_eq!(Envelope { version: 2, ..good.clone() }.handoff_message(), Err(WireError::Version(2)));
+        assert_eq!(Envelope { kind: 99, ..good.clone() }.handoff_message(), Err(WireError::UnknownKind(99)));
+        assert_eq!(Envelope { kind: 0, ..good }.handoff_message(), Err(WireError::UnknownKind(0)));
         let next = |bytes: &[u8]| {
-            let mut frames = Frames::default();
+            let mut frames = FrameDecoder::default();
             frames.push(bytes);
-            frames.take()
+            frames.next_envelope()
         };
         assert_eq!(next(&[0xff, 0xff, 0xff, 0x7f]), Err(WireError::TooLong(0x0fff_ffff)));
-        assert!(matches!(next(&[0xff; 12]), Err(WireError::Garbled(_))));
-        assert!(matches!(next(&[2, 0xff, 0xff]), Err(WireError::Garbled(_))));
+        assert!(matches!(next(&[0xff; 12]), Err(WireError::Malformed(_))));
+        assert!(matches!(next(&[2, 0xff, 0xff]), Err(WireError::Malformed(_))));
         assert_eq!(next(&[0x80]), Ok(None));
     }
 
     #[test]
     fn an_ownership_state_is_restored_as_it_was_stored() {
         let phases = [
-            Phase::Away { at: None },
-            Phase::Away { at: Some(0) },
-            Phase::Settled,
+            Phase::OwnedElsewhere { at: None },
+            Phase::OwnedElsewhere { at: Some(0) },
+            Phase::Owned,
             Phase::Draining { to: 4 },
             Phase::Offered { to: 0, contents: contents() },
-            Phase::Committed { to: 2, contents: Contents::default() },
+            Phase::Committed { to: 2, contents: TenantContents::default() },
             Phase::Received { from: 1, contents: contents() },
         ];
         for phase in phases {
-            let state = Seat { epoch: 12, phase };
-            let bytes = record("t", &state, |n| format!("n{n}")).encode_to_vec();
+            let state = TenantOwnership { epoch: 12, phase };
+            let bytes = to_record("t", &state, |n| format!("n{n}")).encode_to_vec();
             let node = |name: &str| name[1..].parse().unwrap();
             // The offered messages are in the same journal, under their sequence numbers.
             let offered = |nos: &[u64]| match nos.is_empty() {
-                true => Contents::default(),
+                true => TenantContents::default(),
                 false => contents(),
             };
-            assert_eq!(SeatRecord::decode(&bytes[..]).unwrap().seat(node, offered), Some(state));
+            assert_eq!(OwnershipRecord::decode(&bytes[..]).unwrap().to_ownership(node, offered), Some(state));
         }
-        let bad = SeatRecord { phase: 3, ..SeatRecord::default() };
-        assert_eq!(bad.seat(|_| 0, |_| Contents::default()), None);
+        let bad = OwnershipRecord { phase: 3, ..OwnershipRecord::default() };
+        assert_eq!(bad.to_ownership(|_| 0, |_| TenantContents::default()), None);
     }
 
     proptest! {
         /// Guards against a panic on arbitrary input.
         #[test]
         fn no_input_causes_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), size in 1usize..40) {
-            let mut frames = Frames::default();
+            let mut frames = FrameDecoder::default();
             for piece in bytes.chunks(size) {
                 frames.push(piece);
                 loop {
-                    match frames.take() {
-                        Ok(Some(e)) => drop(e.word()),
+                    match frames.next_envelope() {
+                        Ok(Some(e)) => drop(e.handoff_message()),
                         Ok(None) => break,
                         Err(_) => return Ok(()),
                     }
--- a/crates/cells/tests/model.rs
+++ b/crates/cells/tests/model.rs
@@ -2,7 +2,7 @@
 //! duplicated and reordered peer messages, a destination that answers late or never, aborts by operators, and
 //! two consecutive moves.
 
-use lilacbank_cells::moving::{Faults, Input, Order, Phase, Seat, Word};
+use lilacbank_cells::moving::{Faults, HandoffMessage, HostAction, Input, Phase, TenantOwnership};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Dispatcher {
     /// The ownership state in the journal.
-    ownership: Seat<Held>,
+    ownership: TenantOwnership<Held>,
     held: Held,
     /// Messages with a running attempt; the journal has recorded that they may run.
     running_attempts: BTreeSet<u8>,
@@ -46,33 +46,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct SentMessage(String, u64, Held);
 
-fn to_sent(w: &Word<Held>) -> SentMessage {
+fn to_sent(w: &HandoffMessage<Held>) -> SentMessage {
     let (name, epoch, held) = match w {
-        Word::Offer { epoch, contents } => ("offer", epoch, contents.clone()),
-        Word::Received { epoch } => ("received", epoch, vec![]),
-        Word::Commit { epoch } => ("commit", epoch, vec![]),
-        Word::Settled { epoch } => ("settled", epoch, vec![]),
-        Word::Cancel { epoch } => ("cancel", epoch, vec![]),
-        Word::Unknown { epoch } => ("unknown", epoch, vec![]),
-        Word::Stale { epoch } => ("stale", epoch, vec![]),
-        Word::Query { epoch } => ("query", epoch, vec![]),
-        Word::Claim { epoch } => ("claim", epoch, vec![]),
+        HandoffMessage::Offer { epoch, contents } => ("offer", epoch, contents.clone()),
+        HandoffMessage::OfferRecorded { epoch } => ("received", epoch, vec![]),
+        HandoffMessage::Commit { epoch } => ("commit", epoch, vec![]),
+        HandoffMessage::CommitAcknowledged { epoch } => ("settled", epoch, vec![]),
+        HandoffMessage::Withdraw { epoch } => ("cancel", epoch, vec![]),
+        HandoffMessage::UnknownOffer { epoch } => ("unknown", epoch, vec![]),
+        HandoffMessage::StaleEpoch { epoch } => ("stale", epoch, vec![]),
+        HandoffMessage::Query { epoch } => ("query", epoch, vec![]),
+        HandoffMessage::Claim { epoch } => ("claim", epoch, vec![]),
     };
     SentMessage(name.into(), *epoch, held)
 }
 
-fn from_sent(t: &SentMessage) -> Word<Held> {
+fn from_sent(t: &SentMessage) -> HandoffMessage<Held> {
     let (epoch, contents) = (t.1, t.2.clone());
     match t.0.as_str() {
-        "offer" => Word::Offer { epoch, contents },
-        "received" => Word::Received { epoch },
-        "commit" => Word::Commit { epoch },
-        "settled" => Word::Settled { epoch },
-        "cancel" => Word::Cancel { epoch },
-        "unknown" => Word::Unknown { epoch },
-        "stale" => Word::Stale { epoch },
-        "claim" => Word::Claim { epoch },
-        _ => Word::Query { epoch },
+        "offer" => HandoffMessage::Offer { epoch, contents },
+        "received" => HandoffMessage::OfferRecorded { epoch },
+        "commit" => HandoffMessage::Commit { epoch },
+        "settled" => HandoffMessage::CommitAcknowledged { epoch },
+        "cancel" => HandoffMessage::Withdraw { epoch },
+        "unknown" => HandoffMessage::UnknownOffer { epoch },
+        "stale" => HandoffMessage::StaleEpoch { epoch },
+        "claim" => HandoffMessage::Claim { epoch },
+        _ => HandoffMessage::Query { epoch },
     }
 }
 
@@ -119,26 +119,26 @@
 
 impl MoveModel {
     fn apply(&self, w: &mut World, n: usize, input: Input<Held>) {
-        let Ok((ownership, orders)) = w.dispatchers[n].ownership.step(input, self.faults) else { return };
+        let Ok((ownership, orders)) = w.dispatchers[n].ownership.handle(input, self.faults) else { return };
         w.dispatchers[n].ownership = ownership;
         for o in orders {
             match o {
-                Order::Tell(to, message) => drop(w.network.insert((n, to as usize, to_sent(&message)))),
-                Order::Serve(held) => {
+                HostAction::Send(to, message) => drop(w.network.insert((n, to as usize, to_sent(&message)))),
+                HostAction::Serve(held) => {
                     w.dispatchers[n].held = held;
                     MoveModel::claim(w, n);
                 }
-                Order::Forget => w.dispatchers[n].held.clear(),
-                Order::Drain | Order::Resume | Order::Finish => {}
+                HostAction::DropContents => w.dispatchers[n].held.clear(),
+                HostAction::Drain | HostAction::Resume | HostAction::StopAccepting => {}
             }
         }
     }
 
     /// A dispatcher that begins to serve, or restarts, sends a claim.
     fn claim(w: &mut World, n: usize) {
-        if w.dispatchers[n].ownership.owns() {
+        if w.dispatchers[n].ownership.is_owner() {
             let epoch = w.dispatchers[n].ownership.epoch;
-            w.network.insert((n, 1 - n, to_sent(&Word::Claim { epoch })));
+            w.network.insert((n, 1 - n, to_sent(&HandoffMessage::Claim { epoch })));
         }
     }
 
@@ -157,8 +157,10 @@
     fn init_states(&self) -> Vec<World> {
         let dispatcher =
             |ownership, held| Dispatcher { ownership, held, running_attempts: BTreeSet::new(), crashes: 0 };
-        let dispatchers =
-            vec![dispatcher(Seat::settled(), MESSAGES.to_vec()), dispatcher(Seat::away(Some(0)), vec![])];
+        let dispatchers = vec![
+            dispatcher(TenantOwnership::owned_here(), MESSAGES.to_vec()),
+            dispatcher(TenantOwnership::owned_elsewhere(Some(0)), vec![]),
+        ];
         vec![World {
             dispatchers,
             network: BTreeSet::new(),
@@ -176,7 +178,7 @@
             for m in &dispatcher.held {
                 // The order within a key is enforced by the host: messages start in order, one at a time.
                 let first = dispatcher.held.iter().find(|x| key(**x) == key(*m)) == Some(m);
-                if dispatcher.ownership.serves() && first && dispatcher.running_attempts.is_empty() {
+                if dispatcher.ownership.is_serving() && first && dispatcher.running_attempts.is_empty() {
                     actions.push(Action::Start(n, *m));
                 }
             }
@@ -186,7 +188,7 @@
                 }
                 actions.push(Action::Cut(n, *m));
             }
-            if w.moves < self.moves && dispatcher.ownership.serves() {
+            if w.moves < self.moves && dispatcher.ownership.is_serving() {
                 actions.push(Action::Move(n, 1 - n));
             }
             if w.aborts < self.aborts && dispatcher.ownership.is_moving() {
@@ -235,7 +237,7 @@
             Action::Tick(n) => self.apply(&mut w, n, Input::Tick),
             Action::Deliver(a, b, t) => {
                 let before = w.dispatchers[b].clone();
-                self.apply(&mut w, b, Input::Heard(a as u32, from_sent(&t)));
+                self.apply(&mut w, b, Input::MessageReceived(a as u32, from_sent(&t)));
                 if self.record_late
                     && w.dispatchers[b].crashes < self.crashes
                     && w.dispatchers[b].ownership != before.ownership
@@ -261,7 +263,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("at most one owner", |_, w: &World| {
-                w.dispatchers.iter().filter(|n| n.ownership.owns()).count() <= 1
+                w.dispatchers.iter().filter(|n| n.ownership.is_owner()).count() <= 1
             }),
             Property::always("at most one final answer", |_, w: &World| {
                 MESSAGES.iter().all(|m| w.ended.iter().filter(|e| *e == m).count() <= 1)
@@ -285,7 +287,7 @@
                         Phase::Committed { contents, .. } | Phase::Received { contents, .. } => {
                             contents.contains(m)
                         }
-                        _ => n.ownership.owns() && n.held.contains(m),
+                        _ => n.ownership.is_owner() && n.held.contains(m),
                     });
                     kept || w.ended.contains(m)
                 })
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -26,7 +26,9 @@
 pub mod ramp;
 mod window;
 
-pub use ceilings::{Ceilings, Over, Promise, Room, Scope, Spent, Step};
+pub use ceilings::{
+    AvailableCapacity, CallRecord, CallStep, DestinationLimit, LimitExceeded, RateLimiter, Scope,
+};
 pub use window::Window;
 
 /// A point in time or a time span, in milliseconds.
--- a/crates/limits/src/ramp.rs
+++ b/crates/limits/src/ramp.rs
@@ -45,33 +45,33 @@
     /// Attempts per second that it answered recently.
     pub rate: f64,
     /// Since when it has been unavailable, if it is: attempts got no answer.
-    pub away: Option<Ms>,
+    pub unavailable_since: Option<Ms>,
 }
 
 /// Records the health of all destinations from the outcomes of attempts.
 #[derive(Debug, Clone, Default)]
-pub struct Memory(BTreeMap<String, (Health, Ms, u32)>);
+pub struct HealthTracker(BTreeMap<String, (Health, Ms, u32)>);
 
-impl Memory {
+impl HealthTracker {
     /// An attempt ended with an answer of the destination, which therefore accepted it.
     pub fn answered(&mut self, now: Ms, member: &str) {
         let (health, at, failed) = self.entry(now, member);
         health.rate = health.rate * decay(now - *at) + std::f64::consts::LN_2 * 1000.0 / RATE_HALF_LIFE_MS;
-        (health.away, *at, *failed) = (None, now, 0);
+        (health.unavailable_since, *at, *failed) = (None, now, 0);
     }
 
     /// An attempt ended without any answer.
-    pub fn silent(&mut self, now: Ms, member: &str) {
+    pub fn unanswered(&mut self, now: Ms, member: &str) {
         let (health, _, failed) = self.entry(now, member);
         *failed += 1;
         if *failed >= UNAVAILABLE_AFTER_FAILURES {
-            health.away.get_or_insert(now);
+            health.unavailable_since.get_or_insert(now);
         }
     }
 
     fn entry(&mut self, now: Ms, member: &str) -> &mut (Health, Ms, u32) {
         if !self.0.contains_key(member) {
-            self.0.insert(member.to_string(), (Health { rate: 0.0, away: None }, now, 0));
+            self.0.insert(member.to_string(), (Health { rate: 0.0, unavailable_since: None }, now, 0));
         }
         self.0.get_mut(member).expect("the entry was inserted above")
     }
@@ -80,20 +80,21 @@
     /// outage.
     pub fn all(&self, now: Ms) -> impl Iterator<Item = (&str, Health)> {
         self.0.iter().map(move |(member, (h, at, _))| {
-            let until = h.away.unwrap_or(now).max(*at);
+            let until = h.unavailable_since.unwrap_or(now).max(*at);
             (member.as_str(), Health { rate: h.rate * decay(until - at), ..*h })
         })
     }
 
     /// As [`Memory::all`], with the time of the newest evidence of each destination.
-    pub fn learnt(&self, now: Ms) -> impl Iterator<Item = (&str, Health, Ms)> {
-        let newest =
-            move |member: &str| self.0.get(member).map_or(now, |(h, at, _)| h.away.unwrap_or(*at).max(*at));
+    pub fn all_with_time(&self, now: Ms) -> impl Iterator<Item = (&str, Health, Ms)> {
+        let newest = move |member: &str| {
+            self.0.get(member).map_or(now, |(h, at, _)| h.unavailable_since.unwrap_or(*at).max(*at))
+        };
         self.all(now).map(move |(member, health)| (member, health, newest(member)))
     }
 
     /// Forgets destinations that no longer exist.
-    pub fn keep(&mut self, is_there: impl Fn(&str) -> bool) {
+    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.0.retain(|member, _| is_there(member));
     }
 }
@@ -104,14 +105,14 @@
 
 /// Health data of a destination from the last incarnation or from a peer, with its age.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Former {
+pub struct RememberedHealth {
     /// The health data.
     pub health: Health,
     /// Its age; `None` if it is unknown.
     pub age: Option<Ms>,
 }
 
-impl Former {
+impl RememberedHealth {
     /// The weight of the health data: 1 when fresh, 0 when too old.
     pub fn trust(&self) -> f64 {
         let trust = self.age.map_or(MIN_TRUST, |age| 0.5f64.powf(age.max(0.0) / TRUST_HALF_LIFE_MS));
@@ -146,14 +147,14 @@
     began: Ms,
     /// Initial rate, in attempts per second, of a destination without a known rate.
     first: f64,
-    former: BTreeMap<String, Former>,
+    former: BTreeMap<String, RememberedHealth>,
     ramps: BTreeMap<String, Option<DestinationRamp>>,
 }
 
 impl Ramp {
     /// Starts the ramp of a process that begins now; `first` is the initial rate, in attempts per second, of
     /// a destination without a known rate.
-    pub fn begin(now: Ms, first: f64, former: BTreeMap<String, Former>) -> Ramp {
+    pub fn begin(now: Ms, first: f64, former: BTreeMap<String, RememberedHealth>) -> Ramp {
         Ramp { began: now, first: first.max(0.1), former, ramps: BTreeMap::new() }
     }
 
@@ -164,13 +165,13 @@
 
     /// Starts the ramp of a destination that is in the endpoint list. `draw` is a random number in [0, 1)
     /// that spreads the first attempts of several dispatchers over the time of one attempt.
-    pub fn listed(&mut self, now: Ms, member: &str, draw: f64) {
+    pub fn add_destination(&mut self, now: Ms, member: &str, draw: f64) {
         if self.is_over(now) || self.ramps.contains_key(member) {
             return;
         }
         let former = self.former.get(member).copied();
         let known = former.map_or(0.0, |f| f.trust() * f.health.rate) * INITIAL_RATE_FACTOR;
-        let away = former.is_some_and(|f| f.health.away.is_some());
+        let away = former.is_some_and(|f| f.health.unavailable_since.is_some());
         let ramp = DestinationRamp {
             rate: known.max(self.first),
             rate_unknown: known < self.first,
@@ -185,8 +186,8 @@
 
     /// Takes over health data that a peer sent. It is used only if this dispatcher has nothing newer: before
     /// its own first attempt in this incarnation, and if the data from its last incarnation is older.
-    pub fn told(&mut self, now: Ms, member: &str, received: Former) {
-        let age = |f: &Former| f.age.unwrap_or(f64::MAX);
+    pub fn update_from_peer(&mut self, now: Ms, member: &str, received: RememberedHealth) {
+        let age = |f: &RememberedHealth| f.age.unwrap_or(f64::MAX);
         if self.former.get(member).is_some_and(|f| age(f) + now - self.began <= age(&received)) {
             return;
         }
@@ -194,7 +195,7 @@
         if let Some(Some(c)) = self.ramps.get_mut(member).filter(|c| c.is_some_and(|c| !c.attempted)) {
             let known = received.trust() * received.health.rate * INITIAL_RATE_FACTOR;
             (c.rate, c.rate_unknown) = (known.max(self.first), known < self.first);
-            c.trial = received.health.away.map(|_| false);
+            c.trial = received.health.unavailable_since.map(|_| false);
             c.tokens = c.tokens.min(1.0);
         }
     }
@@ -222,7 +223,7 @@
     }
 
     /// An attempt starts.
-    pub fn sent(&mut self, member: &str) {
+    pub fn attempt_started(&mut self, member: &str) {
         if let Some(Some(c)) = self.ramps.get_mut(member) {
             c.tokens -= 1.0;
             c.attempted = true;
@@ -232,7 +233,7 @@
 
     /// An attempt was answered, so the destination is available. `full`: it refused, because of its limit or
     /// for lack of capacity; the ramp ends, since the dispatcher now knows.
-    pub fn heard(&mut self, now: Ms, member: &str, full: bool) {
+    pub fn answered(&mut self, now: Ms, member: &str, full: bool) {
         match self.ramps.get_mut(member) {
             Some(slot) if full => *slot = None,
             Some(Some(c)) => {
@@ -245,14 +246,14 @@
 
     /// An attempt got no answer: the ramp ends, since the dispatcher now knows that the destination is
     /// unavailable and tests it in its own way.
-    pub fn silent(&mut self, member: &str) {
+    pub fn unanswered(&mut self, member: &str) {
         if let Some(slot) = self.ramps.get_mut(member) {
             *slot = None;
         }
     }
 
     /// An attempt ended without evidence about the destination: the next test attempt may start.
-    pub fn unheard(&mut self, member: &str) {
+    pub fn attempt_cancelled(&mut self, member: &str) {
         if let Some(Some(c)) = self.ramps.get_mut(member) {
             c.trial = c.trial.map(|_| false);
         }
@@ -288,11 +289,11 @@
         let (mut sent, mut now) = (Vec::new(), from);
         while now < until {
             if ramp.room(now, "m").is_none_or(|r| r.0 > 0) {
-                ramp.sent("m");
+                ramp.attempt_started("m");
                 sent.push(now);
                 match answer(now) {
-                    Some(full) => ramp.heard(now, "m", full),
-                    None => ramp.silent("m"),
+                    Some(full) => ramp.answered(now, "m", full),
+                    None => ramp.unanswered("m"),
                 }
             }
             now += 10.0;
@@ -300,15 +301,15 @@
         sent
     }
 
-    fn ramp(former: Option<Former>) -> Ramp {
+    fn ramp(former: Option<RememberedHealth>) -> Ramp {
         let former = former.map(|f| ("m".to_string(), f)).into_iter().collect();
         let mut ramp = Ramp::begin(0.0, 2.0, former);
-        ramp.listed(0.0, "m", 0.5);
+        ramp.add_destination(0.0, "m", 0.5);
         ramp
     }
 
-    fn former(rate: f64, away: Option<Ms>, age: Ms) -> Option<Former> {
-        Some(Former { health: Health { rate, away }, age: Some(age) })
+    fn former(rate: f64, away: Option<Ms>, age: Ms) -> Option<RememberedHealth> {
+        Some(RememberedHealth { health: Health { rate, unavailable_since: away }, age: Some(age) })
     }
 
     /// Guards against a backlog that is sent at once, and against a ramp that never ends.
@@ -332,11 +333,11 @@
     fn the_ramp_ends_with_the_first_refusal_or_missing_answer() {
         let mut r = ramp(former(20.0, None, 1_000.0));
         assert!(r.room(100.0, "m").is_some());
-        r.heard(110.0, "m", true);
+        r.answered(110.0, "m", true);
         assert_eq!(r.room(120.0, "m"), None);
         let mut r = ramp(former(20.0, None, 1_000.0));
-        r.sent("m");
-        r.silent("m");
+        r.attempt_started("m");
+        r.unanswered("m");
         assert_eq!(r.room(120.0, "m"), None);
         assert!(r.room(120.0, "never listed").is_none() && r.is_over(MAX_DURATION_MS));
     }
@@ -347,16 +348,16 @@
     fn an_unavailable_destination_gets_one_attempt_until_it_answers() {
         let mut r = ramp(former(20.0, Some(1.0), 1_000.0));
         assert_eq!(r.room(100.0, "m").map(|r| r.0), Some(1));
-        r.sent("m");
+        r.attempt_started("m");
         assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(0), "the test attempt is running");
-        r.unheard("m");
+        r.attempt_cancelled("m");
         assert_eq!(
             r.room(910.0, "m").map(|r| r.0),
             Some(1),
             "the test attempt was cancelled: the next one may start"
         );
-        r.sent("m");
-        r.heard(950.0, "m", false);
+        r.attempt_started("m");
+        r.answered(950.0, "m", false);
         assert!(r.room(960.0, "m").is_some_and(|r| r.0 > 10), "the destination is available");
     }
 
@@ -366,14 +367,14 @@
     fn health_data_of_a_peer_is_used_if_nothing_newer_is_known() {
         let away = former(40.0, Some(0.0), 100.0).unwrap();
         let mut r = ramp(None);
-        r.told(0.0, "m", away);
+        r.update_from_peer(0.0, "m", away);
         assert_eq!(r.room(900.0, "m").map(|r| r.0), Some(1), "one attempt tests it");
         let mut r = ramp(former(20.0, None, 50.0));
-        r.told(0.0, "m", away);
+        r.update_from_peer(0.0, "m", away);
         assert!(r.room(900.0, "m").is_some_and(|r| r.0 > 10), "its own data is newer");
         let mut r = ramp(None);
-        r.sent("m");
-        r.told(0.0, "m", away);
+        r.attempt_started("m");
+        r.update_from_peer(0.0, "m", away);
         assert!(r.room(1_900.0, "m").is_some_and(|r| r.0 > 1), "it has evidence of its own");
     }
 
@@ -381,11 +382,12 @@
     /// never grows.
     #[test]
     fn old_health_data_counts_for_less_and_an_unknown_rate_doubles() {
-        let in_a_second =
-            |f: Option<Former>| send_when_allowed(&mut ramp(f), 0.0, 1_000.0, |_| Some(false)).len();
+        let in_a_second = |f: Option<RememberedHealth>| {
+            send_when_allowed(&mut ramp(f), 0.0, 1_000.0, |_| Some(false)).len()
+        };
         let (fresh, old) = (in_a_second(former(40.0, None, 0.0)), in_a_second(former(40.0, None, 240_000.0)));
         assert!(old * 3 < fresh, "{old} with old data, {fresh} with fresh data");
-        let unsure = Former { health: Health { rate: 40.0, away: None }, age: None };
+        let unsure = RememberedHealth { health: Health { rate: 40.0, unavailable_since: None }, age: None };
         assert!(in_a_second(Some(unsure)) < 8, "data of unknown age");
         let sent = send_when_allowed(&mut ramp(None), 0.0, 3_900.0, |_| Some(false));
         assert!(sent.len() > 25, "the rate doubles each second: {}", sent.len());
@@ -393,17 +395,17 @@
 
     #[test]
     fn the_memory_keeps_the_recent_rate_and_the_rate_before_an_outage() {
-        let mut m = Memory::default();
+        let mut m = HealthTracker::default();
         (0..300).for_each(|n| m.answered(f64::from(n) * 100.0, "m"));
-        let health = |m: &Memory, now: Ms| m.all(now).next().unwrap().1;
+        let health = |m: &HealthTracker, now: Ms| m.all(now).next().unwrap().1;
         assert!((health(&m, 30_000.0).rate - 10.0).abs() < 1.5, "{:?}", health(&m, 30_000.0));
         assert!(health(&m, 50_000.0).rate < 3.0, "no answers for 20 s");
-        (0..3).for_each(|_| m.silent(30_100.0, "m"));
-        assert_eq!(health(&m, 50_000.0).away, Some(30_100.0));
+        (0..3).for_each(|_| m.unanswered(30_100.0, "m"));
+        assert_eq!(health(&m, 50_000.0).unavailable_since, Some(30_100.0));
         assert!(health(&m, 50_000.0).rate > 8.0, "the rate before the outage");
         m.answered(50_000.0, "m");
-        assert_eq!(health(&m, 50_000.0).away, None);
-        m.keep(|_| false);
+        assert_eq!(health(&m, 50_000.0).unavailable_since, None);
+        m.retain(|_| false);
         assert_eq!(m.all(0.0).count(), 0);
     }
 }
--- a/crates/limits/tests/any_span.rs
+++ b/crates/limits/tests/any_span.rs
@@ -1,18 +1,18 @@
 //! No span at the destination ever holds more calls than the limit, over arbitrary requests, delays, crashes
 //! and changes of the limits.
 
-use lilacbank_limits::{Ceilings, Promise, Scope, Spent, Step};
+use lilacbank_limits::{CallRecord, CallStep, DestinationLimit, RateLimiter, Scope};
 use proptest::prelude::*;
 
 const TRAVEL: f64 = 40.0;
 
-fn promise(calls: u32, span: f64, scope: Scope) -> Promise {
-    Promise {
-        member: "m".into(),
-        dest: 1,
+fn promise(calls: u32, span: f64, scope: Scope) -> DestinationLimit {
+    DestinationLimit {
+        name: "m".into(),
+        destination: 1,
         calls: Some(calls),
         span,
-        travel: TRAVEL,
+        max_travel: TRAVEL,
         scope,
         connections: Some(6),
     }
@@ -61,9 +61,9 @@
 
 /// A host that records each step before it sends, and that can be killed at any moment.
 struct Host {
-    ceilings: Ceilings,
-    promise: Promise,
-    journal: Vec<Spent>,
+    ceilings: RateLimiter,
+    promise: DestinationLimit,
+    journal: Vec<CallRecord>,
     running: Vec<RunningCall>,
     arrivals: Vec<(usize, f64)>,
     now: f64,
@@ -74,8 +74,8 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 impl Host {
-    fn record(&mut self, endpoint: usize, step: Step) {
-        self.journal.extend(self.ceilings.record(self.now, 1, NAMES[endpoint], step));
+    fn record(&mut self, endpoint: usize, step: CallStep) {
+        self.journal.extend(self.ceilings.call_record(self.now, 1, NAMES[endpoint], step));
     }
 
     fn advance_to(&mut self, to: f64) {
@@ -87,14 +87,14 @@
             let o = self.running.swap_remove(i);
             self.now = self.now.max(o.written_at);
             if o.fails {
-                self.record(o.endpoint, Step::GivenBack);
+                self.record(o.endpoint, CallStep::Cancelled);
             } else {
                 // The bytes leave before the host reports them.
                 self.arrivals.push((o.endpoint, self.now + o.travel));
-                self.record(o.endpoint, Step::Written);
-                self.ceilings.written(self.now, 1, NAMES[o.endpoint]);
+                self.record(o.endpoint, CallStep::Written);
+                self.ceilings.call_written(self.now, 1, NAMES[o.endpoint]);
             }
-            self.ceilings.ended(1, NAMES[o.endpoint], !o.fails);
+            self.ceilings.call_ended(1, NAMES[o.endpoint], !o.fails);
         }
         self.now = self.now.max(to);
     }
@@ -103,14 +103,14 @@
         for d in operations {
             match d.clone() {
                 Operation::Pass(t) => self.advance_to(self.now + t),
-                Operation::Compact => self.journal = self.ceilings.spent(self.now),
+                Operation::Compact => self.journal = self.ceilings.snapshot(self.now),
                 Operation::TryCall { endpoint, write, travel, fails } => {
                     let room = self.ceilings.room(self.now, 1, NAMES[endpoint]).unwrap();
-                    let took = self.ceilings.take(self.now, 1, NAMES[endpoint]);
-                    assert_eq!(took.is_ok(), room.calls > 0 && room.links_left > 0);
+                    let took = self.ceilings.start_call(self.now, 1, NAMES[endpoint]);
+                    assert_eq!(took.is_ok(), room.calls > 0 && room.free_connections > 0);
                     match took {
                         Ok(()) => {
-                            self.record(endpoint, Step::Started);
+                            self.record(endpoint, CallStep::Started);
                             self.running.push(RunningCall {
                                 endpoint,
                                 written_at: self.now + write,
@@ -118,7 +118,7 @@
                                 fails,
                             });
                         }
-                        Err(over) => assert!(over.wait > 0.0),
+                        Err(over) => assert!(over.retry_after > 0.0),
                     }
                 }
                 Operation::Kill(downtime) => {
@@ -128,11 +128,11 @@
                         self.arrivals.push((o.endpoint, self.now + o.travel));
                     }
                     self.now += downtime;
-                    self.ceilings = Ceilings::new([self.promise.clone()]);
+                    self.ceilings = RateLimiter::new([self.promise.clone()]);
                     if !self.skip_restore {
                         self.ceilings.restore(self.now, self.journal.clone());
                     }
-                    self.journal = self.ceilings.spent(self.now);
+                    self.journal = self.ceilings.snapshot(self.now);
                 }
             }
         }
@@ -142,7 +142,7 @@
     fn max_in_span(&self) -> usize {
         let of = |e: usize| self.arrivals.iter().filter(|a| a.0 == e).map(|a| a.1).collect::<Vec<_>>();
         match self.promise.scope {
-            Scope::Member => {
+            Scope::Destination => {
                 max_in_span(&self.arrivals.iter().map(|a| a.1).collect::<Vec<_>>(), self.promise.span)
             }
             Scope::Endpoint => (0..3).map(|e| max_in_span(&of(e), self.promise.span)).max().unwrap_or(0),
@@ -150,9 +150,9 @@
     }
 }
 
-fn host(p: Promise, skip_restore: bool) -> Host {
+fn host(p: DestinationLimit, skip_restore: bool) -> Host {
     Host {
-        ceilings: Ceilings::new([p.clone()]),
+        ceilings: RateLimiter::new([p.clone()]),
         promise: p,
         journal: Vec::new(),
         running: Vec::new(),
@@ -174,7 +174,7 @@
         each in prop::bool::ANY,
         operations in prop::collection::vec(operation(), 1..250),
     ) {
-        let scope = if each { Scope::Endpoint } else { Scope::Member };
+        let scope = if each { Scope::Endpoint } else { Scope::Destination };
         let mut h = host(promise(calls, span, scope), false);
         h.run(&operations);
         prop_assert!(
@@ -193,7 +193,7 @@
     let burst: Vec<Operation> = (0..4).flat_map(|_| [call.clone(), Operation::Pass(2.0)]).collect();
     let operations = [burst.clone(), vec![Operation::Kill(10.0)], burst].concat();
     for (skip_restore, most) in [(false, 4), (true, 8)] {
-        let mut h = host(promise(4, 1_000.0, Scope::Member), skip_restore);
+        let mut h = host(promise(4, 1_000.0, Scope::Destination), skip_restore);
         h.run(&operations);
         assert_eq!(h.max_in_span(), most);
     }
@@ -202,7 +202,7 @@
 /// Guards against a limiter that allows far less than the limit: steady demand gets nearly all of it.
 #[test]
 fn steady_demand_gets_its_share() {
-    let mut h = host(promise(10, 1_000.0, Scope::Member), false);
+    let mut h = host(promise(10, 1_000.0, Scope::Destination), false);
     let call = Operation::TryCall { endpoint: 0, write: 0.0, travel: 0.0, fails: false };
     h.run(&vec![[call, Operation::Pass(5.0)]; 6_000].concat());
     let rate = h.arrivals.len() as f64 / 30.0;
@@ -212,16 +212,16 @@
 /// Guards against a change of the scope that allows the whole limit a second time.
 #[test]
 fn a_change_of_scope_keeps_the_counted_calls() {
-    for (from, to) in [(Scope::Member, Scope::Endpoint), (Scope::Endpoint, Scope::Member)] {
-        let mut c = Ceilings::new([promise(3, 1_000.0, from)]);
+    for (from, to) in [(Scope::Destination, Scope::Endpoint), (Scope::Endpoint, Scope::Destination)] {
+        let mut c = RateLimiter::new([promise(3, 1_000.0, from)]);
         for endpoint in ["a", "a", "b"] {
-            c.take(0.0, 1, endpoint).unwrap();
-            c.written(0.0, 1, endpoint);
-            c.ended(1, endpoint, true);
+            c.start_call(0.0, 1, endpoint).unwrap();
+            c.call_written(0.0, 1, endpoint);
+            c.call_ended(1, endpoint, true);
         }
-        c.change(10.0, [promise(3, 1_000.0, to)]);
-        assert!(NAMES.iter().all(|e| c.take(500.0, 1, e).is_err()), "{from:?} to {to:?}");
-        assert!(NAMES.iter().all(|e| c.take(1_040.0, 1, e).is_ok()));
+        c.set_limits(10.0, [promise(3, 1_000.0, to)]);
+        assert!(NAMES.iter().all(|e| c.start_call(500.0, 1, e).is_err()), "{from:?} to {to:?}");
+        assert!(NAMES.iter().all(|e| c.start_call(1_040.0, 1, e).is_ok()));
     }
 }
 
@@ -229,12 +229,12 @@
 /// end.
 #[test]
 fn connections_are_limited_and_freed() {
-    let p = Promise { calls: None, ..promise(1, 1.0, Scope::Member) };
-    let mut c = Ceilings::new([p]);
+    let p = DestinationLimit { calls: None, ..promise(1, 1.0, Scope::Destination) };
+    let mut c = RateLimiter::new([p]);
     for _ in 0..50 {
-        (0..6).for_each(|_| c.take(0.0, 1, "a").unwrap());
-        assert!(c.take(0.0, 1, "a").is_err() && c.room(0.0, 1, "b").unwrap().links_left == 6);
-        (0..6).for_each(|_| c.ended(1, "a", true));
+        (0..6).for_each(|_| c.start_call(0.0, 1, "a").unwrap());
+        assert!(c.start_call(0.0, 1, "a").is_err() && c.room(0.0, 1, "b").unwrap().free_connections == 6);
+        (0..6).for_each(|_| c.call_ended(1, "a", true));
     }
-    assert!(c.take(0.0, 2, "x").is_ok(), "other destinations have no limit");
+    assert!(c.start_call(0.0, 2, "x").is_ok(), "other destinations have no limit");
 }
--- a/crates/replica/src/copies.rs
+++ b/crates/replica/src/copies.rs
@@ -16,9 +16,9 @@
 
 /// How a message ended. Answers that say more about its effect come later in the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum CopyEnding {
     /// Returned: it never ran, and the client may submit it again after this many milliseconds.
-    HandedBack(u64),
+    Returned(u64),
     /// Given up: no statement about its effect.
     GivenUp,
     /// Delivered: it took effect.
@@ -29,16 +29,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
     /// Accepted; no attempt was begun as far as the holder knows.
-    Taken,
+    Accepted,
     /// An attempt may have run.
     Started,
     /// It has its final answer.
-    Ended(End),
+    Ended(CopyEnding),
 }
 
 /// The immutable part of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct Content {
+pub struct MessageContent {
     /// The client that submitted it; empty for the platform's clients.
     pub client: String,
     /// The name of its class.
@@ -46,28 +46,28 @@
     /// The name of its tenant.
     pub tenant: String,
     /// Its ordering key.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// Its idempotency key.
-    pub idempotency: String,
+    pub idempotency_key: String,
     /// Its destination.
-    pub dest: u64,
+    pub destination: u64,
     /// Its deadline, in milliseconds since 1970.
     pub valid_until: u64,
     /// Its sequence number at the dispatcher that accepted it; orders the messages of one key.
-    pub no: u64,
+    pub number: u64,
     /// The dispatcher that accepted it.
-    pub taker: String,
+    pub accepted_by: String,
     /// The incarnation of the arbiter that may grant it.
-    pub arbiter_born: u64,
+    pub arbiter_incarnation: u64,
     /// Where to send its final answer.
-    pub reply: Vec<u8>,
+    pub reply_to: Vec<u8>,
     /// The message body.
     pub body: Vec<u8>,
 }
 
 /// One copy of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Copy {
+pub struct MessageCopy {
     /// The id under which the client submitted it.
     pub id: String,
     /// The dispatchers that hold copies, the arbiter first; without the one that accepted the message.
@@ -77,7 +77,7 @@
     /// Its progress.
     pub stage: Stage,
     /// The message itself.
-    pub content: Content,
+    pub content: MessageContent,
 }
 
 /// The result of a merge.
@@ -91,9 +91,9 @@
     Conflict,
 }
 
-impl Copy {
+impl MessageCopy {
     /// Merges the state of another copy of the same message into this one.
-    pub fn merge(&mut self, other: &Copy) -> MergeOutcome {
+    pub fn merge(&mut self, other: &MessageCopy) -> MergeOutcome {
         let differ = matches!((self.stage, other.stage), (Stage::Ended(a), Stage::Ended(b)) if a != b);
         let (stage, fence) = (self.stage.max(other.stage), (&self.fence).max(&other.fence).clone());
         let newer = stage != self.stage || fence != self.fence;
@@ -108,9 +108,9 @@
     /// Approximate size in bytes.
     pub fn size(&self) -> usize {
         let c = &self.content;
-        let texts = [&self.id, &c.client, &c.class, &c.tenant, &c.idempotency, &self.fence.owner];
+        let texts = [&self.id, &c.client, &c.class, &c.tenant, &c.idempotency_key, &self.fence.owner];
         let texts: usize = texts.iter().map(|t| t.len()).sum();
         let holders: usize = self.holders.iter().map(|h| h.len() + 24).sum();
-        texts + holders + c.reply.len() + c.body.len() + 256
+        texts + holders + c.reply_to.len() + c.body.len() + 256
     }
 }
--- a/crates/replica/src/digest.rs
+++ b/crates/replica/src/digest.rs
@@ -6,7 +6,7 @@
 //! then the children of the nodes that differ, and so on down to the buckets, and send only the entries of
 //! differing buckets: the cost grows with the differences, not with the number of copies.
 
-use crate::copies::{Copy, Stage};
+use crate::copies::{MessageCopy, Stage};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Children of each inner node.
@@ -22,15 +22,15 @@
 }
 
 /// The hash of a copy's id, stage and fence.
-pub fn hash(copy: &Copy) -> u64 {
+pub fn hash(copy: &MessageCopy) -> u64 {
     let stage = match copy.stage {
-        Stage::Taken => 1,
+        Stage::Accepted => 1,
         Stage::Started => 2,
         Stage::Ended(e) => {
             3 + match e {
-                crate::copies::End::HandedBack(w) => w.wrapping_mul(4),
-                crate::copies::End::GivenUp => 1,
-                crate::copies::End::Delivered => 2,
+                crate::copies::CopyEnding::Returned(w) => w.wrapping_mul(4),
+                crate::copies::CopyEnding::GivenUp => 1,
+                crate::copies::CopyEnding::Delivered => 2,
             }
         }
     };
@@ -46,7 +46,7 @@
 
 impl HashTree {
     /// Builds the tree of these copies.
-    pub fn from_copies<'a>(copies: impl Iterator<Item = &'a Copy>) -> HashTree {
+    pub fn from_copies<'a>(copies: impl Iterator<Item = &'a MessageCopy>) -> HashTree {
         let mut leaves = vec![0u64; BUCKETS];
         copies.for_each(|c| leaves[bucket(&c.id)] = leaves[bucket(&c.id)].wrapping_add(hash(c)));
         HashTree { leaves }
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -17,13 +17,13 @@
 //! first contact and then periodically, and send the copies that differ, a limited number of buckets at a
 //! time.
 
-use crate::copies::{Content, Copy, End, Fence, MergeOutcome, Stage};
+use crate::copies::{CopyEnding, Fence, MergeOutcome, MessageContent, MessageCopy, Stage};
 use crate::digest::{self, HashTree, DEPTH, FAN_OUT};
-use crate::owner::{Faults, Kind, PeerMessage, Replica, Step};
-use crate::view::{MemberState, Membership, Node, Output};
+use crate::owner::{Faults, PeerMessage, Repeatability, Replica, ReplicaAction};
+use crate::view::{MemberState, Membership, Output, PeerIdentity};
 use crate::wire::{
-    self, BucketRequest, BucketsSent, CopyAck, DifferingChildren, Envelope, Hashes, Heartbeat, Say, WireCopy,
-    VERSION,
+    self, BucketRequest, BucketsSent, CopyAck, DifferingChildren, Envelope, Hashes, Heartbeat, Payload,
+    WireCopy, VERSION,
 };
 use crate::Ms;
 use prost::Message as _;
@@ -36,7 +36,7 @@
 pub const LEASE_MS: Ms = 2_500;
 /// A peer from which anything was received within this time does not count as gone, whatever the membership
 /// view shows.
-pub const GONE_AFTER: Ms = 3_000;
+pub const PEER_GONE_AFTER_MS: Ms = 3_000;
 /// A peer that has not answered a heartbeat within this time is not chosen as a holder of new copies.
 const HOLDER_FRESHNESS_MS: Ms = 700;
 /// Unacknowledged peer messages are sent again after this time.
@@ -67,99 +67,99 @@
 
 /// The identity and the replication settings of a dispatcher.
 #[derive(Debug, Clone)]
-pub struct Spec {
+pub struct ReplicationConfig {
     /// The dispatcher's name.
-    pub me: String,
+    pub name: String,
     /// The address at which peers reach it.
     pub address: String,
     /// Random number that identifies this incarnation of the dispatcher in peer messages; above 0.
-    pub born: u64,
+    pub incarnation_id: u64,
     /// Incarnation number for the membership protocol: the higher one wins.
-    pub life: u64,
+    pub incarnation: u64,
     /// The installation; peer messages from another one are rejected.
     pub installation: String,
     /// Number of dispatchers in the installation.
-    pub size: usize,
+    pub dispatcher_count: usize,
     /// Names and addresses of the peers that are asked for the other members.
     pub seeds: Vec<(String, String)>,
     /// Copies of each message besides the owner's.
     pub copies: usize,
     /// Maximum total size, in bytes, of the copies held here.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
     /// Seed of the random number generator.
     pub seed: u64,
     /// How long, after a start, restored messages wait at most for the peers' copies before the dispatcher
     /// serves.
-    pub catch_up: Ms,
+    pub settle_timeout: Ms,
 }
 
 /// An event for the dispatcher to act on.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum ReplicationEvent {
     /// A change of the membership or of a peer's state, as text for the log.
-    View(String),
+    MembershipChanged(String),
     /// A peer acknowledged its copy of this message.
-    Held(String),
+    CopyAcknowledged(String),
     /// This message may be started now.
     Start(String),
     /// This message has to be given up: it gets its final answer without an attempt.
     GiveUp(String),
     /// Another dispatcher owns this message, or it has ended there: this dispatcher drops it.
-    Leave(String),
+    OwnershipLost(String),
     /// This dispatcher has become the owner of a message; the host records that before it acts on the
     /// message.
-    Take(Box<Copy>, Step),
+    OwnershipTaken(Box<MessageCopy>, ReplicaAction),
     /// An operator block was set (true) or lifted (false) for this endpoint.
-    Ban(String, bool),
+    OperatorBlock(String, bool),
     /// Restored messages are settled (true), or the time limit for it has passed (false).
-    CaughtUp(bool),
+    Settled(bool),
     /// All peers answered the query about this message, or its timeout has passed.
-    Looked(String),
+    QueryFinished(String),
     /// A peer sent newer health data of a destination than was known here.
-    Health(String, Learnt),
+    HealthUpdate(String, DestinationHealth),
 }
 
 /// Health data of a destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Learnt {
+pub struct DestinationHealth {
     /// Attempts per second that the destination answered recently, as measured by the dispatcher that reports
     /// it.
     pub rate: f64,
     /// Since when the destination has been unavailable, if it is.
-    pub away: Option<Ms>,
+    pub unavailable_since: Option<Ms>,
     /// When this was observed.
-    pub at: Ms,
+    pub observed_at: Ms,
 }
 
 /// Counters of the replication.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ReplicationCounters {
     /// Copies accepted for peers.
-    pub taken_in: u64,
+    pub copies_accepted: u64,
     /// Messages whose ownership was taken over.
-    pub taken_over: u64,
+    pub takeovers: u64,
     /// Own messages dropped because another dispatcher took them over.
-    pub left: u64,
+    pub ownership_lost: u64,
     /// Grants given.
-    pub granted: u64,
+    pub grants_given: u64,
     /// Grant requests denied.
-    pub denied: u64,
+    pub grants_denied: u64,
     /// Messages with two different final answers.
     pub conflicts: u64,
     /// Copies rejected for lack of room.
-    pub no_room: u64,
+    pub copies_rejected: u64,
     /// Invalid peer messages.
-    pub nonsense: u64,
+    pub invalid_messages: u64,
     /// Peer messages from past incarnations, which arrived late.
-    pub stale: u64,
+    pub stale_messages: u64,
     /// Queries about messages that are unknown here.
     pub queries: u64,
     /// Copies sent to a peer that lacked them.
-    pub caught_up: u64,
+    pub missing_copies_sent: u64,
     /// Bytes of the frames sent.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     /// Messages that were accepted when no peer could hold a copy.
-    pub alone: u64,
+    pub without_holders: u64,
 }
 
 #[derive(Debug, Default)]
@@ -211,8 +211,8 @@
 }
 
 /// See the module documentation.
-pub struct Keeper {
-    spec: Spec,
+pub struct Replicator {
+    spec: ReplicationConfig,
     membership: Membership,
     peers: BTreeMap<String, Peer>,
     replicas: BTreeMap<String, Replica>,
@@ -230,36 +230,37 @@
     /// Messages that peers were asked about: the peers that have not answered, and the time limit.
     queries: BTreeMap<String, (BTreeSet<String>, Ms)>,
     /// By destination: the newest health data, observed here or received.
-    health: BTreeMap<String, Learnt>,
+    health: BTreeMap<String, DestinationHealth>,
     /// By endpoint: the newest operator block or its removal.
     operator_blocks: BTreeMap<String, (crate::clock::Timestamp, bool)>,
     clock: crate::clock::HybridClock,
     outbox: Vec<(String, Envelope)>,
-    events: Vec<News>,
+    events: Vec<ReplicationEvent>,
     resend_due: Ms,
     scan_due: Ms,
     expiry_due: Ms,
     /// Counters since the start.
-    pub counts: Counts,
+    pub counts: ReplicationCounters,
 }
 
-impl Keeper {
+impl Replicator {
     /// A keeper that knows no peer's state yet; `now` is the wall clock.
-    pub fn new(now: Ms, spec: Spec) -> Keeper {
-        let node = |(name, address): &(String, String)| Node {
+    pub fn new(now: Ms, spec: ReplicationConfig) -> Replicator {
+        let node = |(name, address): &(String, String)| PeerIdentity {
             name: name.clone(),
             address: address.clone(),
             life: 0,
         };
-        let me = Node { name: spec.me.clone(), address: spec.address.clone(), life: spec.life };
+        let me =
+            PeerIdentity { name: spec.name.clone(), address: spec.address.clone(), life: spec.incarnation };
         let membership = Membership::new(now, me, spec.seeds.iter().map(node).collect(), spec.seed);
         let peer = |(name, address): &(String, String)| {
             (name.clone(), Peer { address: Some(address.clone()), ..Peer::default() })
         };
-        let peers = spec.seeds.iter().filter(|s| s.0 != spec.me).map(peer).collect();
-        Keeper {
-            clock: crate::clock::HybridClock::new(&spec.me),
-            settle_deadline: Some(now + spec.catch_up),
+        let peers = spec.seeds.iter().filter(|s| s.0 != spec.name).map(peer).collect();
+        Replicator {
+            clock: crate::clock::HybridClock::new(&spec.name),
+            settle_deadline: Some(now + spec.settle_timeout),
             membership,
             peers,
             spec,
@@ -277,17 +278,17 @@
             resend_due: now,
             scan_due: now,
             expiry_due: now,
-            counts: Counts::default(),
+            counts: ReplicationCounters::default(),
         }
     }
 
     /// Removes and returns the peer messages to send, each with its recipient.
-    pub fn take_out(&mut self) -> Vec<(String, Envelope)> {
+    pub fn take_outgoing(&mut self) -> Vec<(String, Envelope)> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Removes and returns the events to act on.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<ReplicationEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -297,7 +298,7 @@
     }
 
     /// All peers with their state.
-    pub fn standing(&self) -> Vec<(String, &'static str)> {
+    pub fn peer_states(&self) -> Vec<(String, &'static str)> {
         let seen: BTreeMap<String, MemberState> =
             self.membership.members().into_iter().map(|(n, s)| (n.name, s)).collect();
         let of = |(name, p): (&String, &Peer)| {
@@ -316,12 +317,12 @@
     }
 
     /// Destinations that are unavailable by the newest health data of any dispatcher.
-    pub fn away(&self) -> Vec<&str> {
-        self.health.iter().filter(|h| h.1.away.is_some()).map(|h| h.0.as_str()).collect()
+    pub fn unavailable_destinations(&self) -> Vec<&str> {
+        self.health.iter().filter(|h| h.1.unavailable_since.is_some()).map(|h| h.0.as_str()).collect()
     }
 
     /// Number of own messages, number of copies held for peers, and the total size in bytes.
-    pub fn holds(&self) -> (usize, usize, usize) {
+    pub fn copy_counts(&self) -> (usize, usize, usize) {
         let own = self.replicas.values().filter(|p| p.is_owner()).count();
         (own, self.replicas.len() - own, self.bytes)
     }
@@ -330,18 +331,18 @@
     /// [`LEASE_MS`].
     pub fn has_majority(&self, now: Ms) -> bool {
         let answered = self.peers.values().filter(|p| p.has_lease(now)).count();
-        2 * (answered + 1) > self.spec.size
+        2 * (answered + 1) > self.spec.dispatcher_count
     }
 
-    fn send(&mut self, to: &str, payload: Say) {
+    fn send(&mut self, to: &str, payload: Payload) {
         let envelope = Envelope {
             version: VERSION,
             installation: self.spec.installation.clone(),
-            from: self.spec.me.clone(),
-            life: self.spec.born,
+            from: self.spec.name.clone(),
+            incarnation: self.spec.incarnation_id,
             payload: Some(payload),
         };
-        self.counts.bytes += envelope.encoded_len() as u64 + 8;
+        self.counts.bytes_sent += envelope.encoded_len() as u64 + 8;
         self.outbox.push((to.to_string(), envelope));
     }
 
@@ -349,27 +350,27 @@
     fn to_wire(&self, now: Ms, replica: &Replica) -> WireCopy {
         let mut wire = WireCopy::from(&replica.copy);
         wire.valid_until = replica.copy.content.valid_until.saturating_sub(now);
-        wire.once = replica.kind == Kind::Unsafe;
+        wire.at_most_once = replica.kind == Repeatability::AtMostOnce;
         wire
     }
 
     fn send_copy(&mut self, now: Ms, to: &str, id: &str) {
         if let Some(wire) = self.replicas.get(id).map(|p| self.to_wire(now, p)) {
-            self.send(to, Say::Store(wire));
+            self.send(to, Payload::Store(wire));
         }
     }
 
     /// All other dispatchers that hold a copy, including the one that accepted the message.
     fn other_holders(&self, replica: &Replica) -> Vec<String> {
-        let all = std::iter::once(&replica.copy.content.taker).chain(&replica.copy.holders);
-        all.filter(|n| **n != self.spec.me).cloned().collect()
+        let all = std::iter::once(&replica.copy.content.accepted_by).chain(&replica.copy.holders);
+        all.filter(|n| **n != self.spec.name).cloned().collect()
     }
 
     /// Whether both this dispatcher and that peer should have a copy.
     fn is_shared_with(&self, replica: &Replica, peer: &str) -> bool {
-        let (taker, holders) = (&replica.copy.content.taker, &replica.copy.holders);
+        let (taker, holders) = (&replica.copy.content.accepted_by, &replica.copy.holders);
         let has = |n: &str| taker == n || holders.iter().any(|h| h == n);
-        has(peer) && has(&self.spec.me)
+        has(peer) && has(&self.spec.name)
     }
 
     /// Sends the current state of an own message to all other dispatchers that hold it.
@@ -393,10 +394,10 @@
 
     /// Chooses the holders of a message that this dispatcher accepted and sends them copies. Returns whether
     /// the message may be started at once.
-    pub fn taken(&mut self, now: Ms, id: &str, content: Content, kind: Kind) -> bool {
+    pub fn accept(&mut self, now: Ms, id: &str, content: MessageContent, kind: Repeatability) -> bool {
         // All messages of one ordering key get the same holders, so that one dispatcher takes all of them
         // over, in order.
-        let name = content.key.map_or_else(|| xxh3_64(id.as_bytes()), |k| xxh3_64(&k.to_le_bytes()));
+        let name = content.ordering_key.map_or_else(|| xxh3_64(id.as_bytes()), |k| xxh3_64(&k.to_le_bytes()));
         let rank = |n: &String| (xxh3_64_with_seed(n.as_bytes(), name), n.clone());
         let is_reachable =
             |p: &Peer| p.answering && p.lease_start.is_some_and(|t| now < t + HOLDER_FRESHNESS_MS);
@@ -404,12 +405,16 @@
             self.peers.iter().filter(|(_, p)| is_reachable(p)).map(|(n, _)| rank(n)).collect();
         candidates.sort();
         let holders: Vec<String> = candidates.into_iter().rev().take(self.spec.copies).map(|n| n.1).collect();
-        self.counts.alone += u64::from(holders.is_empty());
+        self.counts.without_holders += u64::from(holders.is_empty());
         let arbiter_born = holders.first().and_then(|h| self.peers.get(h)).map_or(0, |p| p.incarnation);
-        let content = Content { taker: self.spec.me.clone(), arbiter_born, ..content };
-        let fence = Fence { epoch: 0, owner: self.spec.me.clone() };
-        let copy = Copy { id: id.to_string(), holders, fence, stage: Stage::Taken, content };
-        let me = self.spec.me.clone();
+        let content = MessageContent {
+            accepted_by: self.spec.name.clone(),
+            arbiter_incarnation: arbiter_born,
+            ..content
+        };
+        let fence = Fence { epoch: 0, owner: self.spec.name.clone() };
+        let copy = MessageCopy { id: id.to_string(), holders, fence, stage: Stage::Accepted, content };
+        let me = self.spec.name.clone();
         self.insert(Replica::new(&me, copy, kind));
         self.replicate(now, id);
         self.request_grant(now, id)
@@ -417,11 +422,11 @@
 
     /// Adds an own message of an earlier incarnation. It is not acted on until the peers have sent what they
     /// know of it.
-    pub fn restored(&mut self, id: &str, content: Content, kind: Kind, stage: Stage) {
-        let content = Content { taker: self.spec.me.clone(), ..content };
-        let fence = Fence { epoch: 0, owner: self.spec.me.clone() };
-        let copy = Copy { id: id.to_string(), holders: Vec::new(), fence, stage, content };
-        let me = self.spec.me.clone();
+    pub fn restore(&mut self, id: &str, content: MessageContent, kind: Repeatability, stage: Stage) {
+        let content = MessageContent { accepted_by: self.spec.name.clone(), ..content };
+        let fence = Fence { epoch: 0, owner: self.spec.name.clone() };
+        let copy = MessageCopy { id: id.to_string(), holders: Vec::new(), fence, stage, content };
+        let me = self.spec.name.clone();
         self.insert(Replica::new(&me, copy, kind));
         self.unsettled.insert(id.to_string());
         if self.settle_deadline.is_none() {
@@ -438,10 +443,10 @@
     fn request_grant(&mut self, now: Ms, id: &str) -> bool {
         let Some(replica) = self.replicas.get(id) else { return true };
         match replica.next_step(true) {
-            Step::RequestGrant(arbiter) => {
+            ReplicaAction::RequestGrant(arbiter) => {
                 let wire = self.to_wire(now, replica);
                 self.grant_requests.insert(id.to_string());
-                self.send(&arbiter, Say::RequestGrant(wire));
+                self.send(&arbiter, Payload::RequestGrant(wire));
                 false
             }
             _ => true,
@@ -466,7 +471,7 @@
     }
 
     /// Whether an attempt of this message may begin now. A message without a copy here is not restricted.
-    pub fn may_act(&self, now: Ms, id: &str) -> bool {
+    pub fn may_start_attempt(&self, now: Ms, id: &str) -> bool {
         let Some(replica) = self.replicas.get(id) else { return true };
         let majority = self.has_majority(now);
         let safe_to_act =
@@ -476,27 +481,27 @@
             return false;
         }
         // A started at-most-once message needs no further grant: its owner finds out the outcome.
-        replica.copy.stage == Stage::Started && replica.kind == Kind::Unsafe
-            || replica.next_step(lease) == Step::Start
+        replica.copy.stage == Stage::Started && replica.kind == Repeatability::AtMostOnce
+            || replica.next_step(lease) == ReplicaAction::Start
     }
 
     /// Whether there are peers without a valid lease that may hold own messages back. If not, running
     /// attempts need no check.
-    pub fn shaky(&self, now: Ms) -> bool {
+    pub fn has_lapsed_lease(&self, now: Ms) -> bool {
         self.peers.values().any(|p| !p.gone && p.incarnation != 0 && !p.has_lease(now))
     }
 
     /// Records that an attempt of an own message begins.
-    pub fn started(&mut self, now: Ms, id: &str) {
+    pub fn record_start(&mut self, now: Ms, id: &str) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
-        if replica.copy.stage == Stage::Taken {
+        if replica.copy.stage == Stage::Accepted {
             replica.mark_started();
             self.replicate(now, id);
         }
     }
 
     /// Records the final answer of an own message.
-    pub fn ended(&mut self, now: Ms, id: &str, end: End) {
+    pub fn record_end(&mut self, now: Ms, id: &str, end: CopyEnding) {
         let Some(replica) = self.replicas.get_mut(id).filter(|p| p.is_owner()) else { return };
         if matches!(replica.copy.stage, Stage::Ended(_)) {
             return;
@@ -511,7 +516,7 @@
     }
 
     /// The stage of a message, if a copy of it is held here.
-    pub fn knows(&self, id: &str) -> Option<Stage> {
+    pub fn stage(&self, id: &str) -> Option<Stage> {
         self.replicas.get(id).map(|p| p.copy.stage)
     }
 
@@ -522,54 +527,54 @@
 
     /// Asks the reachable peers about a message that is unknown here; false if there is none to ask.
     /// [`News::Looked`] reports that they have answered.
-    pub fn look_for(&mut self, now: Ms, id: &str) -> bool {
+    pub fn query_peers(&mut self, now: Ms, id: &str) -> bool {
         let asked: BTreeSet<String> =
             self.peers.iter().filter(|(_, p)| p.answering && p.has_lease(now)).map(|p| p.0.clone()).collect();
         if asked.is_empty() {
             return false;
         }
         self.counts.queries += 1;
-        asked.iter().for_each(|to| self.send(to, Say::Query(id.to_string())));
+        asked.iter().for_each(|to| self.send(to, Payload::Query(id.to_string())));
         self.queries.insert(id.to_string(), (asked, now + QUERY_TIMEOUT_MS));
         true
     }
 
     fn finish_query(&mut self, id: String) {
         if self.queries.remove(&id).is_some() {
-            self.events.push(News::Looked(id));
+            self.events.push(ReplicationEvent::QueryFinished(id));
         }
     }
 
     /// Records health data of a destination that was observed here. Peers get it when the availability
     /// changes, and a peer that starts gets all of it.
-    pub fn learnt(&mut self, member: &str, learnt: Learnt) {
+    pub fn update_health(&mut self, member: &str, learnt: DestinationHealth) {
         let old = self.health.insert(member.to_string(), learnt);
-        if old.map(|o| o.away.is_some()).unwrap_or(false) != learnt.away.is_some() {
+        if old.map(|o| o.unavailable_since.is_some()).unwrap_or(false) != learnt.unavailable_since.is_some() {
             let to: Vec<String> = self.peers.keys().cloned().collect();
-            to.iter().for_each(|p| self.tell_health(learnt.at, p, member));
+            to.iter().for_each(|p| self.send_health(learnt.observed_at, p, member));
         }
     }
 
-    fn tell_health(&mut self, now: Ms, to: &str, member: &str) {
+    fn send_health(&mut self, now: Ms, to: &str, member: &str) {
         let Some(l) = self.health.get(member) else { return };
-        let age = now.saturating_sub(l.at);
-        let away = l.away.map(|a| now.saturating_sub(a));
-        let health = wire::Health { member: member.to_string(), rate: l.rate, away, age };
-        self.send(to, Say::Health(health));
+        let age = now.saturating_sub(l.observed_at);
+        let away = l.unavailable_since.map(|a| now.saturating_sub(a));
+        let health = wire::Health { destination: member.to_string(), rate: l.rate, away, age };
+        self.send(to, Payload::Health(health));
     }
 
     /// Sets (`down`) or lifts an operator block of an endpoint, as ordered at this dispatcher.
-    pub fn ban(&mut self, now: Ms, endpoint: &str, down: bool) {
+    pub fn set_operator_block(&mut self, now: Ms, endpoint: &str, down: bool) {
         let stamp = self.clock.tick(now);
         self.operator_blocks.insert(endpoint.to_string(), (stamp, down));
         // A block received earlier and not yet taken by the dispatcher would be carried out after this one,
         // though it is older.
-        self.events.retain(|n| !matches!(n, News::Ban(id, _) if id == endpoint));
+        self.events.retain(|n| !matches!(n, ReplicationEvent::OperatorBlock(id, _) if id == endpoint));
         let to: Vec<String> = self.peers.keys().cloned().collect();
-        to.iter().for_each(|p| self.tell_ban(p, endpoint));
+        to.iter().for_each(|p| self.send_operator_block(p, endpoint));
     }
 
-    fn tell_ban(&mut self, to: &str, endpoint: &str) {
+    fn send_operator_block(&mut self, to: &str, endpoint: &str) {
         let Some((stamp, down)) = self.operator_blocks.get(endpoint) else { return };
         let block = wire::OperatorBlock {
             id: endpoint.to_string(),
@@ -578,7 +583,7 @@
             count: stamp.count,
             writer: stamp.writer.clone(),
         };
-        self.send(to, Say::OperatorBlock(block));
+        self.send(to, Payload::OperatorBlock(block));
     }
 
     /// Leaves the installation; the peers learn of it at once.
@@ -592,14 +597,14 @@
             if let Some(p) = self.peers.get_mut(&to.name) {
                 // A configured address takes precedence over a received one.
                 p.address.get_or_insert_with(|| to.address.clone());
-            } else if to.name != self.spec.me {
+            } else if to.name != self.spec.name {
                 let peer = Peer { address: Some(to.address.clone()), ..Peer::default() };
                 self.peers.insert(to.name.clone(), peer);
             }
-            self.send(&to.name, Say::Swim(packet));
+            self.send(&to.name, Payload::Swim(packet));
         }
         for change in output.changes {
-            self.events.push(News::View(format!("{change:?}")));
+            self.events.push(ReplicationEvent::MembershipChanged(format!("{change:?}")));
         }
     }
 
@@ -625,14 +630,14 @@
         for name in self.peers.keys().cloned().collect::<Vec<_>>() {
             if self.peers[&name].heartbeat_due <= now {
                 self.peers.entry(name.clone()).and_modify(|p| p.heartbeat_due = now + HEARTBEAT_INTERVAL_MS);
-                self.send(&name, Say::Heartbeat(Heartbeat { at: now, open }));
+                self.send(&name, Payload::Heartbeat(Heartbeat { at: now, open }));
                 self.compare_if_due(now, &name);
             }
         }
         if self.scan_due <= now {
             self.scan_due = now + SCAN_INTERVAL_MS;
             self.update_gone(now);
-            self.look(now);
+            self.take_over_from_gone_owners(now);
             self.settle_restored(now);
         }
         if self.resend_due <= now {
@@ -656,10 +661,10 @@
         // After a loss of the majority no peer counts as gone until it had the time to answer again.
         let since = self.majority_since.take().unwrap_or(now);
         self.majority_since = self.has_majority(now).then_some(since);
-        let majority = self.majority_since.is_some_and(|t| t + GONE_AFTER <= now);
+        let majority = self.majority_since.is_some_and(|t| t + PEER_GONE_AFTER_MS <= now);
         let mut lost = Vec::new();
         for (name, p) in &mut self.peers {
-            let silent = p.last_received.is_none_or(|t| t + GONE_AFTER <= now);
+            let silent = p.last_received.is_none_or(|t| t + PEER_GONE_AFTER_MS <= now);
             let gone = majority && silent && p.incarnation != 0 && !alive.contains(name);
             if gone && !p.gone {
                 p.gone = true;
@@ -676,7 +681,7 @@
                 "{name} counts as gone; it last reported {open} messages without a final answer, \
                  {here} of its messages have a copy here"
             );
-            self.events.push(News::View(text));
+            self.events.push(ReplicationEvent::MembershipChanged(text));
         }
     }
 
@@ -686,13 +691,13 @@
 
     /// Takes over messages of owners that are gone, if this dispatcher is the first live one in the order of
     /// succession. Gives up own messages that wait for a grant of an arbiter that is gone.
-    fn look(&mut self, now: Ms) {
+    fn take_over_from_gone_owners(&mut self, now: Ms) {
         if !self.peers.values().any(|p| p.gone) {
             return;
         }
         let first = |p: &Replica| {
-            let mut order = std::iter::once(&p.copy.content.taker).chain(&p.copy.holders);
-            order.find(|n| !self.is_gone(n)) == Some(&self.spec.me)
+            let mut order = std::iter::once(&p.copy.content.accepted_by).chain(&p.copy.holders);
+            order.find(|n| !self.is_gone(n)) == Some(&self.spec.name)
         };
         let due = |p: &&Replica| {
             !matches!(p.copy.stage, Stage::Ended(_))
@@ -709,29 +714,29 @@
         let lost: Vec<String> = self.grant_requests.iter().filter(lost).cloned().collect();
         for id in lost {
             self.grant_requests.remove(&id);
-            self.events.push(News::GiveUp(id));
+            self.events.push(ReplicationEvent::GiveUp(id));
         }
     }
 
     fn take_over(&mut self, now: Ms, id: &str) {
-        let born = self.spec.born;
+        let born = self.spec.incarnation_id;
         let Some(replica) = self.replicas.get_mut(id) else { return };
         // An arbiter of another incarnation has lost the grants that it gave.
-        let grants_lost = replica.is_arbiter() && replica.copy.content.arbiter_born != born;
+        let grants_lost = replica.is_arbiter() && replica.copy.content.arbiter_incarnation != born;
         let mut step = replica.take_over();
-        if replica.kind == Kind::Unsafe && grants_lost && step == Step::Start {
-            step = Step::GiveUp;
+        if replica.kind == Repeatability::AtMostOnce && grants_lost && step == ReplicaAction::Start {
+            step = ReplicaAction::GiveUp;
         }
-        if step == Step::NoAction {
+        if step == ReplicaAction::NoAction {
             return;
         }
         if replica.copy.content.valid_until <= now {
             // The message expired before the takeover; its final answer is still required.
-            step = Step::GiveUp;
+            step = ReplicaAction::GiveUp;
         }
-        self.counts.taken_over += 1;
+        self.counts.takeovers += 1;
         let copy = replica.copy.clone();
-        self.events.push(News::Take(Box::new(copy), step));
+        self.events.push(ReplicationEvent::OwnershipTaken(Box::new(copy), step));
         self.replicate(now, id);
     }
 
@@ -741,13 +746,13 @@
         let Some(by) = self.settle_deadline else { return };
         let reachable: Vec<&Peer> = self.peers.values().filter(|p| p.has_lease(now)).collect();
         let compared = reachable.iter().filter(|p| p.compared).count();
-        let done = 2 * (compared + 1) > self.spec.size && compared == reachable.len();
-        let alone = self.spec.size <= 1;
+        let done = 2 * (compared + 1) > self.spec.dispatcher_count && compared == reachable.len();
+        let alone = self.spec.dispatcher_count <= 1;
         if !(done || alone || now >= by) {
             return;
         }
         self.settle_deadline = None;
-        self.events.push(News::CaughtUp(done || alone));
+        self.events.push(ReplicationEvent::Settled(done || alone));
         if !(done || alone) {
             // The dispatcher serves, but restored messages wait for a majority of the peers.
             if !self.unsettled.is_empty() {
@@ -762,14 +767,14 @@
         }
         for id in std::mem::replace(&mut self.unsettled, remaining) {
             let Some(replica) = self.replicas.get(&id) else { continue };
-            if replica.copy.holders.is_empty() && replica.copy.stage == Stage::Taken {
+            if replica.copy.holders.is_empty() && replica.copy.stage == Stage::Accepted {
                 // No peer has a copy: it is treated as if it had been accepted just now.
                 let (content, kind) = (replica.copy.content.clone(), replica.kind);
-                if self.taken(now, &id, content, kind) {
-                    self.events.push(News::Start(id));
+                if self.accept(now, &id, content, kind) {
+                    self.events.push(ReplicationEvent::Start(id));
                 }
             } else if self.request_grant(now, &id) {
-                self.events.push(News::Start(id));
+                self.events.push(ReplicationEvent::Start(id));
             }
         }
     }
@@ -816,19 +821,19 @@
     }
 
     /// Processes a peer message.
-    pub fn hear(&mut self, now: Ms, e: Envelope) {
-        if e.from == self.spec.me || e.from.is_empty() || e.life == 0 {
-            self.counts.nonsense += 1;
+    pub fn receive(&mut self, now: Ms, e: Envelope) {
+        if e.from == self.spec.name || e.from.is_empty() || e.incarnation == 0 {
+            self.counts.invalid_messages += 1;
             return;
         }
         let from = e.from;
         let peer = self.peers.entry(from.clone()).or_default();
-        if peer.past_incarnations.contains(&e.life) {
-            self.counts.stale += 1;
+        if peer.past_incarnations.contains(&e.incarnation) {
+            self.counts.stale_messages += 1;
             return;
         }
         peer.last_received = Some(now);
-        if peer.incarnation != e.life {
+        if peer.incarnation != e.incarnation {
             // A new incarnation: all that was known of the peer is discarded until it is received anew.
             let again = peer.incarnation != 0;
             let mut past = std::mem::take(&mut peer.past_incarnations);
@@ -836,60 +841,65 @@
             past.drain(..past.len().saturating_sub(MAX_PAST_INCARNATIONS));
             *peer = Peer {
                 address: peer.address.take(),
-                incarnation: e.life,
+                incarnation: e.incarnation,
                 last_received: Some(now),
                 heartbeat_due: now,
                 ..Peer::default()
             };
             (peer.needs_fences, peer.past_incarnations) = (true, past);
             if again {
-                self.events.push(News::View(format!("{from} was restarted and has begun a new life")));
+                self.events.push(ReplicationEvent::MembershipChanged(format!(
+                    "{from} was restarted and has begun a new life"
+                )));
             }
             self.operator_blocks
                 .keys()
                 .cloned()
                 .collect::<Vec<_>>()
                 .iter()
-                .for_each(|b| self.tell_ban(&from, b));
+                .for_each(|b| self.send_operator_block(&from, b));
             let members: Vec<String> = self.health.keys().cloned().collect();
-            members.iter().for_each(|m| self.tell_health(now, &from, m));
+            members.iter().for_each(|m| self.send_health(now, &from, m));
         }
         match e.payload {
-            Some(Say::Swim(packet)) => {
+            Some(Payload::Swim(packet)) => {
                 let output = self.membership.receive(now, &packet);
                 self.apply(output);
             }
-            Some(Say::Heartbeat(b)) => {
+            Some(Payload::Heartbeat(b)) => {
                 self.renew_lease(now, &from);
                 self.peers.entry(from.clone()).and_modify(|p| p.open_messages = b.open);
-                self.send(&from, Say::HeartbeatAck(b.at));
+                self.send(&from, Payload::HeartbeatAck(b.at));
             }
-            Some(Say::Query(id)) => {
+            Some(Payload::Query(id)) => {
                 let known =
                     self.replicas.get(&id).map(|p| WireCopy { body: Vec::new(), ..self.to_wire(now, p) });
-                self.send(&from, Say::QueryAnswer(known.unwrap_or(WireCopy { id, ..WireCopy::default() })));
+                self.send(
+                    &from,
+                    Payload::QueryAnswer(known.unwrap_or(WireCopy { id, ..WireCopy::default() })),
+                );
             }
-            Some(Say::QueryAnswer(wire)) => self.on_query_answer(now, &from, wire),
-            Some(Say::Health(h)) => {
+            Some(Payload::QueryAnswer(wire)) => self.on_query_answer(now, &from, wire),
+            Some(Payload::Health(h)) => {
                 let at = now.saturating_sub(h.age);
-                let fresher = self.health.get(&h.member).is_none_or(|l| l.at < at);
-                if h.member.is_empty() || !h.rate.is_finite() || h.rate < 0.0 {
-                    self.counts.nonsense += 1;
+                let fresher = self.health.get(&h.destination).is_none_or(|l| l.observed_at < at);
+                if h.destination.is_empty() || !h.rate.is_finite() || h.rate < 0.0 {
+                    self.counts.invalid_messages += 1;
                 } else if fresher {
                     let away = h.away.map(|a| now.saturating_sub(a));
-                    let learnt = Learnt { rate: h.rate, away, at };
-                    self.health.insert(h.member.clone(), learnt);
-                    self.events.push(News::Health(h.member, learnt));
+                    let learnt = DestinationHealth { rate: h.rate, unavailable_since: away, observed_at: at };
+                    self.health.insert(h.destination.clone(), learnt);
+                    self.events.push(ReplicationEvent::HealthUpdate(h.destination, learnt));
                 }
             }
-            Some(Say::HeartbeatAck(at)) if at <= now => {
+            Some(Payload::HeartbeatAck(at)) if at <= now => {
                 self.peers.entry(from).and_modify(|p| {
                     p.lease_start = p.lease_start.max(Some(at));
                     p.answering = true;
                 });
             }
-            Some(Say::Store(wire)) => self.on_copy(now, &from, wire),
-            Some(Say::Stored(h)) => {
+            Some(Payload::Store(wire)) => self.on_copy(now, &from, wire),
+            Some(Payload::Stored(h)) => {
                 let same = |p: &Replica| {
                     p.copy.fence.epoch == h.epoch && wire::stage_number(p.copy.stage).0 == h.stage
                 };
@@ -897,49 +907,52 @@
                     self.confirm(&h.id, &from);
                 }
                 if self.replicas.get(&h.id).is_some_and(Replica::is_owner) {
-                    self.events.push(News::Held(h.id));
+                    self.events.push(ReplicationEvent::CopyAcknowledged(h.id));
                 }
             }
-            Some(Say::RequestGrant(wire)) => self.on_grant_request(now, &from, wire),
-            Some(Say::Grant(wire)) => {
+            Some(Payload::RequestGrant(wire)) => self.on_grant_request(now, &from, wire),
+            Some(Payload::Grant(wire)) => {
                 let fence = Fence { epoch: wire.epoch, owner: wire.owner };
                 if let Some(replica) = self.replicas.get_mut(&wire.id) {
                     replica.on_grant(&fence);
                     if replica.has_grant && self.grant_requests.remove(&wire.id) {
-                        self.events.push(News::Start(wire.id));
+                        self.events.push(ReplicationEvent::Start(wire.id));
                     }
                 }
             }
-            Some(Say::DenyGrant(wire)) => {
+            Some(Payload::DenyGrant(wire)) => {
                 let fence = Fence { epoch: wire.epoch, owner: wire.owner };
                 let Some(replica) = self.replicas.get_mut(&wire.id).filter(|p| p.is_owner()) else { return };
                 if !self.grant_requests.remove(&wire.id) {
                     return;
                 }
                 match replica.on_grant_denied(&fence) {
-                    Step::GiveUp => self.events.push(News::GiveUp(wire.id)),
+                    ReplicaAction::GiveUp => self.events.push(ReplicationEvent::GiveUp(wire.id)),
                     _ => self.release_own(&wire.id),
                 }
             }
-            Some(Say::Hashes(h)) => {
+            Some(Payload::Hashes(h)) => {
                 let level = h.level.min(DEPTH);
                 let differ = self
                     .digest(now, &from)
                     .map_or_else(Vec::new, |t| t.tree.differing_children(level, h.at as usize, &h.hashes));
                 let children = differ.into_iter().map(|c| c as u32).collect();
-                self.send(&from, Say::DifferingChildren(DifferingChildren { level, children }));
+                self.send(&from, Payload::DifferingChildren(DifferingChildren { level, children }));
             }
-            Some(Say::DifferingChildren(d)) => self.on_differing_children(now, &from, d),
-            Some(Say::RequestBuckets(b)) => {
+            Some(Payload::DifferingChildren(d)) => self.on_differing_children(now, &from, d),
+            Some(Payload::RequestBuckets(b)) => {
                 let mut have: BTreeSet<u64> = b.have.into_iter().take(MAX_HASHES_PER_REQUEST).collect();
                 let here = self.entries(now, &from, &b.at);
                 here.into_iter()
                     .filter(|(_, h)| !have.remove(h))
                     .for_each(|(id, _)| self.send_missing(now, &from, &id));
                 let count = b.at.len() as u32;
-                self.send(&from, Say::BucketsSent(BucketsSent { count, lacks: have.into_iter().collect() }));
+                self.send(
+                    &from,
+                    Payload::BucketsSent(BucketsSent { count, lacks: have.into_iter().collect() }),
+                );
             }
-            Some(Say::BucketsSent(d)) => {
+            Some(Payload::BucketsSent(d)) => {
                 let comparison = self.peers.get_mut(&from).and_then(|p| p.comparison.as_mut());
                 let asked = comparison.map(|r| std::mem::take(&mut r.requested)).unwrap_or_default();
                 let lacks: BTreeSet<u64> = d.lacks.into_iter().take(MAX_HASHES_PER_REQUEST).collect();
@@ -951,16 +964,16 @@
                 }
                 self.request_next_buckets(now, &from);
             }
-            Some(Say::OperatorBlock(b)) => {
+            Some(Payload::OperatorBlock(b)) => {
                 let stamp = crate::clock::Timestamp { wall: b.wall, count: b.count, writer: b.writer };
                 if b.id.is_empty() || !self.clock.observe(now, &stamp) {
-                    self.counts.nonsense += 1;
+                    self.counts.invalid_messages += 1;
                 } else if self.operator_blocks.get(&b.id).is_none_or(|(s, _)| *s < stamp) {
                     self.operator_blocks.insert(b.id.clone(), (stamp, b.down));
-                    self.events.push(News::Ban(b.id, b.down));
+                    self.events.push(ReplicationEvent::OperatorBlock(b.id, b.down));
                 }
             }
-            Some(Say::HeartbeatAck(_)) | None => self.counts.nonsense += 1,
+            Some(Payload::HeartbeatAck(_)) | None => self.counts.invalid_messages += 1,
         }
     }
 
@@ -971,7 +984,7 @@
         if p.gone {
             p.gone = false;
             p.comparison_due = now;
-            self.events.push(News::View(format!("{from} is reachable again")));
+            self.events.push(ReplicationEvent::MembershipChanged(format!("{from} is reachable again")));
         }
         if !std::mem::take(&mut p.needs_fences) {
             return;
@@ -991,17 +1004,17 @@
 
     /// The connection to a peer is lost, and peer messages may be lost with it: fences that replaced its own
     /// are sent anew.
-    pub fn lost(&mut self, name: &str) {
+    pub fn connection_lost(&mut self, name: &str) {
         self.peers.entry(name.to_string()).and_modify(|p| (p.needs_fences, p.answering) = (true, false));
     }
 
     /// Drops an own message that another dispatcher owns now.
     fn release_own(&mut self, id: &str) {
-        self.counts.left += 1;
+        self.counts.ownership_lost += 1;
         self.unconfirmed.remove(id);
         self.grant_requests.remove(id);
         self.unsettled.remove(id);
-        self.events.push(News::Leave(id.to_string()));
+        self.events.push(ReplicationEvent::OwnershipLost(id.to_string()));
     }
 
     /// Processes a peer's answer to a query. A copy in it is kept without the body, to answer the client
@@ -1011,12 +1024,12 @@
         let Some((asked, _)) = self.queries.get_mut(&id) else { return };
         asked.remove(from);
         let all = asked.is_empty();
-        let kind = if wire.once { Kind::Unsafe } else { Kind::Safe };
+        let kind = if wire.at_most_once { Repeatability::AtMostOnce } else { Repeatability::Repeatable };
         let copy = Some(wire).filter(|w| !w.owner.is_empty()).and_then(WireCopy::read);
         if let Some(mut copy) = copy.filter(|_| !self.replicas.contains_key(&id)) {
             copy.content.valid_until = copy.content.valid_until.saturating_add(now);
-            if self.bytes + copy.size() <= self.spec.most_bytes {
-                let me = self.spec.me.clone();
+            if self.bytes + copy.size() <= self.spec.max_bytes {
+                let me = self.spec.name.clone();
                 self.insert(Replica::new(&me, copy, kind));
                 return self.finish_query(id);
             }
@@ -1027,53 +1040,56 @@
     }
 
     fn on_copy(&mut self, now: Ms, from: &str, wire: WireCopy) {
-        let once = wire.once;
+        let once = wire.at_most_once;
         let Some(mut copy) = wire.read() else {
-            self.counts.nonsense += 1;
+            self.counts.invalid_messages += 1;
             return;
         };
         copy.content.valid_until = copy.content.valid_until.saturating_add(now);
         let id = copy.id.clone();
-        let kind = if once { Kind::Unsafe } else { Kind::Safe };
-        let me = self.spec.me.clone();
+        let kind = if once { Repeatability::AtMostOnce } else { Repeatability::Repeatable };
+        let me = self.spec.name.clone();
         let Some(replica) = self.replicas.get_mut(&id) else {
-            if copy.content.taker == me && !matches!(copy.stage, Stage::Ended(_)) && copy.fence.owner == me {
-                return self.remember_own(now, copy, kind);
+            if copy.content.accepted_by == me
+                && !matches!(copy.stage, Stage::Ended(_))
+                && copy.fence.owner == me
+            {
+                return self.reclaim_own(now, copy, kind);
             }
-            if !copy.holders.contains(&me) && copy.content.taker != me {
-                self.counts.nonsense += 1;
+            if !copy.holders.contains(&me) && copy.content.accepted_by != me {
+                self.counts.invalid_messages += 1;
                 return;
             }
             if matches!(copy.stage, Stage::Ended(_)) {
                 copy.content.body = Vec::new();
             }
-            if self.bytes + copy.size() > self.spec.most_bytes {
-                self.counts.no_room += 1;
+            if self.bytes + copy.size() > self.spec.max_bytes {
+                self.counts.copies_rejected += 1;
                 return;
             }
-            self.counts.taken_in += 1;
+            self.counts.copies_accepted += 1;
             self.acknowledge(from, &copy);
             return self.insert(Replica::new(&me, copy, kind));
         };
-        if replica.copy.content.taker != copy.content.taker && self.unsettled.contains(&id) {
+        if replica.copy.content.accepted_by != copy.content.accepted_by && self.unsettled.contains(&id) {
             // The message was taken over in an earlier incarnation, and the state folder has it as if it had
             // been accepted here.
-            replica.copy.content.taker = copy.content.taker.clone();
-            replica.copy.content.arbiter_born = copy.content.arbiter_born;
+            replica.copy.content.accepted_by = copy.content.accepted_by.clone();
+            replica.copy.content.arbiter_incarnation = copy.content.arbiter_incarnation;
             (replica.copy.holders, replica.copy.fence) = (copy.holders.clone(), copy.fence.clone());
             if copy.fence.owner != me {
                 return self.release_own(&id);
             }
         }
-        if replica.copy.content.taker != copy.content.taker {
+        if replica.copy.content.accepted_by != copy.content.accepted_by {
             // The client submitted the message to two dispatchers: each has its own, and the arbiter's grant
             // decides between them.
             return self.acknowledge(from, &copy);
         }
         // The state folder was restored from an older copy: an attempt begun after that copy was made may
         // have run.
-        let begun = replica.kind == Kind::Unsafe
-            && replica.copy.stage == Stage::Taken
+        let begun = replica.kind == Repeatability::AtMostOnce
+            && replica.copy.stage == Stage::Accepted
             && copy.stage == Stage::Started
             && replica.copy.fence.owner == me
             && self.unsettled.contains(&id);
@@ -1082,7 +1098,7 @@
         // After a restart the holders may be unknown here.
         if replica.copy.holders.is_empty() {
             replica.copy.holders = copy.holders.clone();
-            replica.copy.content.arbiter_born = copy.content.arbiter_born;
+            replica.copy.content.arbiter_incarnation = copy.content.arbiter_incarnation;
         }
         let differ = replica.merge(&copy, false, Faults::default()) == MergeOutcome::Conflict;
         if matches!(replica.copy.stage, Stage::Ended(_)) {
@@ -1093,12 +1109,14 @@
         self.bytes = self.bytes + after.size() - before;
         if differ {
             self.counts.conflicts += 1;
-            self.events
-                .push(News::View(format!("{id} has two different final answers; keeping {:?}", after.stage)));
+            self.events.push(ReplicationEvent::MembershipChanged(format!(
+                "{id} has two different final answers; keeping {:?}",
+                after.stage
+            )));
         }
         self.acknowledge(from, &after);
         if begun && owns {
-            self.events.push(News::GiveUp(id));
+            self.events.push(ReplicationEvent::GiveUp(id));
         } else if owned && (!owns || !was_ended && matches!(after.stage, Stage::Ended(_))) {
             self.release_own(&id);
         } else if (after.fence, after.stage) > (copy.fence, copy.stage) {
@@ -1107,34 +1125,35 @@
         }
     }
 
-    fn acknowledge(&mut self, to: &str, copy: &Copy) {
+    fn acknowledge(&mut self, to: &str, copy: &MessageCopy) {
         let stage = wire::stage_number(copy.stage).0;
-        self.send(to, Say::Stored(CopyAck { id: copy.id.clone(), epoch: copy.fence.epoch, stage }));
+        self.send(to, Payload::Stored(CopyAck { id: copy.id.clone(), epoch: copy.fence.epoch, stage }));
     }
 
     /// Takes up an own message that was lost with the state folder and that a peer returned, under a higher
     /// fence. An at-most-once message is given up: nobody can prove that it was never sent.
-    fn remember_own(&mut self, now: Ms, mut copy: Copy, kind: Kind) {
+    fn reclaim_own(&mut self, now: Ms, mut copy: MessageCopy, kind: Repeatability) {
         let participants = copy.holders.len() as u64 + 1;
         copy.fence = Fence {
             epoch: (copy.fence.epoch / participants + 1) * participants,
-            owner: self.spec.me.clone(),
+            owner: self.spec.name.clone(),
         };
-        let step = if kind == Kind::Safe { Step::Start } else { Step::GiveUp };
-        let (id, me) = (copy.id.clone(), self.spec.me.clone());
-        self.counts.taken_over += 1;
+        let step =
+            if kind == Repeatability::Repeatable { ReplicaAction::Start } else { ReplicaAction::GiveUp };
+        let (id, me) = (copy.id.clone(), self.spec.name.clone());
+        self.counts.takeovers += 1;
         self.insert(Replica::new(&me, copy.clone(), kind));
-        self.events.push(News::Take(Box::new(copy), step));
+        self.events.push(ReplicationEvent::OwnershipTaken(Box::new(copy), step));
         self.replicate(now, &id);
     }
 
     fn on_grant_request(&mut self, now: Ms, from: &str, wire: WireCopy) {
         let fence = Fence { epoch: wire.epoch, owner: wire.owner.clone() };
-        let (id, born) = (wire.id.clone(), wire.arbiter_born);
+        let (id, born) = (wire.id.clone(), wire.arbiter_incarnation);
         if !self.replicas.contains_key(&id) {
             self.on_copy(now, from, wire);
         }
-        let incarnation = self.spec.born;
+        let incarnation = self.spec.incarnation_id;
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         let answer = if born == incarnation {
             replica.on_grant_request(&fence, Faults::default())
@@ -1144,12 +1163,12 @@
         let mut wire = self.replicas.get(&id).map(|p| self.to_wire(now, p)).unwrap_or_default();
         wire.body = Vec::new();
         if answer == PeerMessage::Grant {
-            self.counts.granted += 1;
+            self.counts.grants_given += 1;
             (wire.epoch, wire.owner) = (fence.epoch, fence.owner);
-            self.send(from, Say::Grant(wire));
+            self.send(from, Payload::Grant(wire));
         } else {
-            self.counts.denied += 1;
-            self.send(from, Say::DenyGrant(wire));
+            self.counts.grants_denied += 1;
+            self.send(from, Payload::DenyGrant(wire));
         }
     }
 
@@ -1161,7 +1180,7 @@
             let open = |p: &Replica| {
                 !matches!(p.copy.stage, Stage::Ended(_)) || p.copy.content.valid_until > now + 2_000
             };
-            let both: Vec<&Copy> = self
+            let both: Vec<&MessageCopy> = self
                 .replicas
                 .values()
                 .filter(|p| open(p) && self.is_shared_with(p, with))
@@ -1186,7 +1205,7 @@
     }
 
     fn send_missing(&mut self, now: Ms, to: &str, id: &str) {
-        self.counts.caught_up += 1;
+        self.counts.missing_copies_sent += 1;
         self.send_copy(now, to, id);
     }
 
@@ -1209,7 +1228,7 @@
         p.comparison_due = now + COMPARISON_INTERVAL_MS;
         p.digest = None;
         let hashes = self.digest(now, name).and_then(|t| t.tree.children(0, 0)).unwrap_or_default();
-        self.send(name, Say::Hashes(Hashes { level: 0, at: 0, hashes }));
+        self.send(name, Payload::Hashes(Hashes { level: 0, at: 0, hashes }));
     }
 
     fn on_differing_children(&mut self, now: Ms, from: &str, d: DifferingChildren) {
@@ -1225,7 +1244,7 @@
             for at in children {
                 let tree = self.digest(now, from).map(|t| &t.tree);
                 let hashes = tree.and_then(|t| t.children(d.level + 1, at as usize)).unwrap_or_default();
-                self.send(from, Say::Hashes(Hashes { level: d.level + 1, at, hashes }));
+                self.send(from, Payload::Hashes(Hashes { level: d.level + 1, at, hashes }));
             }
         }
         self.request_next_buckets(now, from);
@@ -1246,7 +1265,7 @@
         (r.requested, r.since) = (at.clone(), now);
         let have =
             self.entries(now, with, &at).into_iter().map(|e| e.1).take(MAX_HASHES_PER_REQUEST).collect();
-        self.send(with, Say::RequestBuckets(BucketRequest { at, have }));
+        self.send(with, Payload::RequestBuckets(BucketRequest { at, have }));
     }
 }
 
--- a/crates/replica/src/owner.rs
+++ b/crates/replica/src/owner.rs
@@ -18,7 +18,7 @@
 //! dispatcher whose own lease has expired counts nobody as gone, and the peers that renew its lease send it
 //! their copies first, so that it does not act under a fence that has been replaced.
 
-use crate::copies::{Copy, End, Fence, MergeOutcome, Stage};
+use crate::copies::{CopyEnding, Fence, MergeOutcome, MessageCopy, Stage};
 
 /// A peer message about one message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 
 /// The next action for a message.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum ReplicaAction {
     /// Start an attempt.
     Start,
     /// Request a grant from this arbiter first.
@@ -50,11 +50,11 @@
 
 /// Whether a message may be repeated after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum Repeatability {
     /// It may be repeated.
-    Safe,
+    Repeatable,
     /// It must not be repeated (at-most-once).
-    Unsafe,
+    AtMostOnce,
 }
 
 /// Rules that the model checker switches off to show that it detects their absence. A dispatcher sets none of
@@ -73,52 +73,52 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
     /// The name of this dispatcher.
-    pub me: String,
+    pub dispatcher: String,
     /// The copy as this dispatcher knows it.
-    pub copy: Copy,
+    pub copy: MessageCopy,
     /// At the arbiter: the fence that may start the message.
     pub granted_fence: Option<Fence>,
     /// At the owner: whether the arbiter's grant has arrived.
     pub has_grant: bool,
     /// Whether the message may be repeated.
-    pub kind: Kind,
+    pub kind: Repeatability,
 }
 
 impl Replica {
     /// The state of this dispatcher for a message, without a grant.
-    pub fn new(me: &str, copy: Copy, kind: Kind) -> Replica {
-        Replica { me: me.into(), copy, granted_fence: None, has_grant: false, kind }
+    pub fn new(me: &str, copy: MessageCopy, kind: Repeatability) -> Replica {
+        Replica { dispatcher: me.into(), copy, granted_fence: None, has_grant: false, kind }
     }
 
     /// Whether this dispatcher owns the message, and so may act on it.
     pub fn is_owner(&self) -> bool {
-        self.copy.fence.owner == self.me
+        self.copy.fence.owner == self.dispatcher
     }
 
     /// Whether this dispatcher is the message's arbiter.
     pub fn is_arbiter(&self) -> bool {
-        self.copy.holders.first().is_some_and(|h| *h == self.me)
+        self.copy.holders.first().is_some_and(|h| *h == self.dispatcher)
     }
 
     /// What the owner may do now. `lease`: whether its peers will still count it as alive for some time.
-    pub fn next_step(&self, lease: bool) -> Step {
+    pub fn next_step(&self, lease: bool) -> ReplicaAction {
         if !self.is_owner() || matches!(self.copy.stage, Stage::Ended(_)) {
-            return Step::NoAction;
+            return ReplicaAction::NoAction;
         }
         match self.kind {
-            Kind::Safe if lease => Step::Start,
-            Kind::Safe => Step::NoAction,
+            Repeatability::Repeatable if lease => ReplicaAction::Start,
+            Repeatability::Repeatable => ReplicaAction::NoAction,
             // A started at-most-once message is not started again: its attempt has an outcome, or the outcome
             // stays unknown.
-            Kind::Unsafe if self.copy.stage == Stage::Started => Step::NoAction,
+            Repeatability::AtMostOnce if self.copy.stage == Stage::Started => ReplicaAction::NoAction,
             // No other dispatcher has a copy, so none can take the message over.
-            Kind::Unsafe if self.copy.holders.is_empty() => Step::Start,
-            Kind::Unsafe if self.is_arbiter() => match &self.granted_fence {
-                Some(f) if *f != self.copy.fence => Step::GiveUp,
-                _ => Step::Start,
+            Repeatability::AtMostOnce if self.copy.holders.is_empty() => ReplicaAction::Start,
+            Repeatability::AtMostOnce if self.is_arbiter() => match &self.granted_fence {
+                Some(f) if *f != self.copy.fence => ReplicaAction::GiveUp,
+                _ => ReplicaAction::Start,
             },
-            Kind::Unsafe if self.has_grant => Step::Start,
-            Kind::Unsafe => Step::RequestGrant(self.copy.holders[0].clone()),
+            Repeatability::AtMostOnce if self.has_grant => ReplicaAction::Start,
+            Repeatability::AtMostOnce => ReplicaAction::RequestGrant(self.copy.holders[0].clone()),
         }
     }
 
@@ -131,28 +131,32 @@
     }
 
     /// The message has its final answer.
-    pub fn mark_ended(&mut self, end: End) {
+    pub fn mark_ended(&mut self, end: CopyEnding) {
         self.copy.stage = self.copy.stage.max(Stage::Ended(end));
     }
 
     /// Takes the message over: its owner counts as gone, and this dispatcher is the first live one in the
     /// order of succession. Returns the next action.
-    pub fn take_over(&mut self) -> Step {
+    pub fn take_over(&mut self) -> ReplicaAction {
         if self.is_owner() {
-            return Step::NoAction;
+            return ReplicaAction::NoAction;
         }
-        let index = self.copy.holders.iter().position(|h| *h == self.me).map_or(0, |p| p as u64 + 1);
+        let index = self.copy.holders.iter().position(|h| *h == self.dispatcher).map_or(0, |p| p as u64 + 1);
         let participants = self.copy.holders.len() as u64 + 1;
         // Each dispatcher uses epochs of its own, so that two that take over at once never act under the same
         // epoch.
         let epoch = (self.copy.fence.epoch / participants + 1) * participants + index;
-        self.copy.fence = Fence { epoch, owner: self.me.clone() };
+        self.copy.fence = Fence { epoch, owner: self.dispatcher.clone() };
         self.has_grant = false;
         match (self.copy.stage, self.kind) {
-            (Stage::Ended(_), _) => Step::NoAction,
-            (_, Kind::Safe) => Step::Start,
-            (Stage::Taken, Kind::Unsafe) if self.is_arbiter() && self.granted_fence.is_none() => Step::Start,
-            _ => Step::GiveUp,
+            (Stage::Ended(_), _) => ReplicaAction::NoAction,
+            (_, Repeatability::Repeatable) => ReplicaAction::Start,
+            (Stage::Accepted, Repeatability::AtMostOnce)
+                if self.is_arbiter() && self.granted_fence.is_none() =>
+            {
+                ReplicaAction::Start
+            }
+            _ => ReplicaAction::GiveUp,
         }
     }
 
@@ -178,18 +182,18 @@
     /// A denial has arrived, with the fence that the message belongs to. An owner with a lower fence stops.
     /// An owner with the highest fence gives the message up, because the arbiter granted it to another one
     /// before.
-    pub fn on_grant_denied(&mut self, fence: &Fence) -> Step {
+    pub fn on_grant_denied(&mut self, fence: &Fence) -> ReplicaAction {
         if *fence > self.copy.fence {
             self.copy.fence = fence.clone();
             self.has_grant = false;
-            return Step::NoAction;
+            return ReplicaAction::NoAction;
         }
-        Step::GiveUp
+        ReplicaAction::GiveUp
     }
 
     /// Merges another dispatcher's copy. `later`: it was written later by the wall clock, which counts only
     /// with the fault [`Faults::last_writer_wins`].
-    pub fn merge(&mut self, copy: &Copy, later: bool, faults: Faults) -> MergeOutcome {
+    pub fn merge(&mut self, copy: &MessageCopy, later: bool, faults: Faults) -> MergeOutcome {
         if faults.last_writer_wins {
             if later {
                 (self.copy.stage, self.copy.fence) = (copy.stage, copy.fence.clone());
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -21,7 +21,7 @@
 const INDIRECT_PROBES: usize = 3;
 /// How long a suspicion stands before the member counts as gone. A member slowed by half a second refutes it
 /// in time.
-pub const SUSPECT_FOR: Duration = Duration::from_millis(2_500);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Size limit of a packet, in bytes.
 const MAX_PACKET_BYTES: usize = 1_400;
 /// A gone peer is forgotten after this time; it may rejoin under its name at any time.
@@ -29,7 +29,7 @@
 
 /// A dispatcher as its peers know it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Node {
+pub struct PeerIdentity {
     /// Its name.
     pub name: String,
     /// The address at which its peers reach it.
@@ -38,18 +38,18 @@
     pub life: u64,
 }
 
-impl Identity for Node {
+impl Identity for PeerIdentity {
     type Addr = String;
 
-    fn renew(&self) -> Option<Node> {
-        Some(Node { life: self.life + 1, ..self.clone() })
+    fn renew(&self) -> Option<PeerIdentity> {
+        Some(PeerIdentity { life: self.life + 1, ..self.clone() })
     }
 
     fn addr(&self) -> String {
         self.name.clone()
     }
 
-    fn win_addr_conflict(&self, adversary: &Node) -> bool {
+    fn win_addr_conflict(&self, adversary: &PeerIdentity) -> bool {
         self.life > adversary.life
     }
 }
@@ -58,13 +58,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipChange {
     /// The member is alive.
-    Up(Node),
+    Up(PeerIdentity),
     /// The member is gone.
-    Gone(Node),
+    Gone(PeerIdentity),
     /// The member restarted before it counted as gone.
-    Restarted(Node),
+    Restarted(PeerIdentity),
     /// The peers had declared this dispatcher gone; it rejoined under its next incarnation.
-    Rejoined(Node),
+    Rejoined(PeerIdentity),
 }
 
 /// The state of a member.
@@ -80,13 +80,13 @@
 
 #[derive(Debug, Default)]
 struct FocaRuntime {
-    sends: Vec<(Node, Vec<u8>)>,
-    timers: Vec<(Timer<Node>, Duration)>,
+    sends: Vec<(PeerIdentity, Vec<u8>)>,
+    timers: Vec<(Timer<PeerIdentity>, Duration)>,
     changes: Vec<MembershipChange>,
 }
 
-impl Runtime<Node> for FocaRuntime {
-    fn notify(&mut self, notification: Notification<'_, Node>) {
+impl Runtime<PeerIdentity> for FocaRuntime {
+    fn notify(&mut self, notification: Notification<'_, PeerIdentity>) {
         self.changes.extend(match notification {
             Notification::MemberUp(n) => Some(MembershipChange::Up(n.clone())),
             Notification::MemberDown(n) => Some(MembershipChange::Gone(n.clone())),
@@ -96,11 +96,11 @@
         });
     }
 
-    fn send_to(&mut self, to: Node, data: &[u8]) {
+    fn send_to(&mut self, to: PeerIdentity, data: &[u8]) {
         self.sends.push((to, data.to_vec()));
     }
 
-    fn submit_after(&mut self, event: Timer<Node>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<PeerIdentity>, after: Duration) {
         self.timers.push((event, after));
     }
 }
@@ -109,17 +109,17 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Output {
     /// Packets to send, each with its recipient.
-    pub sends: Vec<(Node, Vec<u8>)>,
+    pub sends: Vec<(PeerIdentity, Vec<u8>)>,
     /// Changes of the membership.
     pub changes: Vec<MembershipChange>,
 }
 
 /// The membership as one dispatcher sees it.
 pub struct Membership {
-    me: Node,
-    foca: Foca<Node, PostcardCodec, StdRng, NoCustomBroadcast>,
-    timers: Vec<(Ms, Timer<Node>)>,
-    seeds: Vec<Node>,
+    me: PeerIdentity,
+    foca: Foca<PeerIdentity, PostcardCodec, StdRng, NoCustomBroadcast>,
+    timers: Vec<(Ms, Timer<PeerIdentity>)>,
+    seeds: Vec<PeerIdentity>,
     announce_at: Ms,
     /// Packets that could not be decoded.
     pub undecodable: u64,
@@ -130,13 +130,13 @@
 
 impl Membership {
     /// A membership that knows no other dispatcher yet; `seeds` are asked for the other members.
-    pub fn new(now: Ms, me: Node, seeds: Vec<Node>, seed: u64) -> Membership {
+    pub fn new(now: Ms, me: PeerIdentity, seeds: Vec<PeerIdentity>, seed: u64) -> Membership {
         let config = Config {
             probe_period: PROBE_PERIOD,
             probe_rtt: PROBE_TIMEOUT,
             num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(10).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: SUSPECT_FOR,
+            suspect_to_down_after: SUSPICION_TIMEOUT,
             remove_down_after: Some(FORGET_AFTER),
             max_packet_size: NonZeroUsize::new(MAX_PACKET_BYTES).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
@@ -148,7 +148,7 @@
     }
 
     /// This dispatcher, with its incarnation as the peers know it.
-    pub fn me(&self) -> &Node {
+    pub fn me(&self) -> &PeerIdentity {
         &self.me
     }
 
@@ -161,10 +161,10 @@
     /// Fires the timers that are due and contacts missing seeds.
     pub fn tick(&mut self, now: Ms) -> Output {
         let mut all = FocaRuntime::default();
-        let due: Vec<Timer<Node>> = {
+        let due: Vec<Timer<PeerIdentity>> = {
             // Ordered by due time, then by foca's own order of timers: probes come before the timers that end
             // them.
-            let mut due: Vec<(Ms, Timer<Node>)> = Vec::new();
+            let mut due: Vec<(Ms, Timer<PeerIdentity>)> = Vec::new();
             let mut at = 0;
             while at < self.timers.len() {
                 if self.timers[at].0 <= now {
@@ -220,13 +220,13 @@
     }
 
     /// All members but this dispatcher, with their states, ordered by name.
-    pub fn members(&self) -> Vec<(Node, MemberState)> {
+    pub fn members(&self) -> Vec<(PeerIdentity, MemberState)> {
         let member_state = |s: State| match s {
             State::Alive => MemberState::Alive,
             State::Suspect => MemberState::Suspect,
             State::Down => MemberState::Gone,
         };
-        let mut all: Vec<(Node, MemberState)> = self
+        let mut all: Vec<(PeerIdentity, MemberState)> = self
             .foca
             .iter_membership_state()
             .map(|m| (m.id().clone(), member_state(m.state())))
@@ -271,13 +271,13 @@
         changes: Vec<(Ms, String, MembershipChange)>,
     }
 
-    fn node(name: &str, life: u64) -> Node {
-        Node { name: name.into(), address: format!("{name}:1"), life }
+    fn node(name: &str, life: u64) -> PeerIdentity {
+        PeerIdentity { name: name.into(), address: format!("{name}:1"), life }
     }
 
     impl Net {
         fn of(names: &[&str]) -> Net {
-            let seeds: Vec<Node> = names[..2].iter().map(|n| node(n, 0)).collect();
+            let seeds: Vec<PeerIdentity> = names[..2].iter().map(|n| node(n, 0)).collect();
             let view = |(k, n): (usize, &&str)| {
                 (n.to_string(), Membership::new(0, node(n, 1), seeds.clone(), k as u64))
             };
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -5,13 +5,13 @@
 //! not supported, or it comes from another installation. Its connection is then closed, because the bytes
 //! after it cannot be trusted to be a frame.
 
-use crate::copies::{Content, Copy, End, Fence, Stage};
+use crate::copies::{CopyEnding, Fence, MessageContent, MessageCopy, Stage};
 use prost::Message as _;
 
 /// The supported protocol version.
 pub const VERSION: u32 = 1;
 /// Size limit of a frame's body, in bytes.
-pub const FRAME_MOST: usize = 1 << 20;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// A copy of a message.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -33,7 +33,7 @@
     pub stage: u32,
     /// The delay before the client may submit a returned message again, in milliseconds.
     #[prost(uint64, tag = "6")]
-    pub wait: u64,
+    pub retry_after_ms: u64,
     /// See [`Content`].
     #[prost(string, tag = "7")]
     pub client: String,
@@ -48,36 +48,36 @@
     pub key: Option<u64>,
     /// Its idempotency key.
     #[prost(string, tag = "11")]
-    pub idempotency: String,
+    pub idempotency_key: String,
     /// Its destination.
     #[prost(uint64, tag = "12")]
-    pub dest: u64,
+    pub destination: u64,
     /// The remaining time until its deadline, in milliseconds. [`WireCopy::from`] copies the absolute time.
     #[prost(uint64, tag = "13")]
     pub valid_until: u64,
     /// Its sequence number.
     #[prost(uint64, tag = "14")]
-    pub no: u64,
+    pub number: u64,
     /// Where to send its final answer.
     #[prost(bytes = "vec", tag = "15")]
-    pub reply: Vec<u8>,
+    pub reply_to: Vec<u8>,
     /// The message body.
     #[prost(bytes = "vec", tag = "16")]
     pub body: Vec<u8>,
     /// The dispatcher that accepted it.
     #[prost(string, tag = "17")]
-    pub taker: String,
+    pub accepted_by: String,
     /// Whether it must not run twice (at-most-once).
     #[prost(bool, tag = "18")]
-    pub once: bool,
+    pub at_most_once: bool,
     /// See [`Content::arbiter_born`].
     #[prost(fixed64, tag = "19")]
-    pub arbiter_born: u64,
+    pub arbiter_incarnation: u64,
 }
 
 /// The payload of a peer message.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Say {
+pub enum Payload {
     /// A packet of the membership protocol.
     #[prost(bytes, tag = "10")]
     Swim(Vec<u8>),
@@ -144,7 +144,7 @@
 pub struct Health {
     /// The name of the destination.
     #[prost(string, tag = "1")]
-    pub member: String,
+    pub destination: String,
     /// Attempts per second that it answered recently.
     #[prost(double, tag = "2")]
     pub rate: f64,
@@ -251,43 +251,43 @@
     pub from: String,
     /// The number that identifies the sender's incarnation, see [`crate::keeper::Spec::born`].
     #[prost(uint64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The payload.
-    #[prost(oneof = "Say", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
-    pub payload: Option<Say>,
+    #[prost(oneof = "Payload", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
+    pub payload: Option<Payload>,
 }
 
 /// Why a frame is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum FrameError {
     /// Its length exceeds [`FRAME_MOST`].
     TooLong,
     /// Its checksum is wrong.
-    Damaged,
+    ChecksumMismatch,
     /// Its body cannot be decoded.
-    Unreadable,
+    Undecodable,
     /// Its protocol version is not supported.
-    Version,
+    UnsupportedVersion,
     /// It comes from another installation.
-    Foreign,
+    WrongInstallation,
 }
 
-impl Refused {
+impl FrameError {
     /// The reason as text for the log.
-    pub fn text(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Refused::TooLong => "frame exceeds the size limit",
-            Refused::Damaged => "frame checksum mismatch",
-            Refused::Unreadable => "frame body cannot be decoded",
-            Refused::Version => "unsupported protocol version",
-            Refused::Foreign => "frame belongs to another installation",
+            FrameError::TooLong => "frame exceeds the size limit",
+            FrameError::ChecksumMismatch => "frame checksum mismatch",
+            FrameError::Undecodable => "frame body cannot be decoded",
+            FrameError::UnsupportedVersion => "unsupported protocol version",
+            FrameError::WrongInstallation => "frame belongs to another installation",
         }
     }
 }
 
 impl Envelope {
     /// Encodes the envelope as a frame.
-    pub fn frame(&self) -> Vec<u8> {
+    pub fn to_frame(&self) -> Vec<u8> {
         let body = self.encode_to_vec();
         let mut bytes = Vec::with_capacity(body.len() + 8);
         bytes.extend((body.len() as u32).to_le_bytes());
@@ -299,11 +299,11 @@
 
 /// Splits received bytes into frames and decodes their envelopes.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
@@ -314,24 +314,24 @@
     /// # Errors
     ///
     /// The reason to reject a frame; the connection must then be closed.
-    pub fn take(&mut self, installation: &str) -> Result<Option<Envelope>, Refused> {
+    pub fn next_envelope(&mut self, installation: &str) -> Result<Option<Envelope>, FrameError> {
         let Some((head, rest)) = self.bytes.split_at_checked(8) else { return Ok(None) };
         let number = |b: &[u8]| b.iter().rev().fold(0u32, |n, x| n << 8 | u32::from(*x));
         let (len, sum) = (number(&head[..4]) as usize, number(&head[4..]));
-        if len > FRAME_MOST {
-            return Err(Refused::TooLong);
+        if len > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong);
         }
         let Some(body) = rest.get(..len) else { return Ok(None) };
         if crc32c::crc32c(body) != sum {
-            return Err(Refused::Damaged);
+            return Err(FrameError::ChecksumMismatch);
         }
-        let envelope = Envelope::decode(body).map_err(|_| Refused::Unreadable)?;
+        let envelope = Envelope::decode(body).map_err(|_| FrameError::Undecodable)?;
         self.bytes.drain(..8 + len);
         if envelope.version != VERSION {
-            return Err(Refused::Version);
+            return Err(FrameError::UnsupportedVersion);
         }
         if envelope.installation != installation {
-            return Err(Refused::Foreign);
+            return Err(FrameError::WrongInstallation);
         }
         Ok(Some(envelope))
     }
@@ -340,16 +340,16 @@
 /// A stage's number on the wire, and the delay of a returned message in milliseconds.
 pub fn stage_number(stage: Stage) -> (u32, u64) {
     match stage {
-        Stage::Taken => (0, 0),
+        Stage::Accepted => (0, 0),
         Stage::Started => (1, 0),
-        Stage::Ended(End::HandedBack(wait)) => (2, wait),
-        Stage::Ended(End::GivenUp) => (3, 0),
-        Stage::Ended(End::Delivered) => (4, 0),
+        Stage::Ended(CopyEnding::Returned(wait)) => (2, wait),
+        Stage::Ended(CopyEnding::GivenUp) => (3, 0),
+        Stage::Ended(CopyEnding::Delivered) => (4, 0),
     }
 }
 
-impl From<&Copy> for WireCopy {
-    fn from(c: &Copy) -> WireCopy {
+impl From<&MessageCopy> for WireCopy {
+    fn from(c: &MessageCopy) -> WireCopy {
         let (stage, wait) = stage_number(c.stage);
         let m = c.content.clone();
         WireCopy {
@@ -358,50 +358,56 @@
             epoch: c.fence.epoch,
             owner: c.fence.owner.clone(),
             stage,
-            wait,
+            retry_after_ms: wait,
             client: m.client,
             class: m.class,
             tenant: m.tenant,
-            key: m.key,
-            idempotency: m.idempotency,
-            dest: m.dest,
+            key: m.ordering_key,
+            idempotency_key: m.idempotency_key,
+            destination: m.destination,
             valid_until: m.valid_until,
-            no: m.no,
-            reply: m.reply,
+            number: m.number,
+            reply_to: m.reply_to,
             body: m.body,
-            taker: m.taker,
-            once: false,
-            arbiter_born: m.arbiter_born,
+            accepted_by: m.accepted_by,
+            at_most_once: false,
+            arbiter_incarnation: m.arbiter_incarnation,
         }
     }
 }
 
 impl WireCopy {
     /// Decodes the copy; `None` if its stage or id is invalid.
-    pub fn read(self) -> Option<Copy> {
+    pub fn read(self) -> Option<MessageCopy> {
         let stage = match self.stage {
-            0 => Stage::Taken,
+            0 => Stage::Accepted,
             1 => Stage::Started,
-            2 => Stage::Ended(End::HandedBack(self.wait)),
-            3 => Stage::Ended(End::GivenUp),
-            4 => Stage::Ended(End::Delivered),
+            2 => Stage::Ended(CopyEnding::Returned(self.retry_after_ms)),
+            3 => Stage::Ended(CopyEnding::GivenUp),
+            4 => Stage::Ended(CopyEnding::Delivered),
             _ => return None,
         };
-        let content = Content {
+        let content = MessageContent {
             client: self.client,
             class: self.class,
             tenant: self.tenant,
-            key: self.key,
-            idempotency: self.idempotency,
-            dest: self.dest,
+            ordering_key: self.key,
+            idempotency_key: self.idempotency_key,
+            destination: self.destination,
             valid_until: self.valid_until,
-            no: self.no,
-            reply: self.reply,
+            number: self.number,
+            reply_to: self.reply_to,
             body: self.body,
-            taker: self.taker,
-            arbiter_born: self.arbiter_born,
+            accepted_by: self.accepted_by,
+            arbiter_incarnation: self.arbiter_incarnation,
         };
         let fence = Fence { epoch: self.epoch, owner: self.owner };
-        (!self.id.is_empty()).then_some(Copy { id: self.id, holders: self.holders, fence, stage, content })
+        (!self.id.is_empty()).then_some(MessageCopy {
+            id: self.id,
+            holders: self.holders,
+            fence,
+            stage,
+            content,
+        })
     }
 }
