--- a/crates/replica/tests/keeper.rs
+++ b/crates/replica/tests/keeper.rs
@@ -2,10 +2,10 @@
 //! partitions and crashes, drawn from seeds. A small driver does what the dispatcher does with a keeper, and
 //! an audit checks which dispatcher acted on which message, and when.
 
-use lilacbank_replica::copies::{Content, End, Stage};
-use lilacbank_replica::keeper::{Keeper, News, Spec};
-use lilacbank_replica::owner::{Kind, Step};
-use lilacbank_replica::wire::{Envelope, Heartbeat, OperatorBlock, Say, WireCopy};
+use lilacbank_replica::copies::{CopyEnding, MessageContent, Stage};
+use lilacbank_replica::keeper::{ReplicationConfig, ReplicationEvent, Replicator};
+use lilacbank_replica::owner::{Repeatability, ReplicaAction};
+use lilacbank_replica::wire::{Envelope, Heartbeat, OperatorBlock, Payload, WireCopy};
 use lilacbank_replica::Ms;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -14,15 +14,15 @@
 /// A message as its driver knows it.
 #[derive(Debug, Clone)]
 struct Message {
-    kind: Kind,
-    content: Content,
+    kind: Repeatability,
+    content: MessageContent,
     stage: Stage,
     /// The running attempt: when it ends, and whether that delivers the message.
     running: Option<(Ms, bool)>,
 }
 
 struct Dispatcher {
-    keeper: Option<Keeper>,
+    keeper: Option<Replicator>,
     life: u64,
     /// The messages in the state folder.
     messages: BTreeMap<String, Message>,
@@ -36,7 +36,7 @@
     attempts: BTreeMap<String, Vec<(usize, Ms, Ms)>>,
     unsafe_ids: BTreeSet<String>,
     taken: BTreeMap<String, usize>,
-    ends: BTreeMap<String, BTreeSet<End>>,
+    ends: BTreeMap<String, BTreeSet<CopyEnding>>,
     taken_over: u64,
     /// Messages without a copy elsewhere when the dispatcher that accepted them was killed.
     without_copies: BTreeSet<String>,
@@ -80,20 +80,20 @@
         let count = self.dispatchers.len();
         let s = &mut self.dispatchers[n];
         s.life += 1;
-        let mut keeper = Keeper::new(
+        let mut keeper = Replicator::new(
             now,
-            Spec {
-                me: name(n),
+            ReplicationConfig {
+                name: name(n),
                 address: name(n),
-                born: s.life * 100 + n as u64,
-                life: s.life,
+                incarnation_id: s.life * 100 + n as u64,
+                incarnation: s.life,
                 installation: "i".into(),
-                size: count,
+                dispatcher_count: count,
                 seeds: (0..count).map(|m| (name(m), name(m))).collect(),
                 copies: 2,
-                most_bytes: 1 << 27,
+                max_bytes: 1 << 27,
                 seed: n as u64,
-                catch_up: 5_000,
+                settle_timeout: 5_000,
             },
         );
         if !keep_folder {
@@ -102,7 +102,7 @@
         for (id, message) in &mut s.messages {
             message.running = None;
             if !matches!(message.stage, Stage::Ended(_)) {
-                keeper.restored(id, message.content.clone(), message.kind, message.stage);
+                keeper.restore(id, message.content.clone(), message.kind, message.stage);
             }
         }
         s.keeper = Some(keeper);
@@ -111,7 +111,7 @@
     fn kill(&mut self, now: Ms, n: usize) {
         self.dispatchers[n].keeper = None;
         let known = |id: &String| {
-            self.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).any(|k| k.knows(id).is_some())
+            self.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).any(|k| k.stage(id).is_some())
         };
         let unanswered = self.record.taken.keys().filter(|id| !self.record.ends.contains_key(*id));
         let without_copies = unanswered.filter(|id| !known(id)).cloned().collect();
@@ -126,27 +126,31 @@
         self.in_flight.retain(|m| m.1 != n);
     }
 
-    fn take(&mut self, now: Ms, n: usize, id: String, kind: Kind) {
+    fn take(&mut self, now: Ms, n: usize, id: String, kind: Repeatability) {
         let Some(keeper) = &mut self.dispatchers[n].keeper else { return };
-        let content =
-            Content { class: "c".into(), valid_until: now + 60_000, body: vec![1; 40], ..Content::default() };
-        keeper.taken(now, &id, content.clone(), kind);
+        let content = MessageContent {
+            class: "c".into(),
+            valid_until: now + 60_000,
+            body: vec![1; 40],
+            ..MessageContent::default()
+        };
+        keeper.accept(now, &id, content.clone(), kind);
         self.dispatchers[n]
             .messages
-            .insert(id.clone(), Message { kind, content, stage: Stage::Taken, running: None });
-        if kind == Kind::Unsafe {
+            .insert(id.clone(), Message { kind, content, stage: Stage::Accepted, running: None });
+        if kind == Repeatability::AtMostOnce {
             self.record.unsafe_ids.insert(id.clone());
         }
         self.record.taken.insert(id, n);
     }
 
-    fn end(&mut self, now: Ms, n: usize, id: &str, end: End) {
+    fn end(&mut self, now: Ms, n: usize, id: &str, end: CopyEnding) {
         let s = &mut self.dispatchers[n];
         let Some(message) = s.messages.get_mut(id).filter(|o| !matches!(o.stage, Stage::Ended(_))) else {
             return;
         };
         (message.stage, message.running) = (Stage::Ended(end), None);
-        s.keeper.iter_mut().for_each(|k| k.ended(now, id, end));
+        s.keeper.iter_mut().for_each(|k| k.record_end(now, id, end));
         self.record.ends.entry(id.to_string()).or_default().insert(end);
     }
 
@@ -154,10 +158,10 @@
     fn drive(&mut self, now: Ms, n: usize) {
         let Some(keeper) = &mut self.dispatchers[n].keeper else { return };
         keeper.tick(now);
-        for news in keeper.take_news() {
+        for news in keeper.take_events() {
             match news {
-                News::GiveUp(id) => self.end(now, n, &id, End::GivenUp),
-                News::Leave(id) => {
+                ReplicationEvent::GiveUp(id) => self.end(now, n, &id, CopyEnding::GivenUp),
+                ReplicationEvent::OwnershipLost(id) => {
                     if let Some(message) =
                         self.dispatchers[n].messages.remove(&id).filter(|o| o.running.is_some())
                     {
@@ -166,15 +170,18 @@
                         last.into_iter().for_each(|a| a.2 = now);
                     }
                 }
-                News::Take(copy, step) => {
-                    let kind =
-                        if self.record.unsafe_ids.contains(&copy.id) { Kind::Unsafe } else { Kind::Safe };
+                ReplicationEvent::OwnershipTaken(copy, step) => {
+                    let kind = if self.record.unsafe_ids.contains(&copy.id) {
+                        Repeatability::AtMostOnce
+                    } else {
+                        Repeatability::Repeatable
+                    };
                     self.record.taken_over += 1;
                     let message =
                         Message { kind, content: copy.content.clone(), stage: copy.stage, running: None };
                     self.dispatchers[n].messages.insert(copy.id.clone(), message);
-                    if step == Step::GiveUp {
-                        self.end(now, n, &copy.id, End::GivenUp);
+                    if step == ReplicaAction::GiveUp {
+                        self.end(now, n, &copy.id, CopyEnding::GivenUp);
                     }
                 }
                 _ => {}
@@ -189,25 +196,27 @@
             if matches!(message.stage, Stage::Ended(_)) {
                 continue;
             }
-            let may = keeper.may_act(now, &id);
+            let may = keeper.may_start_attempt(now, &id);
             match message.running {
                 Some((until, delivered)) if until <= now => {
                     message.running = None;
                     if delivered {
-                        self.end(now, n, &id, End::Delivered);
-                    } else if message.kind == Kind::Unsafe {
-                        self.end(now, n, &id, End::GivenUp);
+                        self.end(now, n, &id, CopyEnding::Delivered);
+                    } else if message.kind == Repeatability::AtMostOnce {
+                        self.end(now, n, &id, CopyEnding::GivenUp);
                     }
                 }
                 // An attempt of a repeatable message is cancelled once its owner may be counted as gone.
-                Some(_) if !may && message.kind == Kind::Safe => {
+                Some(_) if !may && message.kind == Repeatability::Repeatable => {
                     message.running = None;
                     let last = self.record.attempts.get_mut(&id).and_then(|a| a.last_mut());
                     last.into_iter().for_each(|a| a.2 = now);
                 }
-                None if may && !(message.kind == Kind::Unsafe && message.stage == Stage::Started) => {
+                None if may
+                    && !(message.kind == Repeatability::AtMostOnce && message.stage == Stage::Started) =>
+                {
                     message.stage = Stage::Started;
-                    keeper.started(now, &id);
+                    keeper.record_start(now, &id);
                     // Some attempts run longer than it takes until their owner counts as gone.
                     let long = self.rng.random_bool(0.15);
                     let until = now + self.rng.random_range(if long { 4_000..10_000 } else { 20..1_500 });
@@ -215,12 +224,12 @@
                     message.running = Some((until, delivered));
                     self.record.attempts.entry(id).or_default().push((n, now, until));
                 }
-                None if may => self.end(now, n, &id, End::GivenUp),
+                None if may => self.end(now, n, &id, CopyEnding::GivenUp),
                 _ => {}
             }
         }
         let Some(keeper) = &mut self.dispatchers[n].keeper else { return };
-        let outgoing = keeper.take_out();
+        let outgoing = keeper.take_outgoing();
         for (to, e) in outgoing {
             let Some(m) = (0..self.dispatchers.len()).find(|m| name(*m) == to) else { continue };
             if self.blocked.contains(&(n, m)) || self.rng.random_bool(self.loss) {
@@ -250,7 +259,7 @@
                 if self.blocked.contains(&(from, to)) {
                     continue;
                 }
-                self.dispatchers[to].keeper.iter_mut().for_each(|k| k.hear(now, e.clone()));
+                self.dispatchers[to].keeper.iter_mut().for_each(|k| k.receive(now, e.clone()));
             }
             for n in 0..self.dispatchers.len() {
                 if now % 10 == n as Ms
@@ -298,7 +307,7 @@
         let mut last: BTreeMap<&str, Stage> = BTreeMap::new();
         for k in self.dispatchers.iter().filter_map(|s| s.keeper.as_ref()) {
             for id in self.record.taken.keys() {
-                if let Some(stage) = k.knows(id) {
+                if let Some(stage) = k.stage(id) {
                     let first = *last.entry(id).or_insert(stage);
                     let all = || {
                         let of = |s: &Dispatcher| {
@@ -335,7 +344,8 @@
     w.run(0, 45_000, |w, now| {
         if now > 1_500 && now < 20_000 && now % 70 == 0 {
             let n = w.rng.random_range(0..count);
-            let kind = if w.rng.random_bool(0.5) { Kind::Unsafe } else { Kind::Safe };
+            let kind =
+                if w.rng.random_bool(0.5) { Repeatability::AtMostOnce } else { Repeatability::Repeatable };
             taken += 1;
             w.take(now, n, format!("m{taken}"), kind);
         }
@@ -401,17 +411,35 @@
 
 /// A keeper that is a majority by itself (installation size 1) and receives peer messages from a dispatcher
 /// `o`.
-fn keeper_of_one(born: u64) -> Keeper {
+fn keeper_of_one(born: u64) -> Replicator {
     let (me, address, installation) = ("a".to_string(), String::new(), "i".to_string());
     let (life, size, seeds, copies, most_bytes, seed, catch_up) = (1, 1, Vec::new(), 2, 1 << 20, 1, 0);
-    Keeper::new(
+    Replicator::new(
         0,
-        Spec { me, address, born, life, installation, size, seeds, copies, most_bytes, seed, catch_up },
+        ReplicationConfig {
+            name: me,
+            address,
+            incarnation_id: born,
+            incarnation: life,
+            installation,
+            dispatcher_count: size,
+            seeds,
+            copies,
+            max_bytes: most_bytes,
+            seed,
+            settle_timeout: catch_up,
+        },
     )
 }
 
-fn from_peer(life: u64, payload: Say) -> Envelope {
-    Envelope { version: 1, installation: "i".into(), from: "o".into(), life, payload: Some(payload) }
+fn from_peer(life: u64, payload: Payload) -> Envelope {
+    Envelope {
+        version: 1,
+        installation: "i".into(),
+        from: "o".into(),
+        incarnation: life,
+        payload: Some(payload),
+    }
 }
 
 /// A copy of an at-most-once message of `o`, whose arbiter is this incarnation of `a`.
@@ -420,10 +448,10 @@
         id: "m".into(),
         holders: vec!["a".into()],
         owner: "o".into(),
-        taker: "o".into(),
-        once: true,
+        accepted_by: "o".into(),
+        at_most_once: true,
         valid_until: 60_000,
-        arbiter_born,
+        arbiter_incarnation: arbiter_born,
         ..WireCopy::default()
     }
 }
@@ -434,19 +462,23 @@
 fn an_arbiter_grants_and_starts_only_messages_of_its_own_incarnation() {
     for (born, granted) in [(7, true), (6, false)] {
         let mut k = keeper_of_one(7);
-        k.hear(10, from_peer(1, Say::RequestGrant(unsafe_copy(born))));
-        let sent = k.take_out();
-        assert_eq!(sent.iter().any(|s| matches!(s.1.payload, Some(Say::Grant(_)))), granted, "{sent:?}");
-        assert_eq!(sent.iter().any(|s| matches!(s.1.payload, Some(Say::DenyGrant(_)))), !granted, "{sent:?}");
+        k.receive(10, from_peer(1, Payload::RequestGrant(unsafe_copy(born))));
+        let sent = k.take_outgoing();
+        assert_eq!(sent.iter().any(|s| matches!(s.1.payload, Some(Payload::Grant(_)))), granted, "{sent:?}");
+        assert_eq!(
+            sent.iter().any(|s| matches!(s.1.payload, Some(Payload::DenyGrant(_)))),
+            !granted,
+            "{sent:?}"
+        );
         let mut k = keeper_of_one(7);
-        k.hear(10, from_peer(1, Say::Store(unsafe_copy(born))));
+        k.receive(10, from_peer(1, Payload::Store(unsafe_copy(born))));
         (0..80).for_each(|n| k.tick(n * 100));
-        let steps: Vec<Step> = k
-            .take_news()
+        let steps: Vec<ReplicaAction> = k
+            .take_events()
             .into_iter()
-            .filter_map(|n| if let News::Take(_, s) = n { Some(s) } else { None })
+            .filter_map(|n| if let ReplicationEvent::OwnershipTaken(_, s) = n { Some(s) } else { None })
             .collect();
-        assert_eq!(steps, [if granted { Step::Start } else { Step::GiveUp }]);
+        assert_eq!(steps, [if granted { ReplicaAction::Start } else { ReplicaAction::GiveUp }]);
     }
 }
 
@@ -456,12 +488,18 @@
 fn an_attempt_unknown_to_an_older_state_folder_is_given_up() {
     for (stage, wanted) in [(1, true), (0, false)] {
         let mut k = keeper_of_one(7);
-        let content = Content { valid_until: 60_000, ..Content::default() };
-        k.restored("m", content, Kind::Unsafe, Stage::Taken);
+        let content = MessageContent { valid_until: 60_000, ..MessageContent::default() };
+        k.restore("m", content, Repeatability::AtMostOnce, Stage::Accepted);
         let (holders, owner, taker) = (vec!["o".to_string()], "a".to_string(), "a".to_string());
-        k.hear(10, from_peer(1, Say::Store(WireCopy { holders, owner, taker, stage, ..unsafe_copy(1) })));
-        assert_eq!(k.take_news().contains(&News::GiveUp("m".into())), wanted);
-        assert!(!k.may_act(20, "m"), "it is unsettled or has ended");
+        k.receive(
+            10,
+            from_peer(
+                1,
+                Payload::Store(WireCopy { holders, owner, accepted_by: taker, stage, ..unsafe_copy(1) }),
+            ),
+        );
+        assert_eq!(k.take_events().contains(&ReplicationEvent::GiveUp("m".into())), wanted);
+        assert!(!k.may_start_attempt(20, "m"), "it is unsettled or has ended");
     }
 }
 
@@ -471,29 +509,32 @@
     let mut k = keeper_of_one(7);
     for n in 0..20 {
         let (id, body) = (format!("m{n}"), vec![1; 100_000]);
-        k.hear(10, from_peer(1, Say::Store(WireCopy { id, body, ..unsafe_copy(7) })));
+        k.receive(10, from_peer(1, Payload::Store(WireCopy { id, body, ..unsafe_copy(7) })));
     }
-    assert_eq!((k.holds().1, k.counts.no_room), (10, 10));
-    assert!(k.holds().2 <= 1 << 20);
+    assert_eq!((k.copy_counts().1, k.counts.copies_rejected), (10, 10));
+    assert!(k.copy_counts().2 <= 1 << 20);
     let ended = (0..10)
-        .map(|n| from_peer(1, Say::Store(WireCopy { id: format!("m{n}"), stage: 4, ..unsafe_copy(7) })));
-    ended.for_each(|e| k.hear(20, e));
-    assert!(k.holds().2 < 10_000, "copies of ended messages keep no body: {}", k.holds().2);
+        .map(|n| from_peer(1, Payload::Store(WireCopy { id: format!("m{n}"), stage: 4, ..unsafe_copy(7) })));
+    ended.for_each(|e| k.receive(20, e));
+    assert!(k.copy_counts().2 < 10_000, "copies of ended messages keep no body: {}", k.copy_counts().2);
     (0..70).for_each(|n| k.tick(n * 1_000));
-    assert_eq!((k.holds().1, k.holds().2), (0, 0));
+    assert_eq!((k.copy_counts().1, k.copy_counts().2), (0, 0));
 }
 
 /// Guards against a late peer message of a past incarnation that is taken for a restart of its sender.
 #[test]
 fn peer_messages_of_past_incarnations_are_ignored() {
     let mut k = keeper_of_one(7);
-    let heartbeat = || Say::Heartbeat(Heartbeat { at: 1, open: 0 });
+    let heartbeat = || Payload::Heartbeat(Heartbeat { at: 1, open: 0 });
     [(1, 5), (2, 6), (3, 5), (4, 6)]
         .into_iter()
-        .for_each(|(now, life)| k.hear(now, from_peer(life, heartbeat())));
-    let lives =
-        k.take_news().into_iter().filter(|n| matches!(n, News::View(t) if t.contains("new life"))).count();
-    assert_eq!((k.counts.stale, lives), (1, 1));
+        .for_each(|(now, life)| k.receive(now, from_peer(life, heartbeat())));
+    let lives = k
+        .take_events()
+        .into_iter()
+        .filter(|n| matches!(n, ReplicationEvent::MembershipChanged(t) if t.contains("new life")))
+        .count();
+    assert_eq!((k.counts.stale_messages, lives), (1, 1));
 }
 
 /// A measurement, not a check: one dispatcher lacks some of the copies that another one has. Prints the
@@ -508,52 +549,61 @@
         let mut w = Simulation::new(3, 1);
         (w.dispatchers[2].keeper, w.dispatchers[2].life) = (None, 0);
         let all: Vec<String> = (0..held).map(|n| format!("m{n}")).collect();
-        let content = |to: &str| Content {
-            taker: to.into(),
+        let content = |to: &str| MessageContent {
+            accepted_by: to.into(),
             class: "c".into(),
             valid_until: 10_000_000,
             body: vec![1; 200],
-            ..Content::default()
+            ..MessageContent::default()
         };
         let hold = |id: &String| {
             let c = content("n0");
             let holders = vec!["n2".to_string(), "n1".to_string()];
-            let (id, taker, valid_until, body) = (id.clone(), c.taker, c.valid_until, c.body);
+            let (id, taker, valid_until, body) = (id.clone(), c.accepted_by, c.valid_until, c.body);
             let owner = taker.clone();
-            Say::Store(WireCopy { id, holders, owner, taker, valid_until, body, ..WireCopy::default() })
+            Payload::Store(WireCopy {
+                id,
+                holders,
+                owner,
+                accepted_by: taker,
+                valid_until,
+                body,
+                ..WireCopy::default()
+            })
         };
-        let from = |from: &str, life: u64, payload: Say| Envelope {
+        let from = |from: &str, life: u64, payload: Payload| Envelope {
             version: 1,
             installation: "i".into(),
             from: from.into(),
-            life,
+            incarnation: life,
             payload: Some(payload),
         };
         // n1 holds them all for n0, which is down; n2 starts and lacks some.
         w.kill(0, 0);
         let give_copies = |w: &mut Simulation, n: usize, ids: &[String]| {
             let k = w.dispatchers[n].keeper.as_mut().unwrap();
-            ids.iter().for_each(|id| k.hear(0, from("n0", 77, hold(id))));
-            k.take_out();
+            ids.iter().for_each(|id| k.receive(0, from("n0", 77, hold(id))));
+            k.take_outgoing();
         };
         give_copies(&mut w, 1, &all);
         w.start(0, 2, false);
         give_copies(&mut w, 2, &all[missed..]);
         let start = std::time::Instant::now();
         let before: u64 =
-            w.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).map(|k| k.counts.bytes).sum();
+            w.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).map(|k| k.counts.bytes_sent).sum();
         let mut now = 1;
-        while now < 120_000 && w.dispatchers[2].keeper.as_ref().unwrap().holds().1 < held {
+        while now < 120_000 && w.dispatchers[2].keeper.as_ref().unwrap().copy_counts().1 < held {
             w.run(now, now + 10, |_, _| {});
             now += 10;
         }
-        let after: u64 = w.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).map(|k| k.counts.bytes).sum();
+        let after: u64 =
+            w.dispatchers.iter().filter_map(|s| s.keeper.as_ref()).map(|k| k.counts.bytes_sent).sum();
         println!(
             "{missed} of {held} copies missing: {} MB sent, {now} ms simulated, {} ms processor time, \
              {} MB held",
             (after - before) / 1_000_000,
             start.elapsed().as_millis(),
-            w.dispatchers[2].keeper.as_ref().unwrap().holds().2 / 1_000_000
+            w.dispatchers[2].keeper.as_ref().unwrap().copy_counts().2 / 1_000_000
         );
     }
 }
@@ -564,11 +614,18 @@
 fn messages_restored_after_the_start_are_settled_too() {
     let mut k = keeper_of_one(7);
     (0..20).for_each(|n| k.tick(n * 100));
-    assert!(k.take_news().contains(&News::CaughtUp(true)));
-    k.restored("m", Content { valid_until: 60_000, ..Content::default() }, Kind::Safe, Stage::Taken);
-    assert!(!k.may_act(2_000, "m"));
+    assert!(k.take_events().contains(&ReplicationEvent::Settled(true)));
+    k.restore(
+        "m",
+        MessageContent { valid_until: 60_000, ..MessageContent::default() },
+        Repeatability::Repeatable,
+        Stage::Accepted,
+    );
+    assert!(!k.may_start_attempt(2_000, "m"));
     (20..40).for_each(|n| k.tick(n * 100));
-    assert!(k.may_act(4_000, "m") && k.take_news().contains(&News::Start("m".into())));
+    assert!(
+        k.may_start_attempt(4_000, "m") && k.take_events().contains(&ReplicationEvent::Start("m".into()))
+    );
 }
 
 /// Guards against a received operator block that is carried out after a newer local one: an operator set the
@@ -577,11 +634,11 @@
 #[test]
 fn a_local_operator_block_replaces_a_received_one_that_was_not_taken_yet() {
     let mut a = keeper_of_one(1);
-    a.hear(
+    a.receive(
         10,
         from_peer(
             5,
-            Say::OperatorBlock(OperatorBlock {
+            Payload::OperatorBlock(OperatorBlock {
                 id: "w1".into(),
                 down: false,
                 wall: 10,
@@ -590,15 +647,17 @@
             }),
         ),
     );
-    a.ban(11, "w1", true);
-    let blocks: Vec<News> = a.take_news().into_iter().filter(|n| matches!(n, News::Ban(..))).collect();
+    a.set_operator_block(11, "w1", true);
+    let blocks: Vec<ReplicationEvent> =
+        a.take_events().into_iter().filter(|n| matches!(n, ReplicationEvent::OperatorBlock(..))).collect();
     assert!(blocks.is_empty(), "{blocks:?}");
     // A block of another endpoint is kept, and so is a newer one.
     for (id, wall) in [("w2", 12), ("w1", 13)] {
         let block = OperatorBlock { id: id.into(), down: true, wall, count: 0, writer: "o".into() };
-        a.hear(wall, from_peer(5, Say::OperatorBlock(block)));
+        a.receive(wall, from_peer(5, Payload::OperatorBlock(block)));
     }
-    a.ban(14, "w3", true);
-    let blocks = a.take_news().into_iter().filter(|n| matches!(n, News::Ban(..))).count();
+    a.set_operator_block(14, "w3", true);
+    let blocks =
+        a.take_events().into_iter().filter(|n| matches!(n, ReplicationEvent::OperatorBlock(..))).count();
     assert_eq!(blocks, 2);
 }
--- a/crates/replica/tests/model.rs
+++ b/crates/replica/tests/model.rs
@@ -2,8 +2,8 @@
 //! with lost, duplicated and late peer messages, a kill and false suspicions. The rules of `owner` are the
 //! code that the dispatcher runs. The checker must also detect each of three injected faults.
 
-use lilacbank_replica::copies::{Content, Copy, End, Fence, Stage};
-use lilacbank_replica::owner::{Faults, Kind, PeerMessage, Replica, Step};
+use lilacbank_replica::copies::{CopyEnding, Fence, MessageContent, MessageCopy, Stage};
+use lilacbank_replica::owner::{Faults, PeerMessage, Repeatability, Replica, ReplicaAction};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
     /// An attempt of its own is running.
     attempt_running: bool,
     /// The final answer that it has given.
-    answered: Option<End>,
+    answered: Option<CopyEnding>,
     /// It holds a copy.
     has_copy: bool,
 }
@@ -79,7 +79,7 @@
 const MAX_STATES: usize = 150_000;
 
 struct Protocol {
-    kind: Kind,
+    kind: Repeatability,
     faults: Faults,
     kills: u8,
     losses: u8,
@@ -91,14 +91,15 @@
 }
 
 fn stage_of(n: u8) -> Stage {
-    [Stage::Taken, Stage::Started, Stage::Ended(End::GivenUp), Stage::Ended(End::Delivered)][n as usize]
+    [Stage::Accepted, Stage::Started, Stage::Ended(CopyEnding::GivenUp), Stage::Ended(CopyEnding::Delivered)]
+        [n as usize]
 }
 
 fn stage_number(s: Stage) -> u8 {
     match s {
-        Stage::Taken => 0,
+        Stage::Accepted => 0,
         Stage::Started => 1,
-        Stage::Ended(End::Delivered) => 3,
+        Stage::Ended(CopyEnding::Delivered) => 3,
         Stage::Ended(_) => 2,
     }
 }
@@ -110,13 +111,13 @@
         (0..3).find(|m| w.dispatchers[*m].up && w.dispatchers[*m].lease)
     }
 
-    fn copy(&self, epoch: u64, owner: usize, stage: Stage) -> Copy {
-        Copy {
+    fn copy(&self, epoch: u64, owner: usize, stage: Stage) -> MessageCopy {
+        MessageCopy {
             id: "m".into(),
             holders: vec!["a".into(), "b".into()],
             fence: Fence { epoch, owner: NAMES[owner].into() },
             stage,
-            content: Content::default(),
+            content: MessageContent::default(),
         }
     }
 
@@ -150,18 +151,18 @@
         self.send_to_all(w, n);
     }
 
-    fn end(&self, w: &mut World, n: usize, end: End) {
+    fn end(&self, w: &mut World, n: usize, end: CopyEnding) {
         let dispatcher = &mut w.dispatchers[n];
         (dispatcher.attempt_running, dispatcher.answered) = (false, dispatcher.answered.or(Some(end)));
         dispatcher.replica.mark_ended(end);
         self.send_to_all(w, n);
     }
 
-    fn do_step(&self, w: &mut World, n: usize, step: Step) {
+    fn do_step(&self, w: &mut World, n: usize, step: ReplicaAction) {
         match step {
-            Step::Start if !w.dispatchers[n].attempt_running => self.begin(w, n),
-            Step::RequestGrant(to) => self.send(w, n, index_of(&to), PeerMessage::RequestGrant),
-            Step::GiveUp => self.end(w, n, End::GivenUp),
+            ReplicaAction::Start if !w.dispatchers[n].attempt_running => self.begin(w, n),
+            ReplicaAction::RequestGrant(to) => self.send(w, n, index_of(&to), PeerMessage::RequestGrant),
+            ReplicaAction::GiveUp => self.end(w, n, CopyEnding::GivenUp),
             _ => {}
         }
     }
@@ -173,7 +174,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let dispatcher = |n: usize| Dispatcher {
-            replica: Replica::new(NAMES[n], self.copy(0, 0, Stage::Taken), self.kind),
+            replica: Replica::new(NAMES[n], self.copy(0, 0, Stage::Accepted), self.kind),
             up: true,
             lease: true,
             attempt_running: false,
@@ -257,15 +258,15 @@
             }
             Transition::EndAttempt(n, true) => {
                 w.effects += 1;
-                self.end(&mut w, n, End::Delivered);
+                self.end(&mut w, n, CopyEnding::Delivered);
             }
             Transition::EndAttempt(n, false) => {
                 // It took effect and the answer was lost: a repeatable message is sent again, an at-most-once
                 // message is given up.
                 w.effects += 1;
                 w.dispatchers[n].attempt_running = false;
-                if self.kind == Kind::Unsafe {
-                    self.end(&mut w, n, End::GivenUp);
+                if self.kind == Repeatability::AtMostOnce {
+                    self.end(&mut w, n, CopyEnding::GivenUp);
                 } else if w.effects > 3 {
                     return None;
                 }
@@ -337,7 +338,7 @@
             Transition::ExpireLease(n) => {
                 w.suspicions += 1;
                 w.dispatchers[n].lease = false;
-                if self.kind == Kind::Safe {
+                if self.kind == Repeatability::Repeatable {
                     w.dispatchers[n].attempt_running = false;
                 }
             }
@@ -370,10 +371,10 @@
         vec![
             Property::always(
                 "an at-most-once message takes effect at most once",
-                |m: &Protocol, w: &World| m.kind == Kind::Safe || w.effects <= 1,
+                |m: &Protocol, w: &World| m.kind == Repeatability::Repeatable || w.effects <= 1,
             ),
             Property::always("attempts of a repeatable message do not overlap", |m: &Protocol, w: &World| {
-                m.kind == Kind::Unsafe || !w.overlapped
+                m.kind == Repeatability::AtMostOnce || !w.overlapped
             }),
             Property::always("a stage only advances", |_, w: &World| !w.moved_back),
             Property::always("one owner acts under an epoch", |_, w: &World| {
@@ -402,7 +403,7 @@
             Property::sometimes("a message is delivered after a takeover", |_, w: &World| {
                 w.dispatchers
                     .iter()
-                    .any(|n| n.answered == Some(End::Delivered) && n.replica.copy.fence.epoch > 0)
+                    .any(|n| n.answered == Some(CopyEnding::Delivered) && n.replica.copy.fence.epoch > 0)
             }),
         ]
     }
@@ -416,14 +417,18 @@
     std::env::var("LOOK").ok().and_then(|n| n.parse().ok()).unwrap_or(MAX_STATES)
 }
 
-fn check(kind: Kind, faults: Faults, (kills, losses, suspicions): (u8, u8, u8)) -> impl Checker<Protocol> {
+fn check(
+    kind: Repeatability,
+    faults: Faults,
+    (kills, losses, suspicions): (u8, u8, u8),
+) -> impl Checker<Protocol> {
     let protocol = Protocol { kind, faults, kills, losses, suspicions };
     protocol.checker().threads(2).target_state_count(max_states()).spawn_bfs().join()
 }
 
 #[test]
 fn the_invariants_hold_in_every_order_of_transitions() {
-    for kind in [Kind::Safe, Kind::Unsafe] {
+    for kind in [Repeatability::Repeatable, Repeatability::AtMostOnce] {
         for limits in FAULT_LIMITS {
             let c = check(kind, Faults::default(), limits);
             let (all, unique) = (c.state_count(), c.unique_state_count());
@@ -456,14 +461,14 @@
     };
     let none = Faults::default();
     found(
-        Kind::Unsafe,
+        Repeatability::AtMostOnce,
         Faults { skip_fencing: true, ..none },
         "an at-most-once message takes effect at most once",
     );
     found(
-        Kind::Safe,
+        Repeatability::Repeatable,
         Faults { early_takeover: true, ..none },
         "attempts of a repeatable message do not overlap",
     );
-    found(Kind::Unsafe, Faults { last_writer_wins: true, ..none }, "a stage only advances");
+    found(Repeatability::AtMostOnce, Faults { last_writer_wins: true, ..none }, "a stage only advances");
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -5,8 +5,8 @@
 
 use crate::api::*;
 use crate::dispatch::{CellSpec, MeshSpec, PeerSpec};
-use lilacbank_cells::placement::Area;
-use lilacbank_limits::{Promise, Scope};
+use lilacbank_cells::placement::PlacedCell;
+use lilacbank_limits::{DestinationLimit, Scope};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -444,7 +444,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sidecar {
     /// The limits agreed with each destination.
-    pub promises: Vec<Promise>,
+    pub promises: Vec<DestinationLimit>,
     /// At-most-once classes, each with the time for which a message is remembered after its end.
     pub once: Vec<(String, Ms)>,
     /// The cells that share the dispatcher; empty if it is not divided.
@@ -460,18 +460,18 @@
 }
 
 fn parse_sidecar(v: &Node) -> Checked<Sidecar> {
-    let parse_promise = |m: &Node| -> Checked<Promise> {
+    let parse_promise = |m: &Node| -> Checked<DestinationLimit> {
         let count = |key: &str| -> Checked<Option<u32>> {
             let n = m.get(key);
             Ok(if n.is_absent() { None } else { Some(n.non_negative(0.0)? as u32) })
         };
-        Ok(Promise {
-            member: m.get("name").text()?.to_string(),
-            dest: m.get("dest").non_negative(0.0)? as DestId,
+        Ok(DestinationLimit {
+            name: m.get("name").text()?.to_string(),
+            destination: m.get("dest").non_negative(0.0)? as DestId,
             calls: count("calls")?,
             span: m.get("span").non_negative(0.0)?,
-            travel: m.get("travel").non_negative(0.0)?,
-            scope: if m.get("each").boolean()? { Scope::Endpoint } else { Scope::Member },
+            max_travel: m.get("travel").non_negative(0.0)?,
+            scope: if m.get("each").boolean()? { Scope::Endpoint } else { Scope::Destination },
             connections: count("connections")?,
         })
     };
@@ -529,8 +529,8 @@
         let (resp, mqtt) = (parse_address(&p.get("resp"))?, parse_address(&p.get("mqtt"))?);
         Ok(PeerSpec { name: p.get("name").text()?.to_string(), peer, resp, mqtt })
     };
-    let parse_area = |c: &Node| -> Checked<Area> {
-        Ok(Area {
+    let parse_area = |c: &Node| -> Checked<PlacedCell> {
+        Ok(PlacedCell {
             name: c.get("name").text()?.to_string(),
             weight: c.get("weight").non_negative(1.0)?,
             dispatchers: c.get("dispatchers").texts()?,
--- a/src/dispatch/admit.rs
+++ b/src/dispatch/admit.rs
@@ -77,7 +77,7 @@
         self.next_message_no = no + 1;
         self.live_bytes += size;
         name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
-        self.ceilings.queue(taken.dest);
+        self.ceilings.message_queued(taken.dest);
         self.counters.taken += 1;
         let free = self.replicate_accepted(now, &taken);
         // A message of the same key may still run where the tenant came from.
@@ -230,7 +230,7 @@
                 Record::Known { identity, ending, until, tenant } => {
                     self.restore_identity(now, identity, 0, Some(ending), until, tenant)
                 }
-                Record::Spent(s) => spent.push(s),
+                Record::CallRecord(s) => spent.push(s),
                 Record::Once { name, ending, until, tenant } if until > now => {
                     self.at_most_once.remember(name, ending, until, tenant)
                 }
@@ -296,7 +296,7 @@
         let (no, t) = (message.taken.no, &message.taken);
         if message.ending.is_none() {
             self.cells.add_restored(now, &message);
-            self.ceilings.queue(t.dest);
+            self.ceilings.message_queued(t.dest);
         }
         let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
         name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
@@ -413,7 +413,7 @@
             };
             records.extend(k.ending.map(known));
         }
-        records.extend(self.ceilings.spent(self.now).into_iter().map(Record::Spent));
+        records.extend(self.ceilings.snapshot(self.now).into_iter().map(Record::CallRecord));
         let once = |(name, ending, until, tenant): (&String, Ending, Ms, &String)| Record::Once {
             name: name.clone(),
             ending,
--- a/src/dispatch/book.rs
+++ b/src/dispatch/book.rs
@@ -58,7 +58,7 @@
         let (outcome, wait) = outcome_fields(ending);
         log::debug!(id = identity.1.as_str(), class = c.taken.class.as_str(), member = dest, outcome = outcome, wait_ms = wait,
             attempts = c.attempts, left_ms = c.taken.valid_until - now; "a call ended");
-        self.ceilings.unqueue(dest);
+        self.ceilings.message_dequeued(dest);
         self.cells.remove_ended(now, c, ending == Ending::Delivered);
         let platform = identity.0.is_empty();
         let may_be_late = c.unreported_end.is_some();
@@ -137,7 +137,7 @@
         self.backlog.remove(no);
         self.live_bytes -= c.size;
         if c.ending.is_none() {
-            self.ceilings.unqueue(c.taken.dest);
+            self.ceilings.message_dequeued(c.taken.dest);
             self.cells.remove_ended(now, &c, false);
         }
         Some(c)
--- a/src/dispatch/cells.rs
+++ b/src/dispatch/cells.rs
@@ -10,9 +10,9 @@
 use crate::api::*;
 use crate::brain::Brain;
 use crate::journal::{Ending, Taken};
-use lilacbank_cells::bulkhead::{CellNo, Grant, Lending, Pool, Turns};
-use lilacbank_cells::placement::{home, Place};
-use lilacbank_limits::{Ceilings, Promise};
+use lilacbank_cells::bulkhead::{Acquisition, CapacityPool, CellIndex, FairScheduler, Revocability};
+use lilacbank_cells::placement::{place, Candidate};
+use lilacbank_limits::{DestinationLimit, RateLimiter};
 use std::collections::{HashMap, VecDeque};
 
 /// A cell as it is configured.
@@ -66,7 +66,7 @@
     pub(super) brain: Brain,
     pub(super) events: Vec<Event>,
     /// Its own share of the promised limits.
-    own_limits: Ceilings,
+    own_limits: RateLimiter,
     /// The number of messages that it holds.
     held: usize,
     /// The number of its outstanding attempts.
@@ -92,7 +92,7 @@
 impl Cell {
     /// Its own share of the calls to an endpoint in a span, and how many of them are left.
     fn own_share_left(&mut self, now: Ms, dest: DestId, uid: &str) -> Option<(u32, u32)> {
-        let part = self.own_limits.promise(dest)?.calls?;
+        let part = self.own_limits.limit(dest)?.calls?;
         let left = self.own_limits.room(now, dest, uid)?.calls;
         Some((part, left.min(part)))
     }
@@ -105,18 +105,18 @@
 /// All cells of a dispatcher.
 pub(super) struct Cells {
     pub(super) all: Vec<Cell>,
-    places: Vec<Place>,
-    pinned: HashMap<String, CellNo>,
-    held: Pool,
-    slots: Pool,
-    room: Pool,
-    turns: Turns,
+    places: Vec<Candidate>,
+    pinned: HashMap<String, CellIndex>,
+    held: CapacityPool,
+    slots: CapacityPool,
+    room: CapacityPool,
+    turns: FairScheduler,
     queues: HashMap<QueueKey, PendingQueue>,
 }
 
 /// A cell's share of the promised limits; all shares together are at most the whole.
-fn share_of_promises(promises: &[Promise], part: f64) -> Vec<Promise> {
-    let own = |p: &Promise| Promise {
+fn share_of_promises(promises: &[DestinationLimit], part: f64) -> Vec<DestinationLimit> {
+    let own = |p: &DestinationLimit| DestinationLimit {
         calls: p.calls.map(|c| (f64::from(c) * part) as u32),
         connections: None,
         ..p.clone()
@@ -128,7 +128,7 @@
     pub(super) fn new(
         settings: &Settings,
         specs: &[CellSpec],
-        promises: &[Promise],
+        promises: &[DestinationLimit],
         journal_room: u64,
     ) -> Cells {
         let one = [CellSpec { name: String::new(), weight: 1.0, tenants: Vec::new() }];
@@ -139,7 +139,7 @@
             name: s.name.clone(),
             brain: Brain::new(settings.clone()),
             events: Vec::new(),
-            own_limits: Ceilings::new(share_of_promises(promises, s.weight / sum.max(f64::MIN_POSITIVE))),
+            own_limits: RateLimiter::new(share_of_promises(promises, s.weight / sum.max(f64::MIN_POSITIVE))),
             held: 0,
             out: 0,
             recent_ends: VecDeque::new(),
@@ -151,12 +151,16 @@
         let pinned =
             specs.iter().enumerate().flat_map(|(n, s)| s.tenants.iter().map(move |t| (t.clone(), n)));
         Cells {
-            places: specs.iter().map(|s| Place { name: s.name.clone(), weight: s.weight }).collect(),
+            places: specs.iter().map(|s| Candidate { name: s.name.clone(), weight: s.weight }).collect(),
             pinned: pinned.collect(),
-            held: Pool::new(settings.max_held as u64, &weights, Lending::Revocable),
-            slots: Pool::new(settings.slots as u64, &weights, Lending::Held { reserve: UNLENT_PERCENT }),
-            room: Pool::new(journal_room / JOURNAL_UNIT_BYTES, &weights, Lending::Revocable),
-            turns: Turns::new(&weights),
+            held: CapacityPool::new(settings.max_held as u64, &weights, Revocability::Revocable),
+            slots: CapacityPool::new(
+                settings.slots as u64,
+                &weights,
+                Revocability::NonRevocable { reserve: UNLENT_PERCENT },
+            ),
+            room: CapacityPool::new(journal_room / JOURNAL_UNIT_BYTES, &weights, Revocability::Revocable),
+            turns: FairScheduler::new(&weights),
             queues: HashMap::new(),
             all: specs.iter().map(cell).collect(),
         }
@@ -168,30 +172,30 @@
     }
 
     /// The cell of a tenant.
-    pub(super) fn cell_of(&self, tenant: &str) -> CellNo {
+    pub(super) fn cell_of(&self, tenant: &str) -> CellIndex {
         if self.is_single() {
             return 0;
         }
-        self.pinned.get(tenant).copied().or_else(|| home(tenant, &self.places)).unwrap_or(0)
+        self.pinned.get(tenant).copied().or_else(|| place(tenant, &self.places)).unwrap_or(0)
     }
 
     /// Applies changed capacity and promised limits; the cells stay the same.
-    pub(super) fn change(&mut self, now: Ms, settings: &Settings, promises: &[Promise]) {
+    pub(super) fn change(&mut self, now: Ms, settings: &Settings, promises: &[DestinationLimit]) {
         let weights: Vec<f64> = self.places.iter().map(|p| p.weight).collect();
         let sum: f64 = weights.iter().sum();
-        self.held.divide(settings.max_held as u64, &weights);
-        self.slots.divide(settings.slots as u64, &weights);
+        self.held.set_weights(settings.max_held as u64, &weights);
+        self.slots.set_weights(settings.slots as u64, &weights);
         // The decision modules have been given the whole capacity: each gets its share again before its next
         // step.
         self.all.iter_mut().for_each(|c| c.allowed = (0, 0));
         for (cell, place) in self.all.iter_mut().zip(&self.places) {
             cell.own_limits
-                .change(now, share_of_promises(promises, place.weight / sum.max(f64::MIN_POSITIVE)));
+                .set_limits(now, share_of_promises(promises, place.weight / sum.max(f64::MIN_POSITIVE)));
         }
     }
 
     /// Queues an event for one cell.
-    pub(super) fn post(&mut self, cell: CellNo, event: Event) {
+    pub(super) fn post(&mut self, cell: CellIndex, event: Event) {
         if let Some(c) = self.all.get_mut(cell) {
             c.events.push(event);
         }
@@ -208,8 +212,9 @@
 
     /// The cells with pending events, those first that have used the least of their time, and only as many as
     /// fit in a turn.
-    pub(super) fn turn(&mut self) -> Vec<CellNo> {
-        let wanting: Vec<CellNo> = (0..self.all.len()).filter(|n| !self.all[*n].events.is_empty()).collect();
+    pub(super) fn turn(&mut self) -> Vec<CellIndex> {
+        let wanting: Vec<CellIndex> =
+            (0..self.all.len()).filter(|n| !self.all[*n].events.is_empty()).collect();
         if self.is_single() {
             return wanting;
         }
@@ -221,19 +226,19 @@
                 break;
             }
             work += cost;
-            self.turns.used(cell, cost);
+            self.turns.charge(cell, cost);
             due.push(cell);
         }
         due
     }
 
     /// Tells a cell's decision module how many slots and messages it may use.
-    pub(super) fn allow(&mut self, cell: CellNo) {
+    pub(super) fn allow(&mut self, cell: CellIndex) {
         if self.is_single() {
             return;
         }
-        let slots = (self.slots.most(cell) as usize).max(1);
-        let held = (self.held.most(cell) as usize).max(slots);
+        let slots = (self.slots.max_available(cell) as usize).max(1);
+        let held = (self.held.max_available(cell) as usize).max(slots);
         let c = &mut self.all[cell];
         if c.allowed != (slots, held) {
             c.allowed = (slots, held);
@@ -242,31 +247,31 @@
     }
 
     /// Takes a slot for an attempt; false if there is none.
-    pub(super) fn take_slot(&mut self, now: Ms, cell: CellNo) -> bool {
+    pub(super) fn take_slot(&mut self, now: Ms, cell: CellIndex) -> bool {
         if self.is_single() {
             return true;
         }
-        let given = matches!(self.slots.ask(cell), Grant::Own | Grant::Lent);
+        let given = matches!(self.slots.check(cell), Acquisition::OwnShare | Acquisition::Lent);
         if given {
-            self.slots.take(cell);
+            self.slots.acquire(cell);
             let c = &mut self.all[cell];
             c.out += 1;
             c.peak = (decayed(c.peak, now).max(c.out as f64), now);
-            self.slots.keep(cell, c.peak.0.ceil() as u64);
+            self.slots.set_recent_need(cell, c.peak.0.ceil() as u64);
         }
         given
     }
 
     /// Takes a slot although there is none; the attempt's outcome gives it back.
-    pub(super) fn force_slot(&mut self, cell: CellNo) {
-        self.slots.force(cell, 1);
+    pub(super) fn force_slot(&mut self, cell: CellIndex) {
+        self.slots.acquire_unconditionally(cell, 1);
         self.all[cell].out += 1;
     }
 
     /// Gives a slot back.
-    pub(super) fn release_slot(&mut self, cell: CellNo) {
+    pub(super) fn release_slot(&mut self, cell: CellIndex) {
         if !self.is_single() {
-            self.slots.give(cell);
+            self.slots.release(cell);
             self.all[cell].out = self.all[cell].out.saturating_sub(1);
         }
     }
@@ -274,8 +279,8 @@
     /// Adds a message of an earlier process or of another dispatcher.
     pub(super) fn add_restored(&mut self, now: Ms, message: &HeldMessage) {
         if !self.is_single() {
-            self.held.force(message.cell, 1);
-            self.room.force(message.cell, message.size.div_ceil(JOURNAL_UNIT_BYTES));
+            self.held.acquire_unconditionally(message.cell, 1);
+            self.room.acquire_unconditionally(message.cell, message.size.div_ceil(JOURNAL_UNIT_BYTES));
             self.all[message.cell].held += 1;
             self.enter_queue(now, &message.taken);
         }
@@ -295,9 +300,9 @@
         }
     }
 
-    fn release_place(&mut self, cell: CellNo, size: u64) {
-        self.held.give(cell);
-        (0..size.div_ceil(JOURNAL_UNIT_BYTES)).for_each(|_| self.room.give(cell));
+    fn release_place(&mut self, cell: CellIndex, size: u64) {
+        self.held.release(cell);
+        (0..size.div_ceil(JOURNAL_UNIT_BYTES)).for_each(|_| self.room.release(cell));
         self.all[cell].held = self.all[cell].held.saturating_sub(1);
     }
 
@@ -342,7 +347,7 @@
     }
 
     /// How long until a full cell has a place again, estimated from the rate at which its messages end.
-    fn place_wait(&self, now: Ms, cell: CellNo) -> Ms {
+    fn place_wait(&self, now: Ms, cell: CellIndex) -> Ms {
         let c = &self.all[cell];
         let Some(first) = c.recent_ends.front() else { return MAX_WAIT.min(1_000.0) };
         let each = (now - first).max(1.0) / c.recent_ends.len() as f64;
@@ -355,8 +360,8 @@
     pub(super) fn charge(
         &mut self,
         now: Ms,
-        cell: CellNo,
-        total: &mut Ceilings,
+        cell: CellIndex,
+        total: &mut RateLimiter,
         dest: DestId,
         uid: &str,
     ) -> Result<bool, Ms> {
@@ -369,7 +374,7 @@
         }
         // Beyond its own share the cell uses what the others leave, which does not count against its share.
         let c = &mut self.all[cell];
-        let own = c.own_limits.take(now, dest, uid).is_ok();
+        let own = c.own_limits.start_call(now, dest, uid).is_ok();
         if own {
             let used = c.own_share_left(now, dest, uid).map_or(0.0, |(part, left)| f64::from(part - left));
             let peak = c.used_peak(now, uid).max(used);
@@ -378,17 +383,17 @@
         Ok(own)
     }
 
-    pub(super) fn charge_ended(&mut self, now: Ms, cell: CellNo, dest: DestId, uid: &str, written: bool) {
+    pub(super) fn charge_ended(&mut self, now: Ms, cell: CellIndex, dest: DestId, uid: &str, written: bool) {
         if let Some(c) = self.all.get_mut(cell) {
             if written {
-                c.own_limits.written(now, dest, uid);
+                c.own_limits.call_written(now, dest, uid);
             }
-            c.own_limits.ended(dest, uid, written);
+            c.own_limits.call_ended(dest, uid, written);
         }
     }
 
     /// Counts an attempt to an endpoint that begins (`starts`) or has ended.
-    pub(super) fn count_connection(&mut self, cell: CellNo, uid: &str, starts: bool) {
+    pub(super) fn count_connection(&mut self, cell: CellIndex, uid: &str, starts: bool) {
         if self.is_single() {
             return;
         }
@@ -403,7 +408,7 @@
     /// How many of an endpoint's connections a cell may use: what the others leave. Another cell keeps its
     /// share while it has messages to send, and a quarter of it otherwise. Borrowed connections come back as
     /// attempts end.
-    pub(super) fn connections_left(&self, cell: CellNo, uid: &str, whole: u32) -> u32 {
+    pub(super) fn connections_left(&self, cell: CellIndex, uid: &str, whole: u32) -> u32 {
         if self.is_single() || whole == u32::MAX {
             return whole;
         }
@@ -422,21 +427,21 @@
     pub(super) fn calls_left(
         &mut self,
         now: Ms,
-        cell: CellNo,
-        total: &mut Ceilings,
+        cell: CellIndex,
+        total: &mut RateLimiter,
         dest: DestId,
         uid: &str,
     ) -> (u32, Ms) {
         let Some(whole) = total.room(now, dest, uid) else { return (u32::MAX, now) };
         if self.is_single() || whole.calls == 0 || whole.calls == u32::MAX {
-            return (whole.calls, whole.again);
+            return (whole.calls, whole.recheck_at);
         }
         let mut own = (0, now);
         let mut kept = 0;
         for (n, c) in self.all.iter_mut().enumerate() {
             let Some(room) = c.own_limits.room(now, dest, uid) else { continue };
             if n == cell {
-                own = (room.calls, room.again);
+                own = (room.calls, room.recheck_at);
             } else if c.held > 0 {
                 kept += room.calls;
             } else if let Some((part, left)) = c.own_share_left(now, dest, uid) {
@@ -456,7 +461,7 @@
 impl Core {
     /// Reserves a place for a message in its cell, for which another cell has to give back a borrowed one if
     /// necessary. If there is no place, returns the retry-after.
-    pub(super) fn reserve_place(&mut self, now: Ms, cell: CellNo, size: u64) -> Result<(), Ms> {
+    pub(super) fn reserve_place(&mut self, now: Ms, cell: CellIndex, size: u64) -> Result<(), Ms> {
         if self.cells.is_single() {
             return Ok(());
         }
@@ -465,29 +470,29 @@
         }
         for taken in 0..size.div_ceil(JOURNAL_UNIT_BYTES) {
             if !self.find_place(now, cell, |c| &mut c.room) {
-                (0..taken).for_each(|_| self.cells.room.give(cell));
+                (0..taken).for_each(|_| self.cells.room.release(cell));
                 return Err(self.cells.place_wait(now, cell));
             }
-            self.cells.room.take(cell);
+            self.cells.room.acquire(cell);
         }
-        self.cells.held.take(cell);
+        self.cells.held.acquire(cell);
         self.cells.all[cell].held += 1;
         Ok(())
     }
 
     /// Whether there is a place in a pool, after other cells have given back borrowed ones if necessary.
-    fn find_place(&mut self, now: Ms, cell: CellNo, pool: fn(&mut Cells) -> &mut Pool) -> bool {
+    fn find_place(&mut self, now: Ms, cell: CellIndex, pool: fn(&mut Cells) -> &mut CapacityPool) -> bool {
         loop {
-            match pool(&mut self.cells).ask(cell) {
-                Grant::Own | Grant::Lent => return true,
-                Grant::After(other) if self.evict_one(now, other) => {}
-                Grant::After(_) | Grant::Full => return false,
+            match pool(&mut self.cells).check(cell) {
+                Acquisition::OwnShare | Acquisition::Lent => return true,
+                Acquisition::AfterRevoking(other) if self.evict_one(now, other) => {}
+                Acquisition::AfterRevoking(_) | Acquisition::Denied => return false,
             }
         }
     }
 
     /// Gives back a reserved place that is not needed.
-    pub(super) fn cancel_place(&mut self, cell: CellNo, size: u64) {
+    pub(super) fn cancel_place(&mut self, cell: CellIndex, size: u64) {
         if !self.cells.is_single() {
             self.cells.release_place(cell, size);
         }
@@ -495,7 +500,7 @@
 
     /// Returns one message of a cell that uses borrowed capacity: the one that was accepted last among those
     /// that were never sent.
-    fn evict_one(&mut self, now: Ms, cell: CellNo) -> bool {
+    fn evict_one(&mut self, now: Ms, cell: CellIndex) -> bool {
         let idle = |c: &HeldMessage| {
             c.cell == cell && c.out.is_none() && c.ran.is_none() && c.ending.is_none() && c.withheld.is_none()
         };
--- a/src/dispatch/copying.rs
+++ b/src/dispatch/copying.rs
@@ -10,10 +10,10 @@
 use crate::api::*;
 use crate::journal::{CallNo, Ending, Identity, Record, Sent, Taken};
 use crate::together::Replication;
-use lilacbank_limits::ramp::{Former, Health};
-use lilacbank_replica::copies::{Content, Copy, End, Stage};
-use lilacbank_replica::keeper::{Keeper, Learnt, News};
-use lilacbank_replica::owner::{Kind, Step};
+use lilacbank_limits::ramp::{Health, RememberedHealth};
+use lilacbank_replica::copies::{CopyEnding, MessageContent, MessageCopy, Stage};
+use lilacbank_replica::keeper::{DestinationHealth, ReplicationEvent, Replicator};
+use lilacbank_replica::owner::{Repeatability, ReplicaAction};
 use lilacbank_replica::wire::Envelope;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 
 /// The state of replication in the core.
 pub(super) struct ReplicationState {
-    keeper: Keeper,
+    keeper: Replicator,
     spec: Replication,
     /// Clients that wait until another dispatcher holds a copy, and until when.
     awaiting_ack: Vec<(CallNo, super::Ticket, Ms)>,
@@ -68,33 +68,33 @@
     }
 }
 
-fn to_replica_ending(ending: Ending) -> End {
+fn to_replica_ending(ending: Ending) -> CopyEnding {
     match ending {
-        Ending::Delivered => End::Delivered,
-        Ending::GivenUp => End::GivenUp,
-        Ending::HandedBack(wait) => End::HandedBack(whole_ms(wait)),
+        Ending::Delivered => CopyEnding::Delivered,
+        Ending::GivenUp => CopyEnding::GivenUp,
+        Ending::HandedBack(wait) => CopyEnding::Returned(whole_ms(wait)),
     }
 }
 
-fn to_replica_content(t: &Taken) -> Content {
-    Content {
+fn to_replica_content(t: &Taken) -> MessageContent {
+    MessageContent {
         client: t.identity.0.clone(),
         class: t.class.clone(),
         tenant: t.tenant.clone(),
-        key: t.key,
-        idempotency: t.idempotency.clone(),
-        dest: t.dest,
+        ordering_key: t.key,
+        idempotency_key: t.idempotency.clone(),
+        destination: t.dest,
         valid_until: whole_ms(t.valid_until),
-        no: t.no,
-        reply: t.reply.clone(),
+        number: t.no,
+        reply_to: t.reply.clone(),
         body: t.body.clone(),
-        ..Content::default()
+        ..MessageContent::default()
     }
 }
 
 impl Core {
     /// Enables replication; called before anything is restored.
-    pub fn copy_with(&mut self, keeper: Keeper, spec: Replication) {
+    pub fn copy_with(&mut self, keeper: Replicator, spec: Replication) {
         self.replication = Some(Box::new(ReplicationState {
             keeper,
             spec,
@@ -117,14 +117,14 @@
     /// Handles a peer message about replication.
     pub fn hear_copy(&mut self, now: Ms, e: Envelope) {
         if let Some(c) = &mut self.replication {
-            c.keeper.hear(whole_ms(now), e);
+            c.keeper.receive(whole_ms(now), e);
         }
     }
 
     /// The connection to another dispatcher is lost.
     pub fn copy_peer_lost(&mut self, name: &str) {
         if let Some(c) = &mut self.replication {
-            c.keeper.lost(name);
+            c.keeper.connection_lost(name);
         }
     }
 
@@ -134,10 +134,10 @@
         all.map(|(n, a)| (n.clone(), a.clone())).collect()
     }
 
-    fn replication_kind(&self, class: &str) -> Kind {
+    fn replication_kind(&self, class: &str) -> Repeatability {
         match self.is_at_most_once_class(class) {
-            true => Kind::Unsafe,
-            false => Kind::Safe,
+            true => Repeatability::AtMostOnce,
+            false => Repeatability::Repeatable,
         }
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn replicate_accepted(&mut self, now: Ms, t: &Taken) -> bool {
         let kind = self.replication_kind(&t.class);
         let Some(c) = &mut self.replication else { return true };
-        let free = c.keeper.taken(whole_ms(now), &copy_name(&t.identity), to_replica_content(t), kind);
+        let free = c.keeper.accept(whole_ms(now), &copy_name(&t.identity), to_replica_content(t), kind);
         let behind = self.has_earlier_suspended(t.no, t.key);
         if !free || behind {
             self.set_suspended(t.no, true);
@@ -165,9 +165,9 @@
         let kind = self.replication_kind(&message.taken.class);
         let Some(c) = self.replication.as_mut().filter(|_| message.ending.is_none()) else { return };
         let name = copy_name(&message.taken.identity);
-        if c.keeper.knows(&name).is_none() {
-            let stage = if message.attempts > 0 { Stage::Started } else { Stage::Taken };
-            c.keeper.restored(&name, to_replica_content(&message.taken), kind, stage);
+        if c.keeper.stage(&name).is_none() {
+            let stage = if message.attempts > 0 { Stage::Started } else { Stage::Accepted };
+            c.keeper.restore(&name, to_replica_content(&message.taken), kind, stage);
             c.suspended.insert(no);
         }
     }
@@ -211,8 +211,8 @@
     pub(super) fn replication_allows_start(&mut self, now: Ms, no: CallNo) -> bool {
         let Some(name) = self.messages.get(&no).map(|c| copy_name(&c.taken.identity)) else { return true };
         let Some(c) = &mut self.replication else { return true };
-        if c.keeper.may_act(whole_ms(now), &name) {
-            c.keeper.started(whole_ms(now), &name);
+        if c.keeper.may_start_attempt(whole_ms(now), &name) {
+            c.keeper.record_start(whole_ms(now), &name);
             return true;
         }
         false
@@ -239,7 +239,7 @@
     pub(super) fn replicate_ending(&mut self, now: Ms, no: CallNo, identity: &Identity, ending: Ending) {
         if let Some(c) = &mut self.replication {
             c.suspended.remove(&no);
-            c.keeper.ended(whole_ms(now), &copy_name(identity), to_replica_ending(ending));
+            c.keeper.record_end(whole_ms(now), &copy_name(identity), to_replica_ending(ending));
         }
     }
 
@@ -247,13 +247,13 @@
     pub(super) fn verdict_from_copy(&mut self, identity: &Identity) -> Option<Verdict> {
         let busy = NO_ROOM_RETRY_AFTER.min(self.settings.max_advice);
         let c = self.replication.as_mut()?;
-        let verdict = match c.keeper.knows(&copy_name(identity))? {
+        let verdict = match c.keeper.stage(&copy_name(identity))? {
             // The dispatcher that owns the message reports its end; a session gets the answer where it is
             // connected.
-            Stage::Taken | Stage::Started if !identity.0.is_empty() => Verdict::Busy(busy),
-            Stage::Taken | Stage::Started | Stage::Ended(End::Delivered) => Verdict::Taken,
-            Stage::Ended(End::GivenUp) => Verdict::Failed("given up".into()),
-            Stage::Ended(End::HandedBack(wait)) => Verdict::Busy(wait as Ms),
+            Stage::Accepted | Stage::Started if !identity.0.is_empty() => Verdict::Busy(busy),
+            Stage::Accepted | Stage::Started | Stage::Ended(CopyEnding::Delivered) => Verdict::Taken,
+            Stage::Ended(CopyEnding::GivenUp) => Verdict::Failed("given up".into()),
+            Stage::Ended(CopyEnding::Returned(wait)) => Verdict::Busy(wait as Ms),
         };
         c.answered_from_copies += 1;
         Some(verdict)
@@ -263,7 +263,7 @@
     pub(super) fn query_peers(&mut self, now: Ms, ticket: super::Ticket, s: &Submission) -> bool {
         let Some(c) = self.replication.as_mut().filter(|c| s.again && !c.catching_up) else { return false };
         let name = copy_name(&s.identity);
-        if c.peer_queries.len() >= MAX_PEER_QUERIES || !c.keeper.look_for(whole_ms(now), &name) {
+        if c.peer_queries.len() >= MAX_PEER_QUERIES || !c.keeper.query_peers(whole_ms(now), &name) {
             return false;
         }
         c.peer_queries.push((ticket, s.clone()));
@@ -273,7 +273,7 @@
     /// Replicates an operator's block, or its removal, to the peers.
     pub(super) fn replicate_block(&mut self, now: Ms, id: &str, down: bool) {
         if let Some(c) = &mut self.replication {
-            c.keeper.ban(whole_ms(now), id, down);
+            c.keeper.set_operator_block(whole_ms(now), id, down);
         }
     }
 
@@ -281,7 +281,8 @@
     pub(super) fn replication_due(&self) -> Option<Ms> {
         let c = self.replication.as_ref()?;
         let acks = c.awaiting_ack.iter().map(|a| a.2).min_by(f64::total_cmp);
-        let recheck = (!c.suspended.is_empty() || c.keeper.shaky(whole_ms(self.now))).then_some(c.recheck_at);
+        let recheck = (!c.suspended.is_empty() || c.keeper.has_lapsed_lease(whole_ms(self.now)))
+            .then_some(c.recheck_at);
         [Some(c.keeper.next_due() as Ms), acks, recheck].into_iter().flatten().min_by(f64::total_cmp)
     }
 
@@ -291,20 +292,20 @@
         if c.keeper.next_due() <= whole_ms(now) {
             c.keeper.tick(whole_ms(now));
         }
-        let events = c.keeper.take_news();
+        let events = c.keeper.take_events();
         let late: Vec<CallNo> = c.awaiting_ack.iter().filter(|a| a.2 <= now).map(|a| a.0).collect();
         c.unacked += late.len() as u64;
         late.into_iter().for_each(|no| self.end_copy_wait(no));
         let (mut started, mut taken) = (false, Vec::new());
         for n in events {
             match n {
-                News::View(text) => log::info!("dispatchers: {text}"),
-                News::Held(id) => {
+                ReplicationEvent::MembershipChanged(text) => log::info!("dispatchers: {text}"),
+                ReplicationEvent::CopyAcknowledged(id) => {
                     let no = self.identities.get(&parse_copy_name(&id)).map(|k| k.no);
                     no.into_iter().for_each(|no| self.end_copy_wait(no));
                 }
-                News::Start(_) => started = true,
-                News::GiveUp(id) => {
+                ReplicationEvent::Start(_) => started = true,
+                ReplicationEvent::GiveUp(id) => {
                     if let Some(no) = self.find_message(&id) {
                         log::warn!(id = id.as_str(), outcome = "given_up";
                             "{id} is given up: no dispatcher can rule out that it was sent");
@@ -312,28 +313,29 @@
                         self.give_up(now, no);
                     }
                 }
-                News::Leave(id) => self.cede_to_peer(now, &id),
-                News::Take(copy, step) => taken.push((*copy, step)),
-                News::Ban(id, down) => {
+                ReplicationEvent::OwnershipLost(id) => self.cede_to_peer(now, &id),
+                ReplicationEvent::OwnershipTaken(copy, step) => taken.push((*copy, step)),
+                ReplicationEvent::OperatorBlock(id, down) => {
                     match down {
                         true => self.block_endpoint(now, &id),
                         false => self.unblock_endpoint(now, &id),
                     }
                     self.orders.push(Order::KeepBans);
                 }
-                News::Looked(id) => {
+                ReplicationEvent::QueryFinished(id) => {
                     let Some(c) = &mut self.replication else { return };
                     let is = |l: &(super::Ticket, Submission)| copy_name(&l.1.identity) == id;
                     let (known, later): (Vec<_>, Vec<_>) = c.peer_queries.drain(..).partition(is);
                     c.peer_queries = later;
                     known.into_iter().for_each(|(ticket, s)| self.submit_after_query(now, ticket, s));
                 }
-                News::Health(member, l) => {
-                    let health = Health { rate: l.rate, away: l.away.map(|a| a as Ms) };
-                    let age = Some((now - l.at as Ms).max(0.0));
-                    self.apply_peer_health(now, &member, Former { health, age });
+                ReplicationEvent::HealthUpdate(member, l) => {
+                    let health =
+                        Health { rate: l.rate, unavailable_since: l.unavailable_since.map(|a| a as Ms) };
+                    let age = Some((now - l.observed_at as Ms).max(0.0));
+                    self.apply_peer_health(now, &member, RememberedHealth { health, age });
                 }
-                News::CaughtUp(settled) => {
+                ReplicationEvent::Settled(settled) => {
                     let done = self.replication.as_mut().is_some_and(|c| std::mem::take(&mut c.catching_up));
                     if done {
                         log::info!(settled = settled; "stage serving: {}", if settled {
@@ -353,14 +355,18 @@
             let Some(c) = &mut self.replication else { return };
             c.health_at = now + HEALTH_INTERVAL;
             for (member, h, at) in learnt {
-                let learnt = Learnt { rate: h.rate, away: h.away.map(whole_ms), at: whole_ms(at) };
-                c.keeper.learnt(&member, learnt);
+                let learnt = DestinationHealth {
+                    rate: h.rate,
+                    unavailable_since: h.unavailable_since.map(whole_ms),
+                    observed_at: whole_ms(at),
+                };
+                c.keeper.update_health(&member, learnt);
             }
         }
         let Some(c) = &mut self.replication else { return };
         if started || c.recheck_at <= now {
             c.recheck_at = now + RECHECK_INTERVAL;
-            let shaky = c.keeper.shaky(whole_ms(now));
+            let shaky = c.keeper.has_lapsed_lease(whole_ms(now));
             self.recheck_suspended(now);
             if shaky {
                 self.cancel_unleased(now);
@@ -370,7 +376,7 @@
 
     /// Orders the pending peer messages to be sent.
     pub(super) fn send_replication(&mut self) {
-        let outgoing = self.replication.as_mut().map(|c| c.keeper.take_out()).unwrap_or_default();
+        let outgoing = self.replication.as_mut().map(|c| c.keeper.take_outgoing()).unwrap_or_default();
         self.orders.extend(outgoing.into_iter().map(|(to, e)| Order::Mate { to, envelope: Box::new(e) }));
     }
 
@@ -397,7 +403,8 @@
             }
             let (name, key, withheld) =
                 (copy_name(&message.taken.identity), message.taken.key, message.withheld);
-            let may = self.replication.as_ref().is_some_and(|c| c.keeper.may_act(whole_ms(now), &name));
+            let may =
+                self.replication.as_ref().is_some_and(|c| c.keeper.may_start_attempt(whole_ms(now), &name));
             if may && !self.has_earlier_suspended(no, key) {
                 self.set_suspended(no, false);
                 if withheld == Some(Withheld::Suspended) {
@@ -414,7 +421,7 @@
         let unleased = |message: &super::HeldMessage| {
             message.out.is_some()
                 && !self.is_at_most_once_class(&message.taken.class)
-                && !c.keeper.may_act(whole_ms(now), &copy_name(&message.taken.identity))
+                && !c.keeper.may_start_attempt(whole_ms(now), &copy_name(&message.taken.identity))
         };
         let due: Vec<(CallNo, u32)> = self
             .messages
@@ -445,8 +452,11 @@
 
     /// Takes over messages of other dispatchers: each is written to the journal before anything is done for
     /// it.
-    fn take_over_copies(&mut self, now: Ms, mut taken: Vec<(Copy, Step)>) {
-        taken.sort_by(|a, b| (&a.0.content.taker, a.0.content.no).cmp(&(&b.0.content.taker, b.0.content.no)));
+    fn take_over_copies(&mut self, now: Ms, mut taken: Vec<(MessageCopy, ReplicaAction)>) {
+        taken.sort_by(|a, b| {
+            (&a.0.content.accepted_by, a.0.content.number)
+                .cmp(&(&b.0.content.accepted_by, b.0.content.number))
+        });
         let (mut records, mut given_up) = (Vec::new(), Vec::new());
         for (copy, step) in taken {
             let identity = parse_copy_name(&copy.id);
@@ -460,17 +470,17 @@
             self.next_message_no += 1;
             let c = copy.content;
             log::info!(id = identity.1.as_str(), class = c.class.as_str(), epoch = copy.fence.epoch;
-                "{} is taken over from {}", identity.1, c.taker);
+                "{} is taken over from {}", identity.1, c.accepted_by);
             records.push(Record::Taken(Taken {
                 no,
                 identity: identity.clone(),
                 class: c.class,
                 tenant: c.tenant,
-                key: c.key,
-                idempotency: c.idempotency,
-                dest: c.dest,
+                key: c.ordering_key,
+                idempotency: c.idempotency_key,
+                dest: c.destination,
                 valid_until: c.valid_until as Ms,
-                reply: c.reply,
+                reply: c.reply_to,
                 body: c.body,
             }));
             if copy.stage == Stage::Started {
@@ -478,7 +488,7 @@
                 let ran = Some(Sent { at: 0.0, zone: String::new() });
                 records.push(Record::State { no, attempts: 1, ran, out: None });
             }
-            if step == Step::GiveUp {
+            if step == ReplicaAction::GiveUp {
                 records.push(Record::Ended { no, ending: Ending::GivenUp });
                 given_up.push((no, identity));
             }
@@ -493,16 +503,16 @@
     /// The replication part of `vars`; null where replication is disabled.
     pub(super) fn replication_metrics(&self) -> serde_json::Value {
         let Some(c) = &self.replication else { return serde_json::Value::Null };
-        let (own, held, bytes) = c.keeper.holds();
+        let (own, held, bytes) = c.keeper.copy_counts();
         let n = c.keeper.counts;
         json!({
-            "dispatchers": c.keeper.standing().into_iter().collect::<std::collections::BTreeMap<_, _>>(),
+            "dispatchers": c.keeper.peer_states().into_iter().collect::<std::collections::BTreeMap<_, _>>(),
             "majority": c.keeper.has_majority(whole_ms(self.now)),
             "catching_up": c.catching_up,
-            "own": own, "copies": held, "bytes": bytes, "still": c.suspended.len(), "away": c.keeper.away(),
-            "taken_in": n.taken_in, "taken_over": n.taken_over, "left": n.left, "alone": n.alone,
-            "granted": n.granted, "denied": n.denied, "conflicts": n.conflicts, "no_room": n.no_room,
-            "caught_up": n.caught_up, "nonsense": n.nonsense, "stale": n.stale, "queries": n.queries, "said_bytes": n.bytes, "known": c.answered_from_copies, "unacked": c.unacked,
+            "own": own, "copies": held, "bytes": bytes, "still": c.suspended.len(), "away": c.keeper.unavailable_destinations(),
+            "taken_in": n.copies_accepted, "taken_over": n.takeovers, "left": n.ownership_lost, "alone": n.without_holders,
+            "granted": n.grants_given, "denied": n.grants_denied, "conflicts": n.conflicts, "no_room": n.copies_rejected,
+            "caught_up": n.missing_copies_sent, "nonsense": n.invalid_messages, "stale": n.stale_messages, "queries": n.queries, "said_bytes": n.bytes_sent, "known": c.answered_from_copies, "unacked": c.unacked,
         })
     }
 }
--- a/src/dispatch/hints.rs
+++ b/src/dispatch/hints.rs
@@ -13,7 +13,7 @@
 use crate::kept::Kept;
 use crate::state::Random;
 use crate::together::Recovery;
-use lilacbank_limits::ramp::{Former, Health, Memory, Ramp};
+use lilacbank_limits::ramp::{Health, HealthTracker, Ramp, RememberedHealth};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// While at-most-once messages wait for a member, one of its endpoints is probed this often.
@@ -30,7 +30,7 @@
     /// The configured recovery behaviour.
     pub recovery: Recovery,
     /// What the last incarnation remembered of each member.
-    pub former: BTreeMap<String, Former>,
+    pub former: BTreeMap<String, RememberedHealth>,
     /// The state folder cannot vouch for an earlier incarnation.
     pub unproven: bool,
     /// The process has crashed repeatedly: it begins at half the rate.
@@ -42,7 +42,7 @@
 pub(super) struct RecoveryState {
     spec: Recovery,
     ramp: Option<Ramp>,
-    memory: Memory,
+    memory: HealthTracker,
     confirmed_endpoints: BTreeSet<RouteId>,
     /// Until then a repeated submission of an at-most-once message may have been sent by a lost incarnation.
     unproven_until: Ms,
@@ -66,7 +66,7 @@
         let unproven = enabled && spec.refuse_again && unproven;
         RecoveryState {
             ramp,
-            memory: Memory::default(),
+            memory: HealthTracker::default(),
             confirmed_endpoints: BTreeSet::new(),
             unproven_until: if unproven { now + longest.fold(0.0, f64::max) } else { f64::MIN },
             next_check: now,
@@ -108,7 +108,7 @@
             let Some(member) = self.limit_group(*route) else { continue };
             let draw = self.recovery.random.next();
             if let Some(ramp) = &mut self.recovery.ramp {
-                ramp.listed(now, &member, draw);
+                ramp.add_destination(now, &member, draw);
             }
             self.mark_capacity_changed(*route);
             if !cached && self.endpoint(*route).is_some_and(|w| w.listing == Listing::Ready) {
@@ -116,7 +116,7 @@
             }
         }
         let members: BTreeSet<String> = self.endpoints.keys().filter_map(|r| self.limit_group(*r)).collect();
-        self.recovery.memory.keep(|m| members.contains(m));
+        self.recovery.memory.retain(|m| members.contains(m));
         let endpoints = &self.endpoints;
         self.recovery.confirmed_endpoints.retain(|r| endpoints.contains_key(r));
     }
@@ -193,7 +193,7 @@
             self.counters.ramped += 1;
             return Err((again - now).max(1.0));
         }
-        ramp.sent(&member);
+        ramp.attempt_started(&member);
         self.mark_capacity_changed(route);
         Ok(())
     }
@@ -208,7 +208,7 @@
     /// Marks the capacity of an endpoint's destination as changed.
     fn mark_capacity_changed(&mut self, route: RouteId) {
         if let Some(dest) = self.endpoint(route).map(|w| w.dest).filter(|_| self.recovery.is_ramping()) {
-            self.ceilings.remind(self.now, dest);
+            self.ceilings.mark_changed_at(self.now, dest);
         }
     }
 
@@ -230,7 +230,7 @@
             Outcome::Late | Outcome::NoConnection | Outcome::Reset => (false, false),
             Outcome::Cancelled | Outcome::NotSent => {
                 // This says nothing about the member; the next attempt may serve as the trial.
-                self.recovery.ramp.iter_mut().for_each(|r| r.unheard(&member));
+                self.recovery.ramp.iter_mut().for_each(|r| r.attempt_cancelled(&member));
                 return;
             }
         };
@@ -240,12 +240,12 @@
                 self.recovery.memory.answered(now, &member);
             }
         } else {
-            self.recovery.memory.silent(now, &member);
+            self.recovery.memory.unanswered(now, &member);
         }
         if let Some(ramp) = &mut self.recovery.ramp {
             match answered {
-                true => ramp.heard(now, &member, full),
-                false => ramp.silent(&member),
+                true => ramp.answered(now, &member, full),
+                false => ramp.unanswered(&member),
             }
             if ramp.is_over(now) {
                 // The ramp is over: capacity is reported once more, without its bound.
@@ -253,7 +253,7 @@
                 self.reported_capacity.keys().map(|k| k.0).collect::<BTreeSet<_>>().into_iter().for_each(
                     |r| {
                         if let Some(dest) = self.endpoint(r).map(|w| w.dest) {
-                            self.ceilings.remind(now, dest);
+                            self.ceilings.mark_changed_at(now, dest);
                         }
                     },
                 );
@@ -267,13 +267,13 @@
         if !self.recovery.spec.enabled {
             return Vec::new();
         }
-        self.recovery.memory.learnt(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
+        self.recovery.memory.all_with_time(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
     }
 
     /// Another dispatcher has newer evidence about a member.
-    pub(super) fn apply_peer_health(&mut self, now: Ms, member: &str, former: Former) {
+    pub(super) fn apply_peer_health(&mut self, now: Ms, member: &str, former: RememberedHealth) {
         if let Some(ramp) = &mut self.recovery.ramp {
-            ramp.told(now, member, former);
+            ramp.update_from_peer(now, member, former);
         }
         let of = |r: &RouteId| self.limit_group(*r).as_deref() == Some(member);
         let routes: Vec<RouteId> = self.endpoints.keys().copied().filter(of).collect();
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -36,7 +36,7 @@
 use crate::journal::{CallNo, Ending, FileMark, Identity, Journal, Sent};
 use crate::logging::Complaint;
 use lilacbank_cells::wire::Envelope;
-use lilacbank_limits::{Ceilings, Promise};
+use lilacbank_limits::{DestinationLimit, RateLimiter};
 use lilacbank_replica::wire::Envelope as MateEnvelope;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -323,7 +323,7 @@
     /// The journal.
     pub journal: Journal,
     /// The limits promised to the members.
-    pub promises: Vec<Promise>,
+    pub promises: Vec<DestinationLimit>,
     /// At-most-once classes, each with the span for which a message is remembered after its end.
     pub once: Vec<(String, Ms)>,
     /// The cells that this dispatcher serves; if empty, it has a single cell.
@@ -341,7 +341,7 @@
     /// Names that are no longer configured and are kept only for messages that are still held.
     pub retired: Names,
     /// See [`Parts::promises`].
-    pub promises: Vec<Promise>,
+    pub promises: Vec<DestinationLimit>,
     /// See [`Parts::once`].
     pub once: Vec<(String, Ms)>,
     /// See [`Parts::mesh`].
@@ -400,7 +400,7 @@
     /// Clients that wait for the verdict of this turn.
     awaiting_verdict: Vec<(CallNo, Ticket)>,
     orders: Vec<Order>,
-    ceilings: Ceilings,
+    ceilings: RateLimiter,
     at_most_once: AtMostOnce,
     /// Endpoints by destination.
     endpoints_of: BTreeMap<DestId, Vec<RouteId>>,
@@ -462,7 +462,7 @@
             verdicts: HashMap::new(),
             awaiting_verdict: Vec::new(),
             orders: Vec::new(),
-            ceilings: Ceilings::new(parts.promises),
+            ceilings: RateLimiter::new(parts.promises),
             at_most_once: AtMostOnce::new(parts.once),
             endpoints_of: BTreeMap::new(),
             reported_capacity: HashMap::new(),
@@ -562,7 +562,7 @@
         self.cells.all.iter_mut().for_each(|c| c.brain.adopt(parts.settings.clone()));
         (self.settings, self.names, self.retired) = (parts.settings, parts.names, parts.retired);
         self.cells.change(now, &self.settings, &parts.promises);
-        self.ceilings.change(now, parts.promises);
+        self.ceilings.set_limits(now, parts.promises);
         self.at_most_once.change(parts.once);
         self.change_map(now, parts.mesh);
     }
--- a/src/dispatch/pace.rs
+++ b/src/dispatch/pace.rs
@@ -6,7 +6,7 @@
 use super::{Core, End, Order};
 use crate::api::*;
 use crate::journal::{CallNo, Record};
-use lilacbank_limits::Step;
+use lilacbank_limits::CallStep;
 
 /// An attempt or probe that counts against a promised limit.
 #[derive(Debug, Clone)]
@@ -24,12 +24,13 @@
         if self.ceilings.is_empty() && self.reported_capacity.is_empty() && !self.recovery.is_ramping() {
             return;
         }
-        for dest in self.ceilings.changed(now) {
+        for dest in self.ceilings.take_changed(now) {
             let mut again = f64::MAX;
             for route in &self.endpoints_of.get(&dest).cloned().unwrap_or_default() {
                 let ramp = self.ramp_room(now, *route);
                 let Some(w) = self.endpoints.get(route) else { continue };
-                let links = self.ceilings.room(now, dest, &w.endpoint.uid).map_or(u32::MAX, |r| r.links);
+                let links =
+                    self.ceilings.room(now, dest, &w.endpoint.uid).map_or(u32::MAX, |r| r.max_connections);
                 for cell in 0..self.cells.all.len() {
                     let uid = &w.endpoint.uid;
                     let (calls, at) = self.cells.calls_left(now, cell, &mut self.ceilings, dest, uid);
@@ -46,7 +47,7 @@
                 }
             }
             if again < f64::MAX {
-                self.ceilings.remind(again, dest);
+                self.ceilings.mark_changed_at(again, dest);
             }
         }
     }
@@ -57,22 +58,22 @@
         let Some((dest, uid)) = self.endpoint(route).map(|w| (w.dest, w.uid.clone())) else {
             return Ok(None);
         };
-        if self.ceilings.promise(dest).is_none() {
+        if self.ceilings.limit(dest).is_none() {
             return Ok(None);
         }
         // Before the count changes: a compaction and the record after it must not both contain the same call.
         self.compact_if_full();
         let from_cell_share = self.cells.charge(now, cell, &mut self.ceilings, dest, &uid)?;
-        if let Err(over) = self.ceilings.take(now, dest, &uid) {
+        if let Err(over) = self.ceilings.start_call(now, dest, &uid) {
             if from_cell_share {
                 self.cells.charge_ended(now, cell, dest, &uid, false);
             }
-            return Err(over.wait);
+            return Err(over.retry_after);
         }
         let charge = Charge { dest, uid, from_cell_share, written: false };
-        if !self.record_step(now, &charge, Step::Started) {
+        if !self.record_step(now, &charge, CallStep::Started) {
             // What cannot be written to the journal is not sent: a restart would not know of it.
-            self.ceilings.ended(charge.dest, &charge.uid, false);
+            self.ceilings.call_ended(charge.dest, &charge.uid, false);
             if from_cell_share {
                 self.cells.charge_ended(now, cell, charge.dest, &charge.uid, false);
             }
@@ -86,9 +87,9 @@
         Ok(Some(charge))
     }
 
-    fn record_step(&mut self, now: Ms, charge: &Charge, step: Step) -> bool {
-        let Some(spent) = self.ceilings.record(now, charge.dest, &charge.uid, step) else { return true };
-        let done = self.journal.append(&Record::Spent(spent));
+    fn record_step(&mut self, now: Ms, charge: &Charge, step: CallStep) -> bool {
+        let Some(spent) = self.ceilings.call_record(now, charge.dest, &charge.uid, step) else { return true };
+        let done = self.journal.append(&Record::CallRecord(spent));
         if let Err(e) = &done {
             log::error!(member = charge.dest, worker = charge.uid.as_str(), cause:% = e;
                 "a counted request cannot be recorded in the journal");
@@ -100,8 +101,8 @@
     pub(super) fn charge_written(&mut self, now: Ms, charge: &mut Charge) {
         if !std::mem::replace(&mut charge.written, true) {
             self.compact_if_full();
-            self.ceilings.written(now, charge.dest, &charge.uid);
-            self.record_step(now, charge, Step::Written);
+            self.ceilings.call_written(now, charge.dest, &charge.uid);
+            self.record_step(now, charge, CallStep::Written);
         }
     }
 
@@ -112,9 +113,9 @@
             self.cells.charge_ended(now, cell, charge.dest, &charge.uid, charge.written);
         }
         self.cells.count_connection(cell, &charge.uid, false);
-        self.ceilings.ended(charge.dest, &charge.uid, charge.written);
+        self.ceilings.call_ended(charge.dest, &charge.uid, charge.written);
         if !charge.written {
-            self.record_step(now, &charge, Step::GivenBack);
+            self.record_step(now, &charge, CallStep::Cancelled);
         }
     }
 
@@ -186,12 +187,12 @@
     /// How long a client would have to wait before a message with this much time left could be delivered in
     /// time; `None` if it can be now.
     pub(super) fn admission_wait(&mut self, now: Ms, dest: DestId, left: Ms) -> Option<Ms> {
-        self.ceilings.promise(dest)?;
+        self.ceilings.limit(dest)?;
         let routes = self.endpoints_of.get(&dest).into_iter().flatten();
         let up =
             routes.filter_map(|r| self.endpoints.get(r)).filter(|w| w.endpoint.listing == Listing::Ready);
         let uids: Vec<&str> = up.map(|w| w.endpoint.uid.as_str()).collect();
-        let at = self.ceilings.when(now, dest, &uids);
+        let at = self.ceilings.estimated_start(now, dest, &uids);
         (at > now + left).then(|| (at - now - left).max(1.0))
     }
 }
--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -162,7 +162,7 @@
         }
         let endpoints = &self.endpoints;
         self.reported_capacity.retain(|(route, _), _| endpoints.contains_key(route));
-        self.ceilings.touch();
+        self.ceilings.mark_all_changed();
     }
 
     /// Forgets endpoints that have been gone for long and have no outstanding attempt.
@@ -355,10 +355,11 @@
     #[test]
     fn a_member_that_was_away_is_tried_by_one_attempt_that_a_held_back_one_does_not_cancel() {
         use crate::dispatch::Past;
-        use lilacbank_limits::ramp::{Former, Health};
+        use lilacbank_limits::ramp::{Health, RememberedHealth};
         let mut core = platform_core("trial");
         let recovery = crate::together::Recovery { enabled: true, ..Default::default() };
-        let former = Former { health: Health { rate: 0.0, away: Some(0.0) }, age: Some(10.0) };
+        let former =
+            RememberedHealth { health: Health { rate: 0.0, unavailable_since: Some(0.0) }, age: Some(10.0) };
         let former = [("u".to_string(), former)].into();
         core.begin_from(0.0, Past { recovery, former, ..Past::default() });
         update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
--- a/src/dispatch/seats.rs
+++ b/src/dispatch/seats.rs
@@ -14,10 +14,13 @@
 use crate::config::place;
 use crate::guard::{self, CONFIRM_MOST};
 use crate::journal::{CallNo, Ending, Record, Sent, Taken};
-use lilacbank_cells::moving::{self, Faults, Input, Node, Phase, Refused, Seat, Word};
-use lilacbank_cells::placement::{lives, Area};
+use lilacbank_cells::moving::{
+    self, DispatcherId, Faults, HandoffMessage, Input, MoveError, Phase, TenantOwnership,
+};
+use lilacbank_cells::placement::{place_tenant, PlacedCell};
 use lilacbank_cells::wire::{
-    self, Answer, Ask, Contents, Envelope, Held, Kind, Parked, Past, Report, SeatRecord, Wish,
+    self, EndedMessage, Envelope, HandedOverMessage, MessageKind, OwnershipRecord, OwnershipReport, QuietKey,
+    TenantContents, ToolAnswer, ToolRequest, ToolRequestKind,
 };
 use prost::Message as _;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -66,7 +69,7 @@
     /// All dispatchers, including this one.
     pub peers: Vec<PeerSpec>,
     /// The cells.
-    pub areas: Vec<Area>,
+    pub areas: Vec<PlacedCell>,
 }
 
 impl MeshSpec {
@@ -79,7 +82,7 @@
 /// A tenant's ownership, and the state that is not in the journal.
 #[derive(Debug)]
 struct TenantState {
-    seat: Seat<Contents>,
+    seat: TenantOwnership<TenantContents>,
     /// When the current phase began.
     since: Ms,
     /// When the pending peer message is sent again.
@@ -125,15 +128,15 @@
         Ownership { spec, ..Ownership::default() }
     }
 
-    fn node(&mut self, name: &str) -> Node {
+    fn node(&mut self, name: &str) -> DispatcherId {
         let at = self.nodes.iter().position(|n| n == name).unwrap_or_else(|| {
             self.nodes.push(name.to_string());
             self.nodes.len() - 1
         });
-        at as Node
+        at as DispatcherId
     }
 
-    fn name(&self, node: Node) -> String {
+    fn name(&self, node: DispatcherId) -> String {
         self.nodes.get(node as usize).cloned().unwrap_or_default()
     }
 
@@ -156,22 +159,22 @@
     }
 
     /// The journal record of a tenant's ownership, with its parked keys.
-    fn record(&self, tenant: &str, seat: &Seat<Contents>) -> SeatRecord {
+    fn record(&self, tenant: &str, seat: &TenantOwnership<TenantContents>) -> OwnershipRecord {
         let own = self.parked.iter().filter(|(_, w)| w.1 == tenant);
         let parked =
-            own.map(|(key, w)| Parked { key: *key, until: whole_ms(w.0).saturating_add(1) }).collect();
-        SeatRecord { parked, ..wire::record(tenant, seat, |n| self.name(n)) }
+            own.map(|(key, w)| QuietKey { key: *key, until: whole_ms(w.0).saturating_add(1) }).collect();
+        OwnershipRecord { quiet_keys: parked, ..wire::to_record(tenant, seat, |n| self.name(n)) }
     }
 
     /// Parks keys whose messages wait here for one that ends at another dispatcher.
-    fn park_keys(&mut self, tenant: &str, keys: &[Parked]) {
+    fn park_keys(&mut self, tenant: &str, keys: &[QuietKey]) {
         self.parked.extend(keys.iter().map(|k| (k.key, (k.until as Ms, tenant.to_string()))));
     }
 
     /// Restores the keys that were parked when an earlier process ended.
     pub(super) fn restore_parked_keys(&mut self, now: Ms, read: &OwnershipRecords) {
         for (tenant, record) in &read.latest {
-            self.park_keys(tenant, &record.parked);
+            self.park_keys(tenant, &record.quiet_keys);
         }
         self.parked.retain(|_, w| w.0 > now);
     }
@@ -195,7 +198,7 @@
     }
 }
 
-fn new_tenant_state(now: Ms, seat: Seat<Contents>) -> TenantState {
+fn new_tenant_state(now: Ms, seat: TenantOwnership<TenantContents>) -> TenantState {
     TenantState {
         seat,
         since: now,
@@ -223,19 +226,19 @@
     }
 }
 
-fn decode_ending(past: &Past) -> Option<Ending> {
-    match past.ending {
+fn decode_ending(past: &EndedMessage) -> Option<Ending> {
+    match past.final_answer {
         0 => Some(Ending::Delivered),
         1 => Some(Ending::GivenUp),
-        2 => Some(Ending::HandedBack(past.wait as Ms)),
+        2 => Some(Ending::HandedBack(past.retry_after_ms as Ms)),
         _ => None,
     }
 }
 
 fn phase_name<C>(phase: &Phase<C>) -> &'static str {
     match phase {
-        Phase::Away { .. } => "away",
-        Phase::Settled => "settled",
+        Phase::OwnedElsewhere { .. } => "away",
+        Phase::Owned => "settled",
         Phase::Draining { .. } => "draining",
         Phase::Offered { .. } => "offered",
         Phase::Committed { .. } => "committed",
@@ -243,10 +246,10 @@
     }
 }
 
-fn counterpart<C>(phase: &Phase<C>) -> Option<Node> {
+fn counterpart<C>(phase: &Phase<C>) -> Option<DispatcherId> {
     match phase {
-        Phase::Away { at } => *at,
-        Phase::Settled => None,
+        Phase::OwnedElsewhere { at } => *at,
+        Phase::Owned => None,
         Phase::Draining { to } | Phase::Offered { to, .. } | Phase::Committed { to, .. } => Some(*to),
         Phase::Received { from, .. } => Some(*from),
     }
@@ -269,14 +272,14 @@
 
     /// Whether the tenant is not served here, or not at the moment.
     pub(super) fn is_not_served_here(&self, tenant: &str) -> bool {
-        self.ownership.tenants.get(tenant).is_some_and(|p| !p.seat.serves())
+        self.ownership.tenants.get(tenant).is_some_and(|p| !p.seat.is_serving())
     }
 
     /// The answer to a client whose tenant is not served here.
     pub(super) fn moved_verdict(&self, tenant: &str) -> Verdict {
         let busy = Verdict::Busy(MOVING_RETRY_AFTER.min(self.settings.max_advice));
         let Some(state) = self.ownership.tenants.get(tenant) else { return busy };
-        let Phase::Away { at: Some(node) } = state.seat.phase else { return busy };
+        let Phase::OwnedElsewhere { at: Some(node) } = state.seat.phase else { return busy };
         let name = self.ownership.name(node);
         let peer = self.ownership.spec.as_ref().and_then(|s| s.peer(&name));
         let (resp, mqtt) = peer.map_or((None, None), |p| (p.resp, p.mqtt));
@@ -289,7 +292,8 @@
         let Some(spec) = self.ownership.spec.clone() else { return };
         for (tenant, record) in read.latest {
             let nodes = std::cell::RefCell::new(&mut self.ownership);
-            let seat = record.seat(|name| nodes.borrow_mut().node(name), |_| Contents::default());
+            let seat =
+                record.to_ownership(|name| nodes.borrow_mut().node(name), |_| TenantContents::default());
             let Some(mut seat) = seat else {
                 log::error!(tenant = tenant.as_str();
                     "the ownership record of '{tenant}' in the journal is invalid");
@@ -312,7 +316,7 @@
         let new: Vec<String> =
             self.names.tenants.iter().filter(|t| !self.ownership.tenants.contains_key(*t)).cloned().collect();
         for tenant in new {
-            let home = lives(&spec.areas, &tenant).map(|(_, at)| at.to_string());
+            let home = place_tenant(&spec.areas, &tenant).map(|(_, at)| at.to_string());
             let at = match home {
                 Some(home) if home == spec.me => {
                     self.ownership.unclaimed.insert(tenant.clone(), now + CLAIM_WAIT);
@@ -320,7 +324,7 @@
                 }
                 home => home.map(|h| self.ownership.node(&h)),
             };
-            let seat = Seat::away(at);
+            let seat = TenantOwnership::owned_elsewhere(at);
             // Nothing is written while the owner is being queried: another start queries again.
             if at.is_some() {
                 self.write_ownership(&tenant, &seat);
@@ -341,12 +345,12 @@
         }
     }
 
-    fn write_ownership(&mut self, tenant: &str, seat: &Seat<Contents>) -> bool {
+    fn write_ownership(&mut self, tenant: &str, seat: &TenantOwnership<TenantContents>) -> bool {
         self.compact_if_full();
         self.append_ownership(&self.ownership.record(tenant, seat))
     }
 
-    fn append_ownership(&mut self, record: &SeatRecord) -> bool {
+    fn append_ownership(&mut self, record: &OwnershipRecord) -> bool {
         let done = self.journal.append(&Record::Seat(record.encode_to_vec()));
         if let Err(e) = &done {
             log::error!(tenant = record.tenant.as_str(), cause:% = e;
@@ -366,18 +370,23 @@
 
     /// Applies one input to a tenant's ownership: the new state is written first, then its orders are carried
     /// out.
-    fn step_ownership(&mut self, now: Ms, tenant: &str, input: Input<Contents>) -> Result<(), Refused> {
-        let Some(state) = self.ownership.tenants.get(tenant) else { return Err(Refused::NotOwner) };
+    fn step_ownership(
+        &mut self,
+        now: Ms,
+        tenant: &str,
+        input: Input<TenantContents>,
+    ) -> Result<(), MoveError> {
+        let Some(state) = self.ownership.tenants.get(tenant) else { return Err(MoveError::NotOwner) };
         let old = &state.seat;
-        let (seat, orders) = old.step(input, Faults::default())?;
+        let (seat, orders) = old.handle(input, Faults::default())?;
         if seat != *old {
             let (was, old_epoch) = (phase_name(&old.phase), old.epoch);
             let handed_off = match (&old.phase, &seat.phase) {
-                (Phase::Committed { contents, .. }, Phase::Away { .. }) => Some(contents.clone()),
+                (Phase::Committed { contents, .. }, Phase::OwnedElsewhere { .. }) => Some(contents.clone()),
                 _ => None,
             };
             let adopted = match (&old.phase, &seat.phase) {
-                (Phase::Received { contents, .. }, Phase::Settled) => Some(contents.clone()),
+                (Phase::Received { contents, .. }, Phase::Owned) => Some(contents.clone()),
                 _ => None,
             };
             // Messages that another dispatcher serves are removed before the ownership is written: a restart
@@ -403,7 +412,7 @@
                     state.drain_until = None;
                 }
                 if let Some(c) = &adopted {
-                    state.last_halt = (now - c.still_since as Ms).max(0.0);
+                    state.last_halt = (now - c.suspended_since as Ms).max(0.0);
                 }
                 state.seat = seat;
                 self.ownership.set(tenant, state);
@@ -419,19 +428,19 @@
         Ok(())
     }
 
-    fn apply_move_order(&mut self, now: Ms, tenant: &str, order: moving::Order<Contents>) {
+    fn apply_move_order(&mut self, now: Ms, tenant: &str, order: moving::HostAction<TenantContents>) {
         match order {
-            moving::Order::Tell(node, word) => {
+            moving::HostAction::Send(node, word) => {
                 let to = self.ownership.name(node);
                 let envelope =
-                    wire::envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
+                    wire::handoff_envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
                 self.orders.push(Order::Say { to, envelope: Box::new(envelope) });
             }
-            moving::Order::Drain => self.drain_tenant(now, tenant),
-            moving::Order::Resume => self.resume_tenant(now, tenant),
+            moving::HostAction::Drain => self.drain_tenant(now, tenant),
+            moving::HostAction::Resume => self.resume_tenant(now, tenant),
             // `adopt_tenant` has done it already.
-            moving::Order::Serve(_) => {}
-            moving::Order::Forget => {
+            moving::HostAction::Serve(_) => {}
+            moving::HostAction::DropContents => {
                 let committed = |p: &TenantState| matches!(p.seat.phase, Phase::Committed { .. });
                 // Committed messages stay in the journal until the other dispatcher has confirmed that it
                 // serves them.
@@ -440,16 +449,17 @@
                 }
             }
             // The remaining messages end here by themselves.
-            moving::Order::Finish => {}
+            moving::HostAction::StopAccepting => {}
         }
     }
 
     /// Tells one dispatcher, or all, that a tenant is served here.
     fn claim(&mut self, tenant: &str, only: Option<&str>) {
         let Some(state) = self.ownership.tenants.get(tenant) else { return };
-        let word = Word::Claim { epoch: state.seat.epoch };
+        let word = HandoffMessage::Claim { epoch: state.seat.epoch };
         for to in self.peer_names().into_iter().filter(|n| only.is_none_or(|o| o == n)) {
-            let envelope = wire::envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
+            let envelope =
+                wire::handoff_envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
             self.orders.push(Order::Say { to, envelope: Box::new(envelope) });
         }
     }
@@ -461,22 +471,35 @@
 
     /// Tells a newly connected dispatcher which tenants are served here.
     pub fn peer_up(&mut self, name: &str) {
-        let owned: Vec<String> =
-            self.ownership.tenants.iter().filter(|(_, p)| p.seat.owns()).map(|(t, _)| t.clone()).collect();
+        let owned: Vec<String> = self
+            .ownership
+            .tenants
+            .iter()
+            .filter(|(_, p)| p.seat.is_owner())
+            .map(|(t, _)| t.clone())
+            .collect();
         owned.iter().for_each(|t| self.claim(t, Some(name)));
     }
 
     /// Handles a message from another dispatcher or from an operator's tool.
     pub fn hear(&mut self, now: Ms, conn: usize, e: Envelope) {
         self.now = now;
-        let Ok(kind) = Kind::try_from(e.kind) else { return };
-        if kind == Kind::Wish {
+        let Ok(kind) = MessageKind::try_from(e.kind) else { return };
+        if kind == MessageKind::ToolRequest {
             let answer = match e.to == self.ownership.me() {
-                true => self.operator_request(now, &e.tenant, e.wish.as_ref()),
-                false => Answer { refused: format!("this is {}", self.ownership.me()), seats: Vec::new() },
+                true => self.operator_request(now, &e.tenant, e.tool_request.as_ref()),
+                false => ToolAnswer {
+                    rejected: format!("this is {}", self.ownership.me()),
+                    ownerships: Vec::new(),
+                },
             };
-            let mut reply =
-                wire::plain(self.ownership.me(), &e.from, &e.tenant, self.ownership.version(), Kind::Answer);
+            let mut reply = wire::envelope_of_kind(
+                self.ownership.me(),
+                &e.from,
+                &e.tenant,
+                self.ownership.version(),
+                MessageKind::ToolAnswer,
+            );
             reply.answer = Some(answer);
             return self.orders.push(Order::Reply { conn, envelope: Box::new(reply) });
         }
@@ -484,31 +507,31 @@
             return log::warn!(from = e.from.as_str(), to = e.to.as_str();
                 "a peer message for another dispatcher was received; it is ignored");
         }
-        if e.map > self.ownership.version() {
-            log::warn!(from = e.from.as_str(), version = e.map;
-                "'{}' uses version {} of the cell map; this dispatcher uses {}", e.from, e.map, self.ownership.version());
+        if e.map_version > self.ownership.version() {
+            log::warn!(from = e.from.as_str(), version = e.map_version;
+                "'{}' uses version {} of the cell map; this dispatcher uses {}", e.from, e.map_version, self.ownership.version());
         }
         let from = self.ownership.node(&e.from);
         match kind {
-            Kind::Whose => {
+            MessageKind::OwnerQuery => {
                 let theirs =
-                    |p: &TenantState| p.seat.owns() || matches!(p.seat.phase, Phase::Committed { .. });
+                    |p: &TenantState| p.seat.is_owner() || matches!(p.seat.phase, Phase::Committed { .. });
                 if self.ownership.tenants.get(&e.tenant).is_some_and(theirs) {
                     self.claim(&e.tenant, Some(&e.from));
                 }
             }
-            Kind::NoRoom => {
+            MessageKind::NoRoom => {
                 let offered = |p: &TenantState| {
                     p.seat.epoch + 1 == e.epoch
                         && matches!(p.seat.phase, Phase::Offered { to, .. } if to == from)
                 };
                 if self.ownership.tenants.get(&e.tenant).is_some_and(offered) {
-                    log::warn!(tenant = e.tenant.as_str(), other = e.from.as_str(), cause = e.why.as_str();
-                        "'{}' rejects the offer of '{}': {}", e.from, e.tenant, e.why);
+                    log::warn!(tenant = e.tenant.as_str(), other = e.from.as_str(), cause = e.reason.as_str();
+                        "'{}' rejects the offer of '{}': {}", e.from, e.tenant, e.reason);
                     let _ = self.step_ownership(now, &e.tenant, Input::Abort);
                 }
             }
-            _ => match e.word() {
+            _ => match e.handoff_message() {
                 Ok(word) => self.handle_peer_message(now, &e, from, word),
                 Err(why) => {
                     log::warn!(from = e.from.as_str(), cause:% = why; "a peer message is invalid: {why}")
@@ -517,74 +540,92 @@
         }
     }
 
-    fn handle_peer_message(&mut self, now: Ms, e: &Envelope, from: Node, word: Word<Contents>) {
+    fn handle_peer_message(
+        &mut self,
+        now: Ms,
+        e: &Envelope,
+        from: DispatcherId,
+        word: HandoffMessage<TenantContents>,
+    ) {
         let tenant = e.tenant.as_str();
         let refuse = match (&word, self.ownership.tenants.get(tenant)) {
-            (Word::Offer { .. }, None) => Some("the tenant is not configured here".to_string()),
-            (Word::Offer { contents, .. }, Some(p)) if matches!(p.seat.phase, Phase::Away { .. }) => {
+            (HandoffMessage::Offer { .. }, None) => Some("the tenant is not configured here".to_string()),
+            (HandoffMessage::Offer { contents, .. }, Some(p))
+                if matches!(p.seat.phase, Phase::OwnedElsewhere { .. }) =>
+            {
                 self.offer_rejection(contents)
             }
-            (Word::Claim { epoch }, Some(p))
+            (HandoffMessage::Claim { epoch }, Some(p))
                 if *epoch == p.seat.epoch
-                    && p.seat.phase == Phase::Settled
+                    && p.seat.phase == Phase::Owned
                     && e.from.as_str() < self.ownership.me() =>
             {
                 log::warn!(tenant = tenant, other = e.from.as_str();
                     "'{tenant}' was placed both here and at '{}', which keeps it", e.from);
-                let _ = self.step_ownership(now, tenant, Input::Yield(from));
+                let _ = self.step_ownership(now, tenant, Input::YieldTo(from));
                 None
             }
             _ => None,
         };
         if let Some(why) = refuse {
-            let mut no =
-                wire::plain(self.ownership.me(), &e.from, tenant, self.ownership.version(), Kind::NoRoom);
-            (no.epoch, no.why) = (e.epoch, why);
+            let mut no = wire::envelope_of_kind(
+                self.ownership.me(),
+                &e.from,
+                tenant,
+                self.ownership.version(),
+                MessageKind::NoRoom,
+            );
+            (no.epoch, no.reason) = (e.epoch, why);
             return self.orders.push(Order::Say { to: e.from.clone(), envelope: Box::new(no) });
         }
-        let _ = self.step_ownership(now, tenant, Input::Heard(from, word));
+        let _ = self.step_ownership(now, tenant, Input::MessageReceived(from, word));
     }
 
     /// Why offered contents cannot be accepted here, if they cannot.
-    fn offer_rejection(&self, c: &Contents) -> Option<String> {
+    fn offer_rejection(&self, c: &TenantContents) -> Option<String> {
         let size = c.encoded_len() as u64;
         let needed = self.live_bytes + self.at_most_once.bytes() + self.ownership.bytes + 2 * size;
         if !self.journal.has_room(needed) {
             return Some(format!("there is no room for {size} bytes in the journal"));
         }
-        if self.messages.len() + c.held.len() > self.settings.max_held {
-            return Some(format!("there is no room for {} messages", c.held.len()));
+        if self.messages.len() + c.messages.len() > self.settings.max_held {
+            return Some(format!("there is no room for {} messages", c.messages.len()));
         }
-        let strange = c.held.iter().find(|h| place(&self.names.classes, &h.class).is_none());
+        let strange = c.messages.iter().find(|h| place(&self.names.classes, &h.class).is_none());
         strange.map(|h| format!("the class '{}' is not configured here", h.class))
     }
 
-    fn operator_request(&mut self, now: Ms, tenant: &str, wish: Option<&Wish>) -> Answer {
-        let ask = wish.and_then(|w| Ask::try_from(w.ask).ok()).unwrap_or(Ask::None);
+    fn operator_request(&mut self, now: Ms, tenant: &str, wish: Option<&ToolRequest>) -> ToolAnswer {
+        let ask = wish.and_then(|w| ToolRequestKind::try_from(w.kind).ok()).unwrap_or(ToolRequestKind::None);
         let to = wish.map_or("", |w| w.to.as_str());
-        let known = tenant.is_empty() && ask == Ask::Status || self.ownership.tenants.contains_key(tenant);
+        let known = tenant.is_empty() && ask == ToolRequestKind::Status
+            || self.ownership.tenants.contains_key(tenant);
         let target = self.ownership.spec.as_ref().and_then(|s| s.peer(to)).is_some();
         let refused = match ask {
             _ if !known => Some(format!("there is no tenant '{tenant}' here")),
-            Ask::Status => None,
-            Ask::Move if to == self.ownership.me() => match self.is_not_served_here(tenant) {
+            ToolRequestKind::Status => None,
+            ToolRequestKind::Move if to == self.ownership.me() => match self.is_not_served_here(tenant) {
                 true => Some(format!("'{tenant}' is not served here; ask the dispatcher that serves it")),
-                false => Some(Refused::Here.to_string()),
+                false => Some(MoveError::AlreadyThere.to_string()),
             },
-            Ask::Move if !target => Some(format!("the map has no dispatcher '{to}'")),
-            Ask::Move => {
+            ToolRequestKind::Move if !target => Some(format!("the map has no dispatcher '{to}'")),
+            ToolRequestKind::Move => {
                 let node = self.ownership.node(to);
                 self.step_ownership(now, tenant, Input::Move(node)).err().map(|e| e.to_string())
             }
-            Ask::Abort => self.step_ownership(now, tenant, Input::Abort).err().map(|e| e.to_string()),
-            Ask::Reclaim => self.step_ownership(now, tenant, Input::Reclaim).err().map(|e| e.to_string()),
-            Ask::None => Some("this wish is not known here".into()),
+            ToolRequestKind::Abort => {
+                self.step_ownership(now, tenant, Input::Abort).err().map(|e| e.to_string())
+            }
+            ToolRequestKind::Reclaim => {
+                self.step_ownership(now, tenant, Input::Reclaim).err().map(|e| e.to_string())
+            }
+            ToolRequestKind::None => Some("this wish is not known here".into()),
         };
-        Answer { refused: refused.unwrap_or_default(), seats: self.reports(now, tenant) }
+        ToolAnswer { rejected: refused.unwrap_or_default(), ownerships: self.reports(now, tenant) }
     }
 
     /// Reports the ownership of one tenant, or of all if `tenant` is empty.
-    fn reports(&self, now: Ms, tenant: &str) -> Vec<Report> {
+    fn reports(&self, now: Ms, tenant: &str) -> Vec<OwnershipReport> {
         let mut held: HashMap<&str, (u64, u64)> = HashMap::new();
         for c in self.messages.values().filter(|c| c.ending.is_none()) {
             let count = held.entry(&c.taken.tenant).or_default();
@@ -594,15 +635,15 @@
         let report = |(tenant, p): (&String, &TenantState)| {
             let asking = self.ownership.unclaimed.contains_key(tenant);
             let (held, still) = held.get(tenant.as_str()).copied().unwrap_or_default();
-            Report {
+            OwnershipReport {
                 tenant: tenant.clone(),
                 phase: if asking { "asking" } else { phase_name(&p.seat.phase) }.into(),
-                other: counterpart(&p.seat.phase).map(|n| self.ownership.name(n)).unwrap_or_default(),
+                peer: counterpart(&p.seat.phase).map(|n| self.ownership.name(n)).unwrap_or_default(),
                 epoch: p.seat.epoch,
                 held,
-                still,
-                since: whole_ms(now - p.since),
-                stood: whole_ms(p.last_halt),
+                suspended: still,
+                phase_ms: whole_ms(now - p.since),
+                last_suspension_ms: whole_ms(p.last_halt),
             }
         };
         wanted.map(report).collect()
@@ -757,31 +798,32 @@
 
     /// Everything that is handed over of a tenant. A message that stays here appears only as a parked key and
     /// in the list of past endings.
-    fn handoff_contents(&self, now: Ms, tenant: &str, still_since: Ms) -> Contents {
+    fn handoff_contents(&self, now: Ms, tenant: &str, still_since: Ms) -> TenantContents {
         let is_moving = |c: &HeldMessage| {
             c.withheld == Some(Withheld::TenantMoving) && c.out.is_none() && c.ending.is_none()
         };
         let own = || self.messages.iter().filter(|(_, c)| c.taken.tenant == tenant);
-        let mut contents = Contents { still_since: whole_ms(still_since), ..Contents::default() };
+        let mut contents =
+            TenantContents { suspended_since: whole_ms(still_since), ..TenantContents::default() };
         let mut parked: BTreeMap<u64, u64> = BTreeMap::new();
         for (no, c) in own() {
             let t = &c.taken;
             let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
             if is_moving(c) {
-                contents.held.push(Held {
+                contents.messages.push(HandedOverMessage {
                     client: t.identity.0.clone(),
                     id: t.identity.1.clone(),
                     class: t.class.clone(),
                     key: t.key,
-                    idempotency: t.idempotency.clone(),
-                    dest: t.dest,
+                    idempotency_key: t.idempotency.clone(),
+                    destination: t.dest,
                     valid_until: whole_ms(t.valid_until),
-                    reply: t.reply.clone(),
+                    reply_to: t.reply.clone(),
                     body: t.body.clone(),
                     attempts: c.attempts,
-                    ran_at: c.ran.as_ref().map(|s| whole_ms(s.at)),
-                    ran_in: c.ran.as_ref().map(|s| s.zone.clone()).unwrap_or_default(),
-                    no: *no,
+                    first_attempt_at: c.ran.as_ref().map(|s| whole_ms(s.at)),
+                    first_attempt_zone: c.ran.as_ref().map(|s| s.zone.clone()).unwrap_or_default(),
+                    number: *no,
                 });
                 continue;
             }
@@ -793,39 +835,59 @@
                 parked.entry(key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
             }
             let until = whole_ms(t.valid_until + self.at_most_once.memory_span(&t.class));
-            contents.past.extend(name.map(|id| Past { id, name: true, ending: 1, until, ..Past::default() }));
+            contents.ended.extend(name.map(|id| EndedMessage {
+                id,
+                id_is_remembered_name: true,
+                final_answer: 1,
+                remembered_until: until,
+                ..EndedMessage::default()
+            }));
         }
         let waits = self.ownership.parked.iter().chain(&self.ownership.quiet_keys);
         for (key, (until, _)) in waits.filter(|(_, w)| w.0 > now && w.1 == tenant) {
             let until = whole_ms(*until).saturating_add(1);
             parked.entry(*key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
         }
-        contents.parked = parked.into_iter().map(|(key, until)| Parked { key, until }).collect();
+        contents.quiet_keys = parked.into_iter().map(|(key, until)| QuietKey { key, until }).collect();
         let number_is_moving = |no: &CallNo| self.messages.get(no).is_some_and(is_moving);
         for (identity, k) in
             self.identities.iter().filter(|(_, k)| k.tenant == tenant && !number_is_moving(&k.no))
         {
             let (ending, wait) = encode_ending(k.ending);
             let (client, id) = identity.clone();
-            contents.past.push(Past { client, id, name: false, ending, wait, until: whole_ms(k.until) });
+            contents.ended.push(EndedMessage {
+                client,
+                id,
+                id_is_remembered_name: false,
+                final_answer: ending,
+                retry_after_ms: wait,
+                remembered_until: whole_ms(k.until),
+            });
         }
         for (name, ending, until, _) in self.at_most_once.endings().filter(|e| e.3 == tenant) {
             let (ending, wait) = encode_ending(Some(ending));
             let (client, id) = (String::new(), name.clone());
-            contents.past.push(Past { client, id, name: true, ending, wait, until: whole_ms(until) });
+            contents.ended.push(EndedMessage {
+                client,
+                id,
+                id_is_remembered_name: true,
+                final_answer: ending,
+                retry_after_ms: wait,
+                remembered_until: whole_ms(until),
+            });
         }
         contents
     }
 
     /// Removes messages that another dispatcher serves now; their clients get no answer from here.
-    fn remove_handed_off(&mut self, now: Ms, contents: &Contents) {
-        for h in &contents.held {
-            let Some(c) = self.remove_message(now, h.no) else { continue };
+    fn remove_handed_off(&mut self, now: Ms, contents: &TenantContents) {
+        for h in &contents.messages {
+            let Some(c) = self.remove_message(now, h.number) else { continue };
             let name =
                 self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
             name.iter().for_each(|n| self.at_most_once.forget(n));
             self.forget_identity(&c.taken.identity);
-            self.append_or_defer(&Record::Over { no: h.no, until: 0.0 });
+            self.append_or_defer(&Record::Over { no: h.number, until: 0.0 });
         }
     }
 
@@ -848,32 +910,41 @@
 
     /// Writes received contents to this journal as messages of its own. None of it counts until the last
     /// record is written.
-    fn adopt_tenant(&mut self, now: Ms, tenant: &str, seat: &Seat<Contents>, contents: &Contents) -> bool {
+    fn adopt_tenant(
+        &mut self,
+        now: Ms,
+        tenant: &str,
+        seat: &TenantOwnership<TenantContents>,
+        contents: &TenantContents,
+    ) -> bool {
         self.compact_if_full();
-        let parked = contents.parked.clone();
-        let settled = SeatRecord { parked, ..wire::record(tenant, seat, |n| self.ownership.name(n)) };
+        let parked = contents.quiet_keys.clone();
+        let settled = OwnershipRecord {
+            quiet_keys: parked,
+            ..wire::to_record(tenant, seat, |n| self.ownership.name(n))
+        };
         let first = self.next_message_no;
-        let begun = SeatRecord { adopts_from: Some(first), ..settled.clone() };
+        let begun = OwnershipRecord { adopts_from: Some(first), ..settled.clone() };
         if !self.append_ownership(&begun) {
             return false;
         }
-        self.next_message_no += contents.held.len() as CallNo;
+        self.next_message_no += contents.messages.len() as CallNo;
         let cell = self.cells.cell_of(tenant);
         let mut messages = Vec::new();
-        for (h, no) in contents.held.iter().zip(first..) {
+        for (h, no) in contents.messages.iter().zip(first..) {
             let taken = Taken {
                 no,
                 identity: (h.client.clone(), h.id.clone()),
                 class: h.class.clone(),
                 tenant: tenant.into(),
                 key: h.key,
-                idempotency: h.idempotency.clone(),
-                dest: h.dest,
+                idempotency: h.idempotency_key.clone(),
+                dest: h.destination,
                 valid_until: h.valid_until as Ms,
-                reply: h.reply.clone(),
+                reply: h.reply_to.clone(),
                 body: h.body.clone(),
             };
-            let ran = h.ran_at.map(|at| Sent { at: at as Ms, zone: h.ran_in.clone() });
+            let ran = h.first_attempt_at.map(|at| Sent { at: at as Ms, zone: h.first_attempt_zone.clone() });
             let record = Record::Taken(taken);
             let size = record.size() + super::admit::MESSAGE_OVERHEAD_BYTES;
             let state = Record::State { no, attempts: h.attempts, ran: ran.clone(), out: None };
@@ -902,7 +973,7 @@
         }
         // These records come before the one that settles the ownership. In the reverse order, a crash in
         // between would leave at-most-once messages unknown here that have run, and they could run again.
-        for past in &contents.past {
+        for past in &contents.ended {
             if let Err(e) = self.journal.append(&past_record(tenant, past)) {
                 log::error!(tenant = tenant, cause:% = e;
                     "a handed-over ending cannot be written to the journal: {e}");
@@ -912,7 +983,7 @@
         if !self.append_ownership(&settled) {
             return false;
         }
-        self.ownership.park_keys(tenant, &contents.parked);
+        self.ownership.park_keys(tenant, &contents.quiet_keys);
         // From here on a compacted journal must contain the ownership that was written above.
         if let Some(state) = self.ownership.tenants.get_mut(tenant) {
             state.seat = seat.clone();
@@ -921,14 +992,14 @@
             message.withheld = self.is_parked(message.taken.key).then_some(Withheld::KeyParked);
             self.hold_restored(now, message);
         }
-        contents.past.iter().for_each(|past| self.restore_past(now, tenant, past));
+        contents.ended.iter().for_each(|past| self.restore_past(now, tenant, past));
         true
     }
 
     /// Remembers a message that ended at the dispatcher the tenant came from.
-    fn restore_past(&mut self, now: Ms, tenant: &str, past: &Past) {
-        let (until, ending) = (past.until as Ms, decode_ending(past));
-        if past.name {
+    fn restore_past(&mut self, now: Ms, tenant: &str, past: &EndedMessage) {
+        let (until, ending) = (past.remembered_until as Ms, decode_ending(past));
+        if past.id_is_remembered_name {
             let ending = ending.unwrap_or(Ending::GivenUp);
             self.at_most_once.remember(past.id.clone(), ending, until, tenant.to_string());
         } else {
@@ -989,7 +1060,7 @@
         outstanding.into_iter().for_each(|no| self.book_any_cancelled(now, no));
         let since = self.ownership.tenants.get(tenant).map_or(now, |p| p.halted_since);
         let contents = self.handoff_contents(now, tenant, since);
-        if contents.encoded_len() + 4_096 > wire::FRAME_MOST {
+        if contents.encoded_len() + 4_096 > wire::MAX_FRAME_BYTES {
             log::error!(tenant = tenant;
                 "the messages of '{tenant}' do not fit in one frame; it is not moved");
             let _ = self.step_ownership(now, tenant, Input::Abort);
@@ -1033,7 +1104,7 @@
         let due: Vec<String> =
             self.ownership.unclaimed.iter().filter(|a| *a.1 <= now).map(|a| a.0.clone()).collect();
         for tenant in due {
-            let seat = Seat::settled();
+            let seat = TenantOwnership::owned_here();
             if self.write_ownership(&tenant, &seat) {
                 self.ownership.unclaimed.remove(&tenant);
                 self.ownership.set(&tenant, new_tenant_state(now, seat));
@@ -1045,8 +1116,13 @@
             let all: Vec<String> = self.ownership.unclaimed.keys().cloned().collect();
             for to in self.peer_names() {
                 for tenant in &all {
-                    let whose =
-                        wire::plain(self.ownership.me(), &to, tenant, self.ownership.version(), Kind::Whose);
+                    let whose = wire::envelope_of_kind(
+                        self.ownership.me(),
+                        &to,
+                        tenant,
+                        self.ownership.version(),
+                        MessageKind::OwnerQuery,
+                    );
                     self.orders.push(Order::Say { to: to.clone(), envelope: Box::new(whose) });
                 }
             }
@@ -1077,17 +1153,18 @@
 
 /// The journal record of a message that ended at the dispatcher the tenant came from. If its ending is not
 /// known there, a restart treats the message as one that may have taken effect.
-fn past_record(tenant: &str, past: &Past) -> Record {
-    let (until, ending) = (past.until as Ms, decode_ending(past).unwrap_or(Ending::GivenUp));
+fn past_record(tenant: &str, past: &EndedMessage) -> Record {
+    let (until, ending) = (past.remembered_until as Ms, decode_ending(past).unwrap_or(Ending::GivenUp));
     let tenant = tenant.to_string();
-    if past.name {
+    if past.id_is_remembered_name {
         return Record::Once { name: past.id.clone(), ending, until, tenant };
     }
     Record::Known { identity: (past.client.clone(), past.id.clone()), ending, until, tenant }
 }
 
 /// When an offer is taken back without an answer.
-fn offer_until(now: Ms, contents: &Contents) -> Ms {
-    let times = contents.held.iter().map(|h| h.valid_until as Ms).filter(|t| *t >= now + MIN_LEFT_TO_MOVE);
+fn offer_until(now: Ms, contents: &TenantContents) -> Ms {
+    let times =
+        contents.messages.iter().map(|h| h.valid_until as Ms).filter(|t| *t >= now + MIN_LEFT_TO_MOVE);
     times.map(|t| t - OFFER_MARGIN).fold(now + OFFER_TIMEOUT, f64::min)
 }
--- a/src/dispatch/seats_read.rs
+++ b/src/dispatch/seats_read.rs
@@ -1,7 +1,7 @@
 //! Reads the ownership records of a journal at startup; no I/O.
 
 use crate::journal::CallNo;
-use lilacbank_cells::wire::SeatRecord;
+use lilacbank_cells::wire::OwnershipRecord;
 use prost::Message as _;
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OwnershipRecords {
     /// The latest record of each tenant.
-    pub(super) latest: BTreeMap<String, SeatRecord>,
+    pub(super) latest: BTreeMap<String, OwnershipRecord>,
     /// Adoptions that have begun and not ended, with the number of their first message: messages from that
     /// number on do not count yet.
     adopting: BTreeMap<String, CallNo>,
@@ -22,7 +22,7 @@
     /// Adds a record. If it shows that an adoption was cut short, returns the tenant and the number from
     /// which on its messages are void.
     pub(super) fn add(&mut self, bytes: &[u8]) -> Option<(String, CallNo)> {
-        let Ok(record) = SeatRecord::decode(bytes) else {
+        let Ok(record) = OwnershipRecord::decode(bytes) else {
             log::error!("an ownership record in the journal cannot be decoded");
             return None;
         };
@@ -47,7 +47,7 @@
 
     /// Whether the message is part of an offer or a commitment that is not settled.
     pub(super) fn is_offered(&self, tenant: &str, no: CallNo) -> bool {
-        self.latest.get(tenant).is_some_and(|r| matches!(r.phase, 3 | 4) && r.offered.contains(&no))
+        self.latest.get(tenant).is_some_and(|r| matches!(r.phase, 3 | 4) && r.offered_numbers.contains(&no))
     }
 }
 
@@ -56,7 +56,8 @@
     use super::*;
 
     fn record(phase: u32, adopts_from: Option<CallNo>) -> Vec<u8> {
-        SeatRecord { tenant: "acme".into(), phase, adopts_from, ..SeatRecord::default() }.encode_to_vec()
+        OwnershipRecord { tenant: "acme".into(), phase, adopts_from, ..OwnershipRecord::default() }
+            .encode_to_vec()
     }
 
     /// Guards against a later ownership record of the tenant making the messages of an adoption valid that a
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -4,7 +4,7 @@
 
 use crate::api::Ms;
 use crate::timeline::Reading;
-use lilacbank_limits::{Spent, Step};
+use lilacbank_limits::{CallRecord, CallStep};
 
 /// Number of a message in the journal; it increases with each accepted message.
 pub type CallNo = u64;
@@ -105,7 +105,7 @@
         until: Ms,
     },
     /// Calls that count against a destination's agreed limit.
-    Spent(Spent),
+    CallRecord(CallRecord),
     /// An at-most-once message has ended and may have run.
     Once {
         /// Key under which it is remembered.
@@ -263,16 +263,16 @@
                 enc.u64(*no);
                 enc.ms(*until);
             }
-            Record::Spent(s) => {
+            Record::CallRecord(s) => {
                 enc.0.push(b'P');
-                enc.u64(s.dest);
+                enc.u64(s.destination);
                 enc.bytes(s.endpoint.as_bytes());
                 enc.ms(s.at);
                 enc.u64(u64::from(s.calls));
                 enc.0.push(match s.step {
-                    Step::Started => 0,
-                    Step::Written => 1,
-                    Step::GivenBack => 2,
+                    CallStep::Started => 0,
+                    CallStep::Written => 1,
+                    CallStep::Cancelled => 2,
                 });
             }
             Record::Once { name, ending, until, tenant } => {
@@ -343,15 +343,15 @@
             },
             b'E' => Record::Ended { no: dec.u64()?, ending: dec.ending()? },
             b'O' => Record::Over { no: dec.u64()?, until: dec.ms()? },
-            b'P' => Record::Spent(Spent {
-                dest: dec.u64()?,
+            b'P' => Record::CallRecord(CallRecord {
+                destination: dec.u64()?,
                 endpoint: dec.text()?,
                 at: dec.ms()?,
                 calls: u32::try_from(dec.u64()?).ok()?,
                 step: match dec.u8()? {
-                    0 => Step::Started,
-                    1 => Step::Written,
-                    2 => Step::GivenBack,
+                    0 => CallStep::Started,
+                    1 => CallStep::Written,
+                    2 => CallStep::Cancelled,
                     _ => return None,
                 },
             }),
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -8,7 +8,7 @@
 use crate::api::{Listing, Ms};
 use crate::config::{self, Names, Node, WorkerList};
 use crate::timeline::Reading;
-use lilacbank_limits::ramp::{Former, Health};
+use lilacbank_limits::ramp::{Health, RememberedHealth};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
     /// The whole endpoint list.
     pub list: WorkerList,
     /// The remembered health of each destination.
-    pub former: BTreeMap<String, Former>,
+    pub former: BTreeMap<String, RememberedHealth>,
     /// Age of the file; `None` if its time lies in the future, for example because the clock was set back.
     pub age: Option<Ms>,
 }
@@ -112,7 +112,7 @@
             clocks,
             rev: list.rev,
             targets: list.workers.iter().map(target).collect(),
-            health: health.map(|(destination, h)| (destination, h.rate, h.away)).collect(),
+            health: health.map(|(destination, h)| (destination, h.rate, h.unavailable_since)).collect(),
         }
     }
 
@@ -177,8 +177,9 @@
         let age = Some(clocks.wall - at).filter(|age| *age >= -CLOCK_TOLERANCE_MS).map(|age| age.max(0.0));
         let is_valid = |h: &(String, f64, Option<Ms>)| h.1.is_finite() && h.1 >= 0.0;
         let former = kept.health.into_iter().filter(is_valid);
-        let former = former
-            .map(|(destination, rate, away)| (destination, Former { health: Health { rate, away }, age }));
+        let former = former.map(|(destination, rate, away)| {
+            (destination, RememberedHealth { health: Health { rate, unavailable_since: away }, age })
+        });
         Ok((at, Hint { list: list.map_err(|_| Refused::Foreign)?, former: former.collect(), age }))
     }
 }
@@ -202,7 +203,7 @@
             weight: 2.0,
         };
         let list = WorkerList { rev: 9, whole: true, workers: vec![worker] };
-        let health = [("w1".to_string(), Health { rate: 7.5, away: Some(3.0) })];
+        let health = [("w1".to_string(), Health { rate: 7.5, unavailable_since: Some(3.0) })];
         Kept::new(installation("n0", &names()), (now, None), &list, &names(), health.into_iter())
     }
 
@@ -218,7 +219,7 @@
         let cached = read(text.as_bytes(), me, 61_000.0).unwrap();
         assert_eq!((cached.list.rev, cached.list.workers[0].zone, cached.age), (9, 1, Some(60_000.0)));
         assert_eq!(cached.list.workers[0].listing, Listing::Draining);
-        assert_eq!(cached.former["w1"].health, Health { rate: 7.5, away: Some(3.0) });
+        assert_eq!(cached.former["w1"].health, Health { rate: 7.5, unavailable_since: Some(3.0) });
         let future = read(text.as_bytes(), me, -5_000.0).unwrap();
         assert_eq!((future.age, future.former["w1"].age), (None, None));
         assert_eq!(read(text.as_bytes(), installation("n1", &names()), 0.0), Err(Refused::Foreign));
--- a/src/net/mates.rs
+++ b/src/net/mates.rs
@@ -11,7 +11,7 @@
 use crate::api::Ms;
 use crate::dispatch::Core;
 use crate::logging::Complaint;
-use lilacbank_replica::wire::{Envelope, Frames, FRAME_MOST};
+use lilacbank_replica::wire::{Envelope, FrameDecoder, MAX_FRAME_BYTES};
 use mio::net::TcpStream;
 use slab::Slab;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 /// Number of inbound connections allowed beyond two for each configured peer.
 pub const INBOUND_EXTRA: usize = 8;
 /// Maximum number of unsent bytes queued for one peer.
-const UNSENT_MAX: usize = 4 * FRAME_MOST;
+const UNSENT_MAX: usize = 4 * MAX_FRAME_BYTES;
 
 #[derive(Debug)]
 struct Inbound {
     stream: Stream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 /// The replication connections to and from all peers.
@@ -62,7 +62,7 @@
     pub fn accept(&mut self, tcp: TcpStream, reactor: &Rc<Reactor>) {
         let entry = self.inbound.vacant_entry();
         match Stream::accepted(tcp, reactor, token(SourceKind::ReplicaIn, entry.key())) {
-            Ok(stream) => drop(entry.insert(Inbound { stream, frames: Frames::default() })),
+            Ok(stream) => drop(entry.insert(Inbound { stream, frames: FrameDecoder::default() })),
             Err(e) => log::warn!(cause:% = e; "a peer connection cannot be registered: {e}"),
         }
     }
@@ -98,10 +98,10 @@
             i.frames.push(&i.stream.read_buf);
             i.stream.read_buf.clear();
             let why = loop {
-                match i.frames.take(&self.installation) {
+                match i.frames.next_envelope(&self.installation) {
                     Ok(Some(e)) => core.hear_copy(now, e),
                     Ok(None) => break None,
-                    Err(why) => break Some(why.text()),
+                    Err(why) => break Some(why.description()),
                 }
             };
             if let Some(why) = why {
@@ -122,7 +122,7 @@
 
     /// Sends a message to a peer; if too much data is queued for it, its connection is closed.
     pub fn send(&mut self, now: Ms, to: &str, e: &Envelope, core: &mut Core) {
-        let frame = e.frame();
+        let frame = e.to_frame();
         if !self.outbound.has_room(to, frame.len()) {
             self.outbound.cut(now, to);
             return core.copy_peer_lost(to);
--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -10,7 +10,7 @@
 use super::{token, SourceKind};
 use crate::api::Ms;
 use crate::dispatch::{Core, MeshSpec};
-use lilacbank_cells::wire::{Envelope, Frames, FRAME_MOST};
+use lilacbank_cells::wire::{Envelope, FrameDecoder, MAX_FRAME_BYTES};
 use mio::net::TcpStream;
 use slab::Slab;
 use std::rc::Rc;
@@ -20,12 +20,12 @@
 /// Maximum number of peers, each with one outbound connection.
 pub const OUTBOUND_MAX: usize = 64;
 /// Maximum number of unsent bytes queued for one peer: two frames of the largest size.
-const UNSENT_MAX: usize = 2 * FRAME_MOST;
+const UNSENT_MAX: usize = 2 * MAX_FRAME_BYTES;
 
 #[derive(Debug)]
 struct Inbound {
     stream: Stream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 /// The connections to and from all peers.
@@ -67,7 +67,7 @@
     pub fn accept(&mut self, tcp: TcpStream, reactor: &Rc<Reactor>) {
         let entry = self.inbound.vacant_entry();
         match Stream::accepted(tcp, reactor, token(SourceKind::PeerIn, entry.key())) {
-            Ok(stream) => drop(entry.insert(Inbound { stream, frames: Frames::default() })),
+            Ok(stream) => drop(entry.insert(Inbound { stream, frames: FrameDecoder::default() })),
             Err(e) => log::warn!(cause:% = e; "a peer connection cannot be registered: {e}"),
         }
     }
@@ -98,7 +98,7 @@
             i.frames.push(&i.stream.read_buf);
             i.stream.read_buf.clear();
             loop {
-                match i.frames.take() {
+                match i.frames.next_envelope() {
                     Ok(Some(e)) => core.hear(now, index, e),
                     Ok(None) => break,
                     Err(e) => {
--- a/src/net/start.rs
+++ b/src/net/start.rs
@@ -8,7 +8,7 @@
 use crate::kept::{Hint, Refused};
 use crate::recovery::{Life, LifeRecord};
 use crate::timeline::Reading;
-use lilacbank_replica::keeper::{Keeper, Spec};
+use lilacbank_replica::keeper::{ReplicationConfig, Replicator};
 use signal_hook::consts::SIGXFSZ;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
@@ -259,7 +259,10 @@
     if let Some(l) = &listener {
         let (at, peers) = (l.local_addr()?, copies.peers.len());
         log::info!("replication with {peers} peers is enabled; they connect on {at}");
-        core.copy_with(Keeper::new(now as u64, keeper_spec(config, copies, at, random, now)), copies.clone());
+        core.copy_with(
+            Replicator::new(now as u64, keeper_spec(config, copies, at, random, now)),
+            copies.clone(),
+        );
     }
     Ok(listener)
 }
@@ -387,19 +390,19 @@
     at: std::net::SocketAddr,
     random: u64,
     now: Ms,
-) -> Spec {
-    Spec {
-        me: config.name.clone(),
+) -> ReplicationConfig {
+    ReplicationConfig {
+        name: config.name.clone(),
         address: at.to_string(),
-        born: random.max(1),
-        life: now as u64,
+        incarnation_id: random.max(1),
+        incarnation: now as u64,
         installation: copies.installation.clone(),
-        size: copies.peers.len() + 1,
+        dispatcher_count: copies.peers.len() + 1,
         seeds: copies.peers.iter().map(|p| (p.name.clone(), p.address.to_string())).collect(),
         copies: copies.copies,
-        most_bytes: (copies.most_mb * 1e6) as usize,
+        max_bytes: (copies.most_mb * 1e6) as usize,
         seed: random,
-        catch_up: copies.catch_up_ms as u64,
+        settle_timeout: copies.catch_up_ms as u64,
     }
 }
 
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -10,7 +10,7 @@
 
 use crate::api::Ms;
 use crate::journal::{Record, Sent};
-use lilacbank_cells::wire::SeatRecord;
+use lilacbank_cells::wire::OwnershipRecord;
 use prost::Message as _;
 use serde::{Deserialize, Serialize};
 
@@ -72,10 +72,10 @@
         | Record::Once { until, .. }
         | Record::Known { until, .. }
         | Record::Wait { until, .. } => *until = time(*until),
-        Record::Spent(spent) => spent.at = time(spent.at),
+        Record::CallRecord(spent) => spent.at = time(spent.at),
         Record::Seat(bytes) => {
             // A malformed ownership record is reported by the code that restores it.
-            if let Ok(mut ownership) = SeatRecord::decode(bytes.as_slice()) {
+            if let Ok(mut ownership) = OwnershipRecord::decode(bytes.as_slice()) {
                 ownership.map_times(|at| time(at as Ms).max(0.0) as u64);
                 *bytes = ownership.encode_to_vec();
             }
@@ -121,17 +121,21 @@
     /// remembered outcomes must be translated, too.
     #[test]
     fn all_times_of_an_ownership_record_are_translated() {
-        use lilacbank_cells::wire::{Contents, Held, Parked, Past};
-        let ownership = |at: u64| SeatRecord {
+        use lilacbank_cells::wire::{EndedMessage, HandedOverMessage, QuietKey, TenantContents};
+        let ownership = |at: u64| OwnershipRecord {
             tenant: "t".into(),
-            contents: Some(Contents {
-                held: vec![Held { valid_until: at + 1, ran_at: Some(at + 2), ..Held::default() }],
-                parked: vec![Parked { key: 7, until: at + 3 }],
-                past: vec![Past { until: at + 4, ..Past::default() }],
-                still_since: at + 5,
+            contents: Some(TenantContents {
+                messages: vec![HandedOverMessage {
+                    valid_until: at + 1,
+                    first_attempt_at: Some(at + 2),
+                    ..HandedOverMessage::default()
+                }],
+                quiet_keys: vec![QuietKey { key: 7, until: at + 3 }],
+                ended: vec![EndedMessage { remembered_until: at + 4, ..EndedMessage::default() }],
+                suspended_since: at + 5,
             }),
-            parked: vec![Parked { key: 8, until: at + 6 }],
-            ..SeatRecord::default()
+            quiet_keys: vec![QuietKey { key: 8, until: at + 6 }],
+            ..OwnershipRecord::default()
         };
         let reading = |since_boot, wall| Reading { boot: 1, since_boot, wall };
         let written =
--- a/src/tool/cell.rs
+++ b/src/tool/cell.rs
@@ -2,7 +2,7 @@
 
 use super::cli::{Cell, Format, ReportOptions};
 use super::{moves, read, report, ToolError, ToolResult};
-use lilacbank_cells::placement::{lives, Area};
+use lilacbank_cells::placement::{place_tenant, PlacedCell};
 use lilacbank_settings::cellmap::{CellMap, Dispatcher, LoadedMap};
 use lilacbank_settings::units::Name;
 use std::net::SocketAddr;
@@ -97,9 +97,9 @@
 }
 
 /// The cells of a map in the form that placement needs.
-fn placement_areas(map: &CellMap) -> Vec<Area> {
+fn placement_areas(map: &CellMap) -> Vec<PlacedCell> {
     let texts = |names: &[Name]| names.iter().map(|n| n.0.clone()).collect();
-    let area = |(name, c): (&Name, &lilacbank_settings::cellmap::Cell)| Area {
+    let area = |(name, c): (&Name, &lilacbank_settings::cellmap::Cell)| PlacedCell {
         name: name.0.clone(),
         weight: c.weight,
         dispatchers: texts(&c.dispatchers),
@@ -109,6 +109,7 @@
 }
 
 /// The cell in which a tenant is placed, and the dispatcher there that serves it.
-fn placement_of(placement_areas: &[Area], tenant: &str) -> (String, String) {
-    lives(placement_areas, tenant).map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
+fn placement_of(placement_areas: &[PlacedCell], tenant: &str) -> (String, String) {
+    place_tenant(placement_areas, tenant)
+        .map_or(("-".into(), "-".into()), |(cell, at)| (cell.into(), at.into()))
 }
--- a/src/tool/moves.rs
+++ b/src/tool/moves.rs
@@ -2,7 +2,10 @@
 
 use super::cli::Format;
 use super::{ToolError, ToolResult};
-use lilacbank_cells::wire::{plain, Answer, Ask, Envelope, Frames, Kind, Report, Wish};
+use lilacbank_cells::wire::{
+    envelope_of_kind, Envelope, FrameDecoder, MessageKind, OwnershipReport, ToolAnswer, ToolRequest,
+    ToolRequestKind,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -18,17 +21,20 @@
 type Peer = (String, SocketAddr);
 
 /// Sends a request to one dispatcher and waits for the answer.
-fn query(peer: &Peer, tenant: &str, ask: Ask, to: &str) -> Result<Answer, ToolError> {
+fn query(peer: &Peer, tenant: &str, ask: ToolRequestKind, to: &str) -> Result<ToolAnswer, ToolError> {
     let (name, address) = peer;
     let failed = |e: &dyn std::fmt::Display| ToolError::Failed(format!("{name} at {address}: {e}"));
     let mut tcp = TcpStream::connect_timeout(address, ANSWER_TIMEOUT).map_err(|e| failed(&e))?;
     tcp.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(|e| failed(&e))?;
-    let wish = Some(Wish { ask: ask as i32, to: to.into() });
-    let envelope = Envelope { wish, ..plain(SENDER_NAME, name, tenant, 0, Kind::Wish) };
+    let wish = Some(ToolRequest { kind: ask as i32, to: to.into() });
+    let envelope = Envelope {
+        tool_request: wish,
+        ..envelope_of_kind(SENDER_NAME, name, tenant, 0, MessageKind::ToolRequest)
+    };
     tcp.write_all(&envelope.frame()).map_err(|e| failed(&e))?;
-    let (mut frames, mut buffer) = (Frames::default(), [0; 16 * 1024]);
+    let (mut frames, mut buffer) = (FrameDecoder::default(), [0; 16 * 1024]);
     loop {
-        if let Some(e) = frames.take().map_err(|e| failed(&e))? {
+        if let Some(e) = frames.next_envelope().map_err(|e| failed(&e))? {
             return e.answer.ok_or_else(|| failed(&"the message that it sent is not an answer"));
         }
         match tcp.read(&mut buffer).map_err(|e| failed(&e))? {
@@ -39,11 +45,11 @@
 }
 
 /// The status reports of all dispatchers that answer, and an error text for each of the others.
-fn query_status(peers: &[Peer], tenant: &str) -> (Vec<(String, Report)>, Vec<String>) {
+fn query_status(peers: &[Peer], tenant: &str) -> (Vec<(String, OwnershipReport)>, Vec<String>) {
     let (mut reports, mut failures) = (Vec::new(), Vec::new());
     for peer in peers {
-        match query(peer, tenant, Ask::Status, "") {
-            Ok(answer) => reports.extend(answer.seats.into_iter().map(|r| (peer.0.clone(), r))),
+        match query(peer, tenant, ToolRequestKind::Status, "") {
+            Ok(answer) => reports.extend(answer.ownerships.into_iter().map(|r| (peer.0.clone(), r))),
             Err(e) => failures.push(e.to_string()),
         }
     }
@@ -51,16 +57,16 @@
 }
 
 /// Whether the dispatcher that sent the report owns the tenant, or is handing it over.
-fn owns_tenant(r: &Report) -> bool {
+fn owns_tenant(r: &OwnershipReport) -> bool {
     ["settled", "draining", "offered", "committed"].contains(&r.phase.as_str())
 }
 
 /// Formats a status report as one line.
-fn format_report(at: &str, r: &Report) -> String {
-    let other = if r.other.is_empty() { "-" } else { &r.other };
+fn format_report(at: &str, r: &OwnershipReport) -> String {
+    let other = if r.peer.is_empty() { "-" } else { &r.peer };
     format!(
         "{} {at} {} {other} epoch {} held {} still {} since {} ms, stood {} ms",
-        r.tenant, r.phase, r.epoch, r.held, r.still, r.since, r.stood
+        r.tenant, r.phase, r.epoch, r.held, r.suspended, r.phase_ms, r.last_suspension_ms
     )
 }
 
@@ -73,8 +79,8 @@
             Format::Text => println!("{}", format_report(at, r)),
             Format::Json => {
                 let value = serde_json::json!({
-                    "tenant": r.tenant, "dispatcher": at, "phase": r.phase, "other": r.other, "epoch": r.epoch,
-                    "held": r.held, "still": r.still, "since_ms": r.since, "stood_ms": r.stood,
+                    "tenant": r.tenant, "dispatcher": at, "phase": r.phase, "other": r.peer, "epoch": r.epoch,
+                    "held": r.held, "still": r.suspended, "since_ms": r.phase_ms, "stood_ms": r.last_suspension_ms,
                 });
                 println!("{value}");
             }
@@ -101,25 +107,25 @@
 }
 
 /// Sends a command and returns the resulting status; a refusal is an error.
-fn request(peer: &Peer, tenant: &str, what: Ask, to: &str) -> Result<Report, ToolError> {
+fn request(peer: &Peer, tenant: &str, what: ToolRequestKind, to: &str) -> Result<OwnershipReport, ToolError> {
     let answer = query(peer, tenant, what, to)?;
-    match answer.refused.is_empty() {
-        true => Ok(answer.seats.into_iter().next().unwrap_or_default()),
-        false => Err(ToolError::Refused(format!("{}: {}", peer.0, answer.refused))),
+    match answer.rejected.is_empty() {
+        true => Ok(answer.ownerships.into_iter().next().unwrap_or_default()),
+        false => Err(ToolError::Refused(format!("{}: {}", peer.0, answer.rejected))),
     }
 }
 
 /// Moves a tenant, and waits until the target serves it or the wait ends.
 pub(super) fn start(peers: &[Peer], tenant: &str, to: &str, wait: Duration) -> ToolResult {
     let from = owner(peers, tenant)?;
-    let first = request(from, tenant, Ask::Move, to)?;
+    let first = request(from, tenant, ToolRequestKind::Move, to)?;
     println!("{}", format_report(&from.0, &first));
     let target = peers.iter().find(|p| p.0 == to);
     let (started, mut last_phase) = (Instant::now(), first.phase.clone());
     while started.elapsed() < wait {
         std::thread::sleep(POLL_INTERVAL);
-        let there = target.and_then(|p| query(p, tenant, Ask::Status, "").ok());
-        if let Some(r) = there.and_then(|a| a.seats.into_iter().next()) {
+        let there = target.and_then(|p| query(p, tenant, ToolRequestKind::Status, "").ok());
+        if let Some(r) = there.and_then(|a| a.ownerships.into_iter().next()) {
             // A higher epoch: the target has owned the tenant since the move, even if it is already handing
             // it on.
             if owns_tenant(&r) && r.epoch > first.epoch {
@@ -127,8 +133,8 @@
                 return Ok(());
             }
         }
-        let Ok(here) = query(from, tenant, Ask::Status, "") else { continue };
-        let Some(r) = here.seats.into_iter().next() else { continue };
+        let Ok(here) = query(from, tenant, ToolRequestKind::Status, "") else { continue };
+        let Some(r) = here.ownerships.into_iter().next() else { continue };
         if r.phase != last_phase {
             println!("{}", format_report(&from.0, &r));
             last_phase = r.phase.clone();
@@ -149,7 +155,7 @@
 /// Aborts a move that has not been committed.
 pub(super) fn abort(peers: &[Peer], tenant: &str) -> ToolResult {
     let from = owner(peers, tenant)?;
-    println!("{}", format_report(&from.0, &request(from, tenant, Ask::Abort, "")?));
+    println!("{}", format_report(&from.0, &request(from, tenant, ToolRequestKind::Abort, "")?));
     Ok(())
 }
 
@@ -161,13 +167,13 @@
             "{gone} is running and answers; move the tenant from there instead"
         )));
     }
-    let handed_over = |(_, r): &&(String, Report)| r.phase == "committed" && r.other == gone;
+    let handed_over = |(_, r): &&(String, OwnershipReport)| r.phase == "committed" && r.peer == gone;
     let Some((at, _)) = reports.iter().find(handed_over) else {
         return Err(ToolError::Refused(format!(
             "no dispatcher has a committed handoff of '{tenant}' to {gone}"
         )));
     };
     let Some(peer) = peers.iter().find(|p| p.0 == *at) else { return Ok(()) };
-    println!("{}", format_report(at, &request(peer, tenant, Ask::Reclaim, "")?));
+    println!("{}", format_report(at, &request(peer, tenant, ToolRequestKind::Reclaim, "")?));
     Ok(())
 }
--- a/tests/mesh.rs
+++ b/tests/mesh.rs
@@ -7,9 +7,9 @@
 use lilacbank::config::{Names, Worker, WorkerList};
 use lilacbank::dispatch::{CellSpec, Core, MeshSpec, Order, Parts, PeerSpec, Submission, Ticket, Verdict};
 use lilacbank::journal::{CallNo, Ending, Journal, Record};
-use lilacbank_cells::placement::Area;
-use lilacbank_cells::wire::SeatRecord;
-use lilacbank_cells::wire::{plain, Ask, Envelope, Kind, Wish};
+use lilacbank_cells::placement::PlacedCell;
+use lilacbank_cells::wire::OwnershipRecord;
+use lilacbank_cells::wire::{envelope_of_kind, Envelope, MessageKind, ToolRequest, ToolRequestKind};
 use prost::Message as _;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -290,7 +290,7 @@
         let peers =
             (0..all).map(|p| PeerSpec { name: dispatcher_name(p), peer: address(p), resp: None, mqtt: None });
         let owner = self.mapped_owner[n];
-        let area = |p: usize| Area {
+        let area = |p: usize| PlacedCell {
             name: format!("c{p}"),
             weight: 1.0,
             dispatchers: vec![dispatcher_name(p)],
@@ -496,7 +496,7 @@
             }
             Order::Reply { envelope, .. } => {
                 let answer = envelope.answer.clone().unwrap_or_default();
-                self.ownership.extend(answer.seats.into_iter().map(|s| (n, s.tenant, s.phase)));
+                self.ownership.extend(answer.ownerships.into_iter().map(|s| (n, s.tenant, s.phase)));
             }
             _ => {}
         }
@@ -695,9 +695,12 @@
     }
 
     /// Sends an operator's request to a dispatcher.
-    fn request(&mut self, n: usize, tenant: &str, ask: Ask, to: &str) {
-        let wish = Some(Wish { ask: ask as i32, to: to.into() });
-        let envelope = Envelope { wish, ..plain("tool", &dispatcher_name(n), tenant, 0, Kind::Wish) };
+    fn request(&mut self, n: usize, tenant: &str, ask: ToolRequestKind, to: &str) {
+        let wish = Some(ToolRequest { kind: ask as i32, to: to.into() });
+        let envelope = Envelope {
+            tool_request: wish,
+            ..envelope_of_kind("tool", &dispatcher_name(n), tenant, 0, MessageKind::ToolRequest)
+        };
         let now = self.now;
         self.step_dispatcher(n, |c| c.hear(now, 0, envelope));
     }
@@ -710,8 +713,8 @@
         );
         let tenant = TENANTS[self.random.random_range(0..TENANTS.len())];
         match self.chance(self.rates.aborts) {
-            true => self.request(from, tenant, Ask::Abort, ""),
-            false => self.request(from, tenant, Ask::Move, &dispatcher_name(to)),
+            true => self.request(from, tenant, ToolRequestKind::Abort, ""),
+            false => self.request(from, tenant, ToolRequestKind::Move, &dispatcher_name(to)),
         }
     }
 
@@ -719,7 +722,7 @@
     fn ownership(&mut self) -> Vec<(usize, String, String)> {
         self.ownership.clear();
         for n in 0..self.dispatchers.len() {
-            self.request(n, "", Ask::Status, "");
+            self.request(n, "", ToolRequestKind::Status, "");
         }
         std::mem::take(&mut self.ownership)
     }
@@ -823,7 +826,7 @@
         for record in records {
             match record {
                 Record::Seat(bytes) => {
-                    let seat = SeatRecord::decode(bytes.as_slice()).unwrap();
+                    let seat = OwnershipRecord::decode(bytes.as_slice()).unwrap();
                     adoptions += usize::from(seat.adopts_from.is_some());
                     adopting = seat.adopts_from.map(|_| seat.tenant);
                 }
@@ -941,7 +944,7 @@
     fn with_committed_move(seed: u64) -> Sim {
         let mut sim = Sim::new(seed, 2, NO_FAULTS);
         sim.until("the tenant is settled", |s| s.phase(0, "acme") == "settled" && s.accepted.len() > 40);
-        sim.request(0, "acme", Ask::Move, "n1");
+        sim.request(0, "acme", ToolRequestKind::Move, "n1");
         sim.until("the move is committed", |s| s.phase(0, "acme") == "committed");
         assert_eq!(sim.phase(1, "acme"), "received");
         sim
@@ -974,9 +977,9 @@
         let end = sim.now + 2_000.0;
         sim.until("time passes", |s| s.now > end);
         assert_eq!(sim.phase(0, "acme"), "committed", "no other dispatcher may serve it");
-        sim.request(0, "acme", Ask::Abort, "");
+        sim.request(0, "acme", ToolRequestKind::Abort, "");
         assert_eq!(sim.phase(0, "acme"), "committed", "a committed move cannot be aborted");
-        sim.request(0, "acme", Ask::Reclaim, "");
+        sim.request(0, "acme", ToolRequestKind::Reclaim, "");
         assert_eq!(sim.phase(0, "acme"), "settled");
         // The target comes back with the received tenant in its folder.
         sim.until("it is back", |s| s.phase(1, "acme") == "away");
@@ -1002,13 +1005,13 @@
             let end = sim.now + 300.0;
             sim.until("time passes", |s| s.now > end);
             sim.silent_key = None;
-            sim.request(0, "acme", Ask::Move, "n1");
+            sim.request(0, "acme", ToolRequestKind::Move, "n1");
             sim.until("the tenant is offered", |s| s.phase(0, "acme") == "offered");
             outstanding +=
                 sim.keys.iter().filter(|(key, t)| **key % 2 == 1 && t.outstanding.is_some()).count();
             // Aborted while those attempts are still outstanding. The last move is left to end by itself.
             if round < 3 {
-                sim.request(0, "acme", Ask::Abort, "");
+                sim.request(0, "acme", ToolRequestKind::Abort, "");
             }
             sim.until("it is back", |s| s.phase(0, "acme") == "settled");
             let end = sim.now + 3_000.0;
@@ -1059,7 +1062,7 @@
     sim.until("messages were accepted", |s| s.accepted.len() > 40);
     let path = sim.dispatchers[0].dir.join("journal");
     let outdated = std::fs::read(&path).unwrap();
-    sim.request(0, "acme", Ask::Move, "n1");
+    sim.request(0, "acme", ToolRequestKind::Move, "n1");
     sim.until("it is served by the target", |s| {
         s.phase(1, "acme") == "settled" && s.phase(0, "acme") == "away"
     });
