--- a/src/bin/lilacbank-adapter.rs
+++ b/src/bin/lilacbank-adapter.rs
@@ -2,7 +2,7 @@
 //! the actions on standard output.
 #![forbid(unsafe_code)]
 
-use lilacbank::wire::Host;
+use lilacbank::wire::AdapterHost;
 use std::io;
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
     // A panic is reported through the protocol, so its message on standard error is suppressed.
     std::panic::set_hook(Box::new(|_| {}));
     let input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
-    match Host::default().run(input, io::stdout().lock()) {
+    match AdapterHost::default().run(input, io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("lilacbank-adapter: {e}");
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -3,7 +3,7 @@
 //! plain waiting, and a watchdog θ cuts the attempt short for one fail-over (`docs/design.md`).
 
 use crate::api::*;
-use crate::curve::Curve;
+use crate::curve::CallTimeDistribution;
 use crate::fleet::{
     self, LimitShare, CONNECTION_FAILURE_WEIGHT, CONNECTION_MEMORY, IDLE_FAILURE_EXCESS, IDLE_LOSS_MARGIN,
     MIN_IDLE,
@@ -113,7 +113,12 @@
 /// The watchdog θ that maximises the expected payoff E1→2 over (0, d), where d is the last of `breakpoints`;
 /// `None` if none beats plain waiting. Both curves are step functions, so the best θ lies on a step of the
 /// first, or on a time where the worth falls (`breakpoints`) minus a step of the second.
-pub fn watchdog(first: &Curve, second: &Curve, breakpoints: &[Ms], worth: impl Fn(Ms) -> f64) -> Option<Ms> {
+pub fn best_watchdog(
+    first: &CallTimeDistribution,
+    second: &CallTimeDistribution,
+    breakpoints: &[Ms],
+    worth: impl Fn(Ms) -> f64,
+) -> Option<Ms> {
     let plain = first.payoff(&worth);
     let last = breakpoints.iter().copied().fold(0.0, f64::max);
     let value = |theta: Ms| {
@@ -137,24 +142,24 @@
 
 /// The decisions of one dispatcher. Pass each batch of events to [`Brain::step`].
 #[derive(Debug, Default)]
-pub struct Brain {
+pub struct DecisionModule {
     settings: Settings,
     random: Random,
     /// Every endpoint that is listed, or was until lately.
-    endpoints: BTreeMap<RouteId, Endpoint>,
+    endpoints: BTreeMap<EndpointId, Endpoint>,
     /// The endpoints of each destination.
-    dests: BTreeMap<DestId, Vec<RouteId>>,
+    dests: BTreeMap<DestId, Vec<EndpointId>>,
     groups: Vec<LimitGroup>,
     /// Index in `groups` by destination, and by endpoint where that has a limit of its own.
-    group_of: BTreeMap<(DestId, Option<RouteId>), usize>,
+    group_of: BTreeMap<(DestId, Option<EndpointId>), usize>,
     /// Indices in `groups` that are not in use.
     free_groups: Vec<usize>,
-    held: BTreeMap<MsgId, HeldMessage>,
+    held: BTreeMap<MessageId, HeldMessage>,
     keys: KeyQueues,
     /// Calls that are outstanding.
     calls: BTreeMap<u64, Call>,
     /// Calls of the present step, which further messages to the same endpoint may join.
-    open_calls: BTreeMap<RouteId, u64>,
+    open_calls: BTreeMap<EndpointId, u64>,
     next_call: u64,
     /// The retry budget.
     retry: TokenBucket,
@@ -166,7 +171,7 @@
     demand: Demand,
     connections: ConnectionStats,
     /// Endpoints whose idle connections are to be checked at the end of the step.
-    idle_candidates: BTreeSet<RouteId>,
+    idle_candidates: BTreeSet<EndpointId>,
     /// What each tenant may still send at full worth.
     quota: Vec<TokenBucket>,
     /// When to request the endpoint list next.
@@ -177,15 +182,15 @@
     /// When the timer that was requested last is due.
     timer_at: Option<Ms>,
     /// Messages that were ended here and whose clients have not confirmed the final answer, with their keys.
-    unconfirmed_ends: BTreeMap<MsgId, u64>,
+    unconfirmed_ends: BTreeMap<MessageId, u64>,
     closing: Option<Ms>,
 }
 
-impl Brain {
+impl DecisionModule {
     /// A dispatcher that knows its settings and nothing else yet.
-    pub fn new(s: Settings) -> Brain {
+    pub fn new(s: Settings) -> DecisionModule {
         let mean = s.classes.iter().map(|c| c.worth).sum::<f64>() / s.classes.len().max(1) as f64;
-        Brain {
+        DecisionModule {
             random: Random::new(s.seed),
             quota: vec![TokenBucket::default(); s.tenant_quota.len()],
             watch_at: s.list_on_request.then_some(f64::MIN),
@@ -194,7 +199,7 @@
             mean_worth: mean,
             default_samples: Samples::single(DEFAULT_CALL_TIME),
             settings: s,
-            ..Brain::default()
+            ..DecisionModule::default()
         }
     }
 
@@ -216,7 +221,7 @@
         self.close_idle(now, out);
         let wake = self.wake.get();
         if wake < f64::MAX && self.timer_at.is_none_or(|a| wake < a - 0.5) {
-            let at = wake.max(now + self.settings.round);
+            let at = wake.max(now + self.settings.min_step_interval);
             out.push(Action::Timer { at, token: 0 });
             self.timer_at = Some(at);
         }
@@ -228,32 +233,34 @@
 
     fn handle_event(&mut self, now: Ms, e: &Event, out: &mut Vec<Action>) {
         match e {
-            Event::List { rows, whole, cached } => self.update_list(now, rows, *whole, *cached),
-            Event::ListFailed => {
+            Event::EndpointList { rows, complete: whole, cached } => {
+                self.update_list(now, rows, *whole, *cached)
+            }
+            Event::EndpointListFailed => {
                 let again = now + self.watch_gap * self.random.between(0.85, 1.15);
                 self.watch_at = self.settings.list_on_request.then_some(again);
                 self.watch_gap = (self.watch_gap * 2.0).min(MAX_LIST_RETRY);
             }
-            Event::Arrived(m) => self.accept_message(now, m, out),
-            Event::Restarted => {
-                self.keys.set_quiet_all(now + self.settings.key_quiet);
+            Event::MessageArrived(m) => self.accept_message(now, m, out),
+            Event::ProcessRestarted => {
+                self.keys.set_quiet_all(now + self.settings.key_quiet_period);
                 self.groups.iter_mut().for_each(|g| g.share = LimitShare::new(true, self.random.next()));
             }
-            Event::Resumed(resumed) => self.resume_message(now, resumed, out),
-            Event::Heard(id) => {
+            Event::MessageResumed(resumed) => self.resume_message(now, resumed, out),
+            Event::AnswerConfirmed(id) => {
                 self.unconfirmed_ends.remove(id).into_iter().for_each(|k| self.keys.leave(k, *id));
             }
-            Event::Closing(at) => self.closing = Some(*at),
-            Event::Ended(e) => self.attempt_ended(now, e, out),
-            Event::Probed { route: endpoint, outcome, report, .. } => {
+            Event::ProcessEndsAt(at) => self.closing = Some(*at),
+            Event::AttemptEnded(e) => self.attempt_ended(now, e, out),
+            Event::ProbeEnded { endpoint, outcome, report, .. } => {
                 self.probe_ended(now, *endpoint, *outcome, report)
             }
-            Event::Room { route: endpoint, calls, again, links } => {
+            Event::QuotaLeft { endpoint, calls, more_at: again, max_connections: links } => {
                 let Some(ep) = self.endpoints.get_mut(endpoint) else { return };
                 ep.connection_limit = Some(*links).filter(|l| *l < u32::MAX);
                 self.groups[ep.group].room = Some((*calls, *again)).filter(|c| c.0 < u32::MAX);
             }
-            Event::ClientGone(id) => self.end_message(*id),
+            Event::ClientLeft(id) => self.end_message(*id),
             Event::Timer(_) => self.timer_at = self.timer_at.filter(|a| *a > now + 0.5),
         }
     }
@@ -262,37 +269,38 @@
     fn request_list(&mut self, now: Ms, out: &mut Vec<Action>) {
         if let Some(at) = self.watch_at {
             if at <= now {
-                out.push(Action::Watch);
+                out.push(Action::WatchEndpointList);
                 // Without an answer, the list is requested again within the span that the settings allow.
-                self.watch_at = Some(now + self.settings.ask_within.max(MAX_LIST_RETRY));
+                self.watch_at = Some(now + self.settings.list_request_within.max(MAX_LIST_RETRY));
             }
             self.watch_at.iter().for_each(|t| self.wake_at(*t));
         }
     }
 
-    fn update_list(&mut self, now: Ms, rows: &[Row], whole: bool, cached: bool) {
+    fn update_list(&mut self, now: Ms, rows: &[EndpointEntry], whole: bool, cached: bool) {
         if !cached {
             self.watch_at = None;
             self.watch_gap = FIRST_LIST_RETRY;
         }
         if whole {
-            self.endpoints
-                .values_mut()
-                .for_each(|ep| ep.update_listing(now, Row { listing: Listing::Gone, ..ep.row.clone() }));
+            self.endpoints.values_mut().for_each(|ep| {
+                ep.update_listing(now, EndpointEntry { state: ServiceState::Removed, ..ep.row.clone() })
+            });
         }
         for row in rows {
-            if let Some(ep) = self.endpoints.get_mut(&row.route) {
+            if let Some(ep) = self.endpoints.get_mut(&row.endpoint) {
                 ep.update_listing(now, row.clone());
                 continue;
             }
-            let apart = self.settings.kind(row.kind).apart;
+            let apart = self.settings.kind(row.kind).per_endpoint_limit;
             let (groups, free) = (&mut self.groups, &mut self.free_groups);
-            let group = *self.group_of.entry((row.dest, apart.then_some(row.route))).or_insert_with(|| {
-                free.pop().unwrap_or_else(|| {
-                    groups.push(LimitGroup::default());
-                    groups.len() - 1
-                })
-            });
+            let group =
+                *self.group_of.entry((row.dest, apart.then_some(row.endpoint))).or_insert_with(|| {
+                    free.pop().unwrap_or_else(|| {
+                        groups.push(LimitGroup::default());
+                        groups.len() - 1
+                    })
+                });
             if groups[group].endpoint_count == 0 {
                 groups[group] = LimitGroup::new(row.dest, now);
                 // If messages wait for this destination here, they do at other dispatchers as well.
@@ -300,11 +308,11 @@
                 groups[group].share = LimitShare::new(has_pending, self.random.next());
             }
             groups[group].endpoint_count += 1;
-            if self.settings.weights != Weights::None && row.weight > 0.0 {
+            if self.settings.weights != WeightMeaning::None && row.weight > 0.0 {
                 (self.groups[group].limit, self.groups[group].limit_reported) = (Some(row.weight), true);
             }
-            self.dests.entry(row.dest).or_default().push(row.route);
-            self.endpoints.insert(row.route, Endpoint::new(row.clone(), group, INITIAL_WINDOW, now));
+            self.dests.entry(row.dest).or_default().push(row.endpoint);
+            self.endpoints.insert(row.endpoint, Endpoint::new(row.clone(), group, INITIAL_WINDOW, now));
         }
         self.prune(now);
     }
@@ -312,8 +320,9 @@
     /// Removes endpoints that have long been off the list, with all that is known of them, and destinations
     /// without endpoints. Without this, memory would grow where the registry uses new ids each time.
     fn prune(&mut self, now: Ms) {
-        let removable = |ep: &Endpoint| ep.calls == 0 && ep.delisted_at.is_some_and(|t| now - t >= GONE_KEPT);
-        let due: Vec<RouteId> =
+        let removable =
+            |ep: &Endpoint| ep.calls == 0 && ep.delisted_at.is_some_and(|t| now - t >= DELISTED_ENDPOINT_TTL);
+        let due: Vec<EndpointId> =
             self.endpoints.iter().filter(|(_, ep)| removable(ep)).map(|(id, _)| *id).collect();
         for id in due {
             let Some(ep) = self.endpoints.remove(&id) else { continue };
@@ -333,7 +342,7 @@
             return;
         }
         let Some(class) = self.settings.classes.get(m.class) else {
-            return out.push(Action::Fail(m.id));
+            return out.push(Action::GiveUp(m.id));
         };
         if self.dests.contains_key(&m.dest) {
             self.demand.add(m.dest);
@@ -342,8 +351,11 @@
         if let Some(k) = m.key.filter(|_| class.in_order) {
             self.keys.enter(now, k, m.id);
         }
-        let age_from =
-            if self.settings.marks_again && !m.again { now } else { m.valid_until - class.deadline };
+        let age_from = if self.settings.marks_resubmissions && !m.resubmitted {
+            now
+        } else {
+            m.valid_until - class.deadline
+        };
         let worth_share = self.tenant_share(now, m.tenant);
         let fresh =
             HeldMessage { message: m.clone(), arrived: now, age_from, worth_share, ..HeldMessage::default() };
@@ -354,11 +366,13 @@
     /// message keeps its attempts and its deduplication group, and its key has a quiet period. A message
     /// whose end was decided keeps its place in its key's queue until the client has confirmed the final
     /// answer.
-    fn resume_message(&mut self, now: Ms, resumed: &Resumed, out: &mut Vec<Action>) {
+    fn resume_message(&mut self, now: Ms, resumed: &ResumedMessage, out: &mut Vec<Action>) {
         let (id, key) = (resumed.message.id, resumed.message.key);
         if !resumed.ended {
             self.accept_message(now, &resumed.message, out);
-            self.held.entry(id).and_modify(|h| (h.attempts, h.ran) = (resumed.attempts, resumed.ran));
+            self.held
+                .entry(id)
+                .and_modify(|h| (h.attempts, h.ran) = (resumed.attempts, resumed.first_possible_run));
         } else if let Some(k) = key {
             self.keys.enter(now, k, id);
             self.unconfirmed_ends.insert(id, k);
@@ -369,17 +383,17 @@
     /// assumes an even part of the quota.
     fn tenant_share(&mut self, now: Ms, tenant: Option<usize>) -> f64 {
         let Some(t) = tenant.filter(|t| *t < self.quota.len()) else { return 1.0 };
-        let rate = self.settings.tenant_quota[t] / self.settings.senders as f64;
+        let rate = self.settings.tenant_quota[t] / self.settings.dispatchers as f64;
         self.quota[t].refill(now, rate, (2.0 * rate).max(1.0));
         if self.quota[t].try_take(1.0) {
             1.0
         } else {
-            self.settings.over_share_worth
+            self.settings.over_quota_worth
         }
     }
 
     /// Messages without an outstanding attempt.
-    fn pending(&self) -> impl Iterator<Item = (&MsgId, &HeldMessage)> {
+    fn pending(&self) -> impl Iterator<Item = (&MessageId, &HeldMessage)> {
         self.held.iter().filter(|(_, h)| h.in_flight.is_none() && !h.ended)
     }
 
@@ -399,11 +413,11 @@
     /// time left.
     fn worth(&self, h: &HeldMessage, t: Ms) -> f64 {
         let age = if t > h.message.valid_until { f64::MAX } else { t - h.age_from };
-        h.worth_share * self.settings.worth(h.message.class, h.message.work, age)
+        h.worth_share * self.settings.worth(h.message.class, h.message.estimated_work, age)
     }
 
     /// Ends a message: no further attempts. Its record stays while an attempt is outstanding.
-    fn end_message(&mut self, id: MsgId) {
+    fn end_message(&mut self, id: MessageId) {
         if let Some(h) = self.held.get_mut(&id) {
             h.ended = true;
             if h.in_flight.is_none() {
@@ -412,7 +426,7 @@
         }
     }
 
-    fn remove_message(&mut self, id: MsgId) {
+    fn remove_message(&mut self, id: MessageId) {
         let key = self.held.remove(&id).and_then(|h| h.message.key);
         key.into_iter()
             .filter(|_| !self.unconfirmed_ends.contains_key(&id))
@@ -421,20 +435,20 @@
 
     /// Ends a message without delivery at once: returns it, with a retry-after, where repeating it is
     /// harmless, and else gives it up.
-    fn end_undelivered(&mut self, now: Ms, id: MsgId, out: &mut Vec<Action>) {
+    fn end_undelivered(&mut self, now: Ms, id: MessageId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
         let harmless = match self.class(h).effect {
-            Effect::Safe => true,
-            Effect::Keyed { by_zone } => h.ran.is_none() || !by_zone,
-            Effect::Unsafe => h.ran.is_none(),
+            Effect::Idempotent => true,
+            Effect::Deduplicated { same_zone_only: by_zone } => h.ran.is_none() || !by_zone,
+            Effect::AtMostOnce => h.ran.is_none(),
         };
         if harmless {
-            let retry_in = (self.earliest_send(now, h) - now).clamp(0.0, self.settings.max_advice);
-            out.push(Action::Deny { id, retry_in });
+            let retry_in = (self.earliest_send(now, h) - now).clamp(0.0, self.settings.max_retry_after);
+            out.push(Action::Return { id, retry_after: retry_in });
         } else {
-            out.push(Action::Fail(id));
+            out.push(Action::GiveUp(id));
         }
-        if let Some(k) = h.message.key.filter(|_| self.settings.ends_confirmed) {
+        if let Some(k) = h.message.key.filter(|_| self.settings.answers_confirmed) {
             self.unconfirmed_ends.insert(id, k);
         }
         self.end_message(id);
@@ -452,10 +466,12 @@
     /// are dropped.
     fn latest_send(&self, h: &HeldMessage) -> Ms {
         let c = self.class(h);
-        let until = h.message.valid_until - 2.0 * self.settings.round;
+        let until = h.message.valid_until - 2.0 * self.settings.min_step_interval;
         match (c.effect, h.ran) {
-            (Effect::Keyed { .. }, Some((sent, _))) => until.min(sent + c.window - 2.0 * self.settings.round),
-            (Effect::Unsafe, Some(_)) => f64::MIN,
+            (Effect::Deduplicated { .. }, Some((sent, _))) => {
+                until.min(sent + c.dedup_window - 2.0 * self.settings.min_step_interval)
+            }
+            (Effect::AtMostOnce, Some(_)) => f64::MIN,
             _ => until,
         }
     }
@@ -466,13 +482,16 @@
             let last = self.latest_send(h);
             // A destination may have no endpoint for a while, when all are being replaced or the list is
             // stale.
-            let max_wait =
-                if self.eligible_endpoints(h).next().is_some() { f64::MAX } else { self.class(h).promise };
+            let max_wait = if self.eligible_endpoints(h).next().is_some() {
+                f64::MAX
+            } else {
+                self.class(h).target_time
+            };
             let last = last.min(h.arrived + max_wait);
             // No endpoint accepts the message in time: the client gets its answer at once instead of at the
             // deadline.
             let unsendable = max_wait == f64::MAX && self.earliest_send(now, h) > last;
-            if last <= now || unsendable || h.attempts >= self.settings.most_attempts {
+            if last <= now || unsendable || h.attempts >= self.settings.max_attempts {
                 due.push(*id);
             } else {
                 self.wake_at(last);
@@ -496,35 +515,36 @@
         }
     }
 
-    fn attempt_ended(&mut self, now: Ms, e: &Ended, out: &mut Vec<Action>) {
-        if let Some(ep) = self.endpoints.get(&e.route) {
+    fn attempt_ended(&mut self, now: Ms, e: &AttemptEnd, out: &mut Vec<Action>) {
+        if let Some(ep) = self.endpoints.get(&e.endpoint) {
             let g = &mut self.groups[ep.group];
-            if e.wait > 0.0 {
-                g.pause_until = g.pause_until.max(now + e.wait + 2.0 * self.settings.round);
+            if e.retry_after > 0.0 {
+                g.pause_until =
+                    g.pause_until.max(now + e.retry_after + 2.0 * self.settings.min_step_interval);
             }
             g.apply_report(&e.report, e.outcome);
         }
         let Some(h) = self.held.get_mut(&e.id) else { return };
         let Some(flight) = h.in_flight.take_if(|f| f.attempt == e.attempt) else { return };
-        let zone = self.endpoints.get(&e.route).map_or(0, |ep| ep.row.zone);
+        let zone = self.endpoints.get(&e.endpoint).map_or(0, |ep| ep.row.zone);
         if !e.outcome.never_ran() {
             h.ran.get_or_insert((flight.sent, zone));
         }
-        if e.unspent {
+        if e.not_counted {
             h.attempts = flight.attempt;
             let earned = if h.attempts == 0 { RETRIES_PER_MESSAGE } else { 0.0 };
             self.retry.level -= earned;
         }
-        h.ended |= e.over;
-        h.last_endpoint = Some(e.route);
+        h.ended |= e.message_ended;
+        h.last_endpoint = Some(e.endpoint);
         h.not_before = if e.outcome == Outcome::NotSent { now + NOT_SENT_DELAY } else { now };
         let (over, key) = (h.ended, h.message.key);
         if matches!(e.outcome, Outcome::Late | Outcome::Reset | Outcome::Cancelled) {
-            key.into_iter().for_each(|k| self.keys.set_quiet(k, now + self.settings.key_quiet));
+            key.into_iter().for_each(|k| self.keys.set_quiet(k, now + self.settings.key_quiet_period));
         }
         let idle = self.calls.get(&flight.call).and_then(|c| c.idle_before);
         if self.record_call_outcome(now, flight.call) {
-            let before_limit = fleet::refused_before_limit(self.settings.reports, idle.is_none(), e);
+            let before_limit = fleet::refused_before_limit(self.settings.reports_limits, idle.is_none(), e);
             self.record_connection_outcome(now, &flight, idle, e, before_limit);
             self.record_outcome(now, &flight, e, before_limit);
         }
@@ -538,13 +558,13 @@
     /// Schedules a retry after an attempt that may have run, or ends the message. Retries use up the retry
     /// budget; an empty budget delays them, so that failures cause no retry storm. No retry starts while the
     /// endpoint may not know yet that the attempt ended.
-    fn schedule_retry(&mut self, now: Ms, e: &Ended, flight: &InFlight, out: &mut Vec<Action>) {
-        if self.latest_send(&self.held[&e.id]) <= now + e.rest {
+    fn schedule_retry(&mut self, now: Ms, e: &AttemptEnd, flight: &InFlight, out: &mut Vec<Action>) {
+        if self.latest_send(&self.held[&e.id]) <= now + e.quiet_period {
             return self.end_undelivered(now, e.id, out);
         }
         self.retry.level -= 1.0;
         let budget_wait = (-self.retry.level).max(0.0) * 1000.0 / RETRIES_PER_SECOND;
-        let not_before = now + budget_wait.max(e.rest);
+        let not_before = now + budget_wait.max(e.quiet_period);
         self.held.entry(e.id).and_modify(|h| {
             h.failed_over |= flight.watchdog || h.cancelled;
             (h.cancelled, h.not_before) = (false, not_before);
@@ -567,7 +587,7 @@
         first
     }
 
-    fn record_outcome(&mut self, now: Ms, f: &InFlight, e: &Ended, before_limit: bool) {
+    fn record_outcome(&mut self, now: Ms, f: &InFlight, e: &AttemptEnd, before_limit: bool) {
         if let Some(o) = self.endpoints.get_mut(&f.endpoint).and_then(|ep| ep.outage.as_mut()) {
             o.trial_started = None;
         }
@@ -580,7 +600,7 @@
             Outcome::Refused => {
                 self.record_sample(now, f.endpoint, f64::INFINITY, false);
                 let limit_reached = e.report.limit.is_some_and(|l| l > 0.0);
-                self.record_refusal(now, f.endpoint, f.sent, e.wait, limit_reached);
+                self.record_refusal(now, f.endpoint, f.sent, e.retry_after, limit_reached);
             }
             Outcome::Error | Outcome::Reset | Outcome::Late | Outcome::NoConnection => {
                 self.record_sample(now, f.endpoint, f64::INFINITY, false);
@@ -599,7 +619,7 @@
         now: Ms,
         f: &InFlight,
         idle: Option<Ms>,
-        e: &Ended,
+        e: &AttemptEnd,
         before_limit: bool,
     ) {
         let Some(ep) = self.endpoints.get_mut(&f.endpoint) else { return };
@@ -608,7 +628,7 @@
             .or(ep.connection_refused_at);
         // Where endpoints report their limit, a full connection table shows as a refusal, so a failed
         // connection means an outage.
-        if before_limit || e.outcome == Outcome::NoConnection && !self.settings.reports {
+        if before_limit || e.outcome == Outcome::NoConnection && !self.settings.reports_limits {
             let kind = ep.row.kind;
             self.connections.refused_by_kind.insert(kind, now);
             let idle = self.endpoints.iter().filter(|(_, ep)| ep.row.kind == kind && ep.idle_since.is_some());
@@ -627,9 +647,10 @@
         for id in std::mem::take(&mut self.idle_candidates) {
             let Some(ep) = self.endpoints.get_mut(&id).filter(|ep| ep.calls == 0) else { continue };
             let kind = self.connections.refused_by_kind.get(&ep.row.kind).copied();
-            if !fleet::keeps_idle_connections(now, self.settings.senders, ep.connection_refused_at, kind) {
+            if !fleet::keeps_idle_connections(now, self.settings.dispatchers, ep.connection_refused_at, kind)
+            {
                 ep.idle_since = None;
-                out.push(Action::CloseIdle(id));
+                out.push(Action::CloseIdleConnections(id));
             }
         }
     }
@@ -637,7 +658,7 @@
     /// Backs off from an endpoint whose connection table is full, so that this is not taken for a reached
     /// limit or an outage. False after too many such refusals in a row: they then count like any other
     /// refusal.
-    fn back_off_full_table(&mut self, now: Ms, endpoint: RouteId) -> bool {
+    fn back_off_full_table(&mut self, now: Ms, endpoint: EndpointId) -> bool {
         let draw = self.random.next();
         let Some(ep) =
             self.endpoints.get(&endpoint).filter(|ep| ep.full_table_refusals < fleet::MAX_FULL_TABLE_ROUNDS)
@@ -651,15 +672,15 @@
         ep.full_table_refusals += 1;
         let g = &mut self.groups[ep.group];
         g.pause_until = g.pause_until.max(until);
-        g.record_refusal(now, until - now, self.settings.senders, draw);
+        g.record_refusal(now, until - now, self.settings.dispatchers, draw);
         true
     }
 
-    fn halve_window(&mut self, endpoint: RouteId) {
+    fn halve_window(&mut self, endpoint: EndpointId) {
         self.endpoints.entry(endpoint).and_modify(|ep| ep.window = (ep.window / 2.0).max(1.0));
     }
 
-    fn record_sample(&mut self, now: Ms, endpoint: RouteId, took: Ms, answered: bool) {
+    fn record_sample(&mut self, now: Ms, endpoint: EndpointId, took: Ms, answered: bool) {
         self.endpoints
             .entry(endpoint)
             .and_modify(|ep| ep.samples.add(now, took, answered, MAX_SAMPLES, SAMPLE_AGE));
@@ -668,7 +689,7 @@
         }
     }
 
-    fn record_success(&mut self, now: Ms, endpoint: RouteId, sent: Ms, took: Ms) {
+    fn record_success(&mut self, now: Ms, endpoint: EndpointId, sent: Ms, took: Ms) {
         let most = self.settings.slots as f64 * 0.75;
         if let Some(ep) = self.endpoints.get_mut(&endpoint) {
             let most = if ep.failure_rate > UNRELIABLE_FAILURE_RATE {
@@ -690,7 +711,7 @@
 
     /// Counts an attempt into the failure rate, which decays, so that an endpoint is not avoided for old
     /// failures.
-    fn record_attempt(&mut self, now: Ms, endpoint: RouteId, failed: f64) -> f64 {
+    fn record_attempt(&mut self, now: Ms, endpoint: EndpointId, failed: f64) -> f64 {
         let ep = self.endpoints.get_mut(&endpoint);
         ep.map_or(0.0, |ep| {
             ep.record_attempt(now, failed, FAILURE_WEIGHT, FAILURE_HALF_LIFE, UNRELIABLE_FAILURE_RATE)
@@ -700,7 +721,7 @@
     /// Counts a failure, and takes the endpoint out if it fails too often. A single reset says little,
     /// because a process that has died refuses the next connection; only several in a row count. Else a
     /// network that loses connections now and then would look like endpoints that are down.
-    fn record_failure(&mut self, now: Ms, endpoint: RouteId, outcome: Outcome) {
+    fn record_failure(&mut self, now: Ms, endpoint: EndpointId, outcome: Outcome) {
         let was_reset = outcome == Outcome::Reset;
         let failure_rate = self.record_attempt(now, endpoint, if was_reset { RESET_FAILURE } else { 1.0 });
         let Some(ep) = self.endpoints.get(&endpoint) else { return };
@@ -717,7 +738,7 @@
     fn mark_out(
         &mut self,
         now: Ms,
-        endpoint: RouteId,
+        endpoint: EndpointId,
         may_have_run: bool,
         not_before: Ms,
         only_resets: bool,
@@ -751,7 +772,7 @@
     /// Time until the next trial. A destination that has just recovered takes only part of its usual rate,
     /// and the trials of all dispatchers are part of that.
     fn trial_gap(&mut self, now: Ms, group: usize, since: Ms) -> Ms {
-        let cold = (self.settings.overload_factor * self.settings.cold_from).clamp(0.05, 1.0);
+        let cold = (self.settings.overload_factor * self.settings.cold_capacity_share).clamp(0.05, 1.0);
         let span =
             self.one_call_each(now, group, since - OUTAGE_AGE_WHEN_SEEN) * self.random.between(0.5, 1.5);
         MIN_TRIAL_GAP.max(span / (TRIAL_SHARE * cold))
@@ -760,7 +781,7 @@
     /// Time in which each dispatcher gets one call, at the limit or at the rate that all together send; no
     /// longer than the time since `since`.
     fn one_call_each(&self, now: Ms, group: usize, since: Ms) -> Ms {
-        let dispatchers = self.settings.senders as f64;
+        let dispatchers = self.settings.dispatchers as f64;
         let all = self.groups[group].limit.unwrap_or(dispatchers * self.demand_rate(now, group));
         ((dispatchers - 1.0) * 1000.0 / all.max(MIN_DEMAND)).min(now - since)
     }
@@ -777,7 +798,7 @@
     /// Handles a refusal, by a reached limit or an endpoint that accepts nothing. The window halves, the pace
     /// falls to what was just accepted, and the whole limit group waits: for the retry-after, or for a time
     /// guessed by the rounds of refusals.
-    fn record_refusal(&mut self, now: Ms, endpoint: RouteId, sent: Ms, wait: Ms, limit_reached: bool) {
+    fn record_refusal(&mut self, now: Ms, endpoint: EndpointId, sent: Ms, wait: Ms, limit_reached: bool) {
         self.halve_window(endpoint);
         let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
         let since = *ep.first_failure.get_or_insert(now);
@@ -785,7 +806,7 @@
         let rounds = self.groups[group].refusal_rounds;
         let guessed_wait = (FIRST_REFUSAL_WAIT * f64::from(1u32 << rounds.min(8))).min(MAX_REFUSAL_WAIT);
         let pause = if wait > 0.0 { wait } else { guessed_wait };
-        let (draw, dispatchers) = (self.random.next(), self.settings.senders);
+        let (draw, dispatchers) = (self.random.next(), self.settings.dispatchers);
         let span = self.one_call_each(now, group, since - pause - LOAD_AGE_AT_REFUSAL);
         let spread = REFUSAL_SPREAD_FACTOR * span * self.random.next();
         let g = &mut self.groups[group];
@@ -801,10 +822,10 @@
             g.tokens.at = now;
             g.pace = Some(pace);
         }
-        if already_out || wait > self.settings.overload_for || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS {
+        if already_out || wait > self.settings.overload_span || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS {
             let (until, whole_group) = (
                 g.pause_until,
-                wait > self.settings.overload_for || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS,
+                wait > self.settings.overload_span || g.refusal_rounds >= OUTAGE_REFUSAL_ROUNDS,
             );
             let affected =
                 self.group_members(endpoint).into_iter().filter(|id| whole_group || *id == endpoint);
@@ -816,9 +837,10 @@
     /// successful call or probe. The endpoint may be cold, so calls ramp up from the least share of its
     /// capacity, measured against the demand that this dispatcher sees; its own best rate was misleading with
     /// many dispatchers.
-    fn recover(&mut self, now: Ms, endpoint: RouteId) {
+    fn recover(&mut self, now: Ms, endpoint: EndpointId) {
         if self.endpoints.get(&endpoint).is_some_and(|ep| ep.outage.is_some()) {
-            let refusing = |id: &RouteId| self.endpoints[id].outage.as_ref().is_some_and(|o| o.from_refusals);
+            let refusing =
+                |id: &EndpointId| self.endpoints[id].outage.as_ref().is_some_and(|o| o.from_refusals);
             let back = self.group_members(endpoint).into_iter().filter(|id| *id == endpoint || refusing(id));
             back.collect::<Vec<_>>().into_iter().for_each(|id| self.start_ramp(now, id));
         }
@@ -826,12 +848,12 @@
 
     /// The endpoints that share the limit of this one. They go out and recover together, also where each
     /// dispatcher was refused by a different one of them.
-    fn group_members(&self, endpoint: RouteId) -> Vec<RouteId> {
+    fn group_members(&self, endpoint: EndpointId) -> Vec<EndpointId> {
         let Some(ep) = self.endpoints.get(&endpoint) else { return Vec::new() };
         self.dests[&ep.row.dest].iter().copied().filter(|id| self.endpoints[id].group == ep.group).collect()
     }
 
-    fn start_ramp(&mut self, now: Ms, endpoint: RouteId) {
+    fn start_ramp(&mut self, now: Ms, endpoint: EndpointId) {
         let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
         let Some(o) = ep.outage.take() else { return };
         let group = ep.group;
@@ -843,7 +865,7 @@
             return;
         }
         let initial_share =
-            if now - o.since < self.settings.overload_for { 0.5 } else { self.settings.cold_from };
+            if now - o.since < self.settings.overload_span { 0.5 } else { self.settings.cold_capacity_share };
         ep.ramp = Some(Ramp {
             since: now,
             initial_share,
@@ -852,7 +874,7 @@
         self.groups[group].next_trial = now + self.trial_gap(now, group, o.since);
     }
 
-    fn probe_ended(&mut self, now: Ms, endpoint: RouteId, outcome: Outcome, report: &Report) {
+    fn probe_ended(&mut self, now: Ms, endpoint: EndpointId, outcome: Outcome, report: &LimitReport) {
         let Some(ep) = self.endpoints.get(&endpoint) else { return };
         self.groups[ep.group].apply_report(report, outcome);
         self.idle_candidates.insert(endpoint);
@@ -904,7 +926,7 @@
         for (id, h) in self.held.iter().filter(|(_, h)| !h.ended && !h.cancelled) {
             let Some(f) = &h.in_flight else { continue };
             let Some(ep) = self.endpoints.get(&f.endpoint) else { continue };
-            let repeatable = self.class(h).effect != Effect::Unsafe;
+            let repeatable = self.class(h).effect != Effect::AtMostOnce;
             let factor = if repeatable { 1.0 } else { AT_MOST_ONCE_OVERDUE_FACTOR };
             let due = f.sent + factor * self.overdue_after(ep);
             if now < due {
@@ -927,7 +949,8 @@
     fn send_probes(&mut self, now: Ms, out: &mut Vec<Action>) {
         let dests = if self.settings.can_probe { self.queue_lengths() } else { BTreeMap::new() };
         for id in dests.keys().filter_map(|d| self.dests.get(d)).flatten() {
-            let Some(ep) = self.endpoints.get_mut(id).filter(|ep| ep.row.listing == Listing::Ready) else {
+            let Some(ep) = self.endpoints.get_mut(id).filter(|ep| ep.row.state == ServiceState::InService)
+            else {
                 continue;
             };
             let g = &mut self.groups[ep.group];
@@ -949,9 +972,9 @@
     /// repeat is harmless.
     fn in_dedup_group(&self, h: &HeldMessage, zone: usize, ep: &Endpoint) -> bool {
         match self.class(h).effect {
-            Effect::Safe => true,
-            Effect::Keyed { by_zone } => !by_zone || ep.row.zone == zone,
-            Effect::Unsafe => false,
+            Effect::Idempotent => true,
+            Effect::Deduplicated { same_zone_only: by_zone } => !by_zone || ep.row.zone == zone,
+            Effect::AtMostOnce => false,
         }
     }
 
@@ -959,7 +982,8 @@
     fn eligible_endpoints<'a>(&'a self, h: &'a HeldMessage) -> impl Iterator<Item = &'a Endpoint> + 'a {
         let all = self.dests.get(&h.message.dest).into_iter().flatten().map(|id| &self.endpoints[id]);
         all.filter(|ep| {
-            ep.row.listing == Listing::Ready && h.ran.is_none_or(|(_, z)| self.in_dedup_group(h, z, ep))
+            ep.row.state == ServiceState::InService
+                && h.ran.is_none_or(|(_, z)| self.in_dedup_group(h, z, ep))
         })
     }
 
@@ -972,7 +996,7 @@
             .unwrap_or(&self.default_samples)
     }
 
-    fn curve<'a>(&'a self, ep: &'a Endpoint) -> &'a Curve {
+    fn curve<'a>(&'a self, ep: &'a Endpoint) -> &'a CallTimeDistribution {
         &self.samples(ep).curve
     }
 
@@ -992,10 +1016,10 @@
 
     fn ramp_rate(&self, now: Ms, ep: &Endpoint, ramp: &Ramp) -> f64 {
         let g = &self.groups[ep.group];
-        let done = ((now - ramp.since) / self.settings.cold.max(1.0)).min(1.0);
+        let done = ((now - ramp.since) / self.settings.warm_up.max(1.0)).min(1.0);
         let ramp_share = ramp.initial_share + (1.0 - ramp.initial_share) * done;
         // The capacity is at least the limit; where none is known, the demand stands in for it.
-        let dispatchers = self.settings.senders as f64;
+        let dispatchers = self.settings.dispatchers as f64;
         let base_rate = g
             .limit
             .map_or(self.demand_rate(now, ep.group), |l| l / dispatchers)
@@ -1008,7 +1032,7 @@
     /// destination; with `ahead` messages planned before this one.
     fn next_ready(&self, now: Ms, ep: &Endpoint, ahead: usize) -> Ms {
         let g = &self.groups[ep.group];
-        let (wait, mut gap) = g.pacing(self.settings.senders);
+        let (wait, mut gap) = g.pacing(self.settings.dispatchers);
         let mut at = g.blocked_until().max(now + wait);
         if let Some(ramp) = &ep.ramp {
             let rate = self.ramp_rate(now, ep, ramp);
@@ -1016,23 +1040,24 @@
             gap = gap.max(1000.0 / rate);
         }
         if ep.calls >= LimitGroup::max_concurrent_calls(ep) || !self.destination_has_room(ep.row.dest) {
-            let turn = (self.median_time(ep) / ep.window.max(1.0)).max(self.settings.round).max(1.0);
+            let turn =
+                (self.median_time(ep) / ep.window.max(1.0)).max(self.settings.min_step_interval).max(1.0);
             at = at.max(now + turn);
             gap = gap.max(turn);
         }
-        at + ahead as f64 * gap / self.settings.kind(ep.row.kind).batch as f64
+        at + ahead as f64 * gap / self.settings.kind(ep.row.kind).max_batch as f64
     }
 
     /// Refills the tokens of limit shares, paces and ramps of a destination's endpoints up to now.
     fn refill(&mut self, now: Ms, dest: DestId) {
         for id in self.dests.get(&dest).cloned().unwrap_or_default() {
             let ep = &self.endpoints[&id];
-            let guess = (self.settings.reports && !self.groups[ep.group].limit_reported)
+            let guess = (self.settings.reports_limits && !self.groups[ep.group].limit_reported)
                 .then(|| self.guess_limit(now, ep));
             let g = &mut self.groups[ep.group];
             g.limit = guess.or(g.limit);
             if let Some(limit) = g.limit {
-                g.share.refill(now, limit, self.settings.senders);
+                g.share.refill(now, limit, self.settings.dispatchers);
             } else if let Some(p) = g.pace {
                 let dt = (now - g.tokens.at).clamp(0.0, 1000.0) / 1000.0;
                 g.tokens.refill(now, p, (p * 0.5).max(1.0));
@@ -1041,7 +1066,7 @@
             }
             let Some(rate) = ep.ramp.as_ref().map(|p| self.ramp_rate(now, ep, p)) else { continue };
             let Some(ep) = self.endpoints.get_mut(&id) else { continue };
-            ep.ramp = ep.ramp.take().filter(|p| now - p.since <= self.settings.cold);
+            ep.ramp = ep.ramp.take().filter(|p| now - p.since <= self.settings.warm_up);
             if let Some(p) = &mut ep.ramp {
                 p.tokens.refill(now, rate, 1.0);
             }
@@ -1055,31 +1080,31 @@
             .values()
             .filter(|o| o.row.kind == ep.row.kind && self.groups[o.group].limit_reported);
         let known = fleet::median(like.filter_map(|o| self.groups[o.group].limit).collect());
-        known.unwrap_or((self.demand_rate(now, ep.group) * self.settings.senders as f64).max(MIN_DEMAND))
+        known.unwrap_or((self.demand_rate(now, ep.group) * self.settings.dispatchers as f64).max(MIN_DEMAND))
     }
 
     fn fee(&self, ep: &Endpoint) -> f64 {
-        let apart = self.settings.kind(ep.row.kind).apart;
+        let apart = self.settings.kind(ep.row.kind).per_endpoint_limit;
         let zone = self.settings.zone_fees.get(ep.row.zone).copied().filter(|_| apart).unwrap_or(0.0);
-        let cross = if ep.row.zone != self.settings.zone { self.settings.cross_zone } else { 0.0 };
+        let cross = if ep.row.zone != self.settings.zone { self.settings.cross_zone_price } else { 0.0 };
         (zone + cross) * self.mean_worth
     }
 
     /// Whether this message may be the trial of an endpoint that is out. An at-most-once message that could
     /// be lost there may only as a last resort.
     fn may_be_trial(&self, now: Ms, h: &HeldMessage, o: &Outage) -> bool {
-        let unsafe_class = self.class(h).effect == Effect::Unsafe;
+        let unsafe_class = self.class(h).effect == Effect::AtMostOnce;
         let last_chance = h.message.valid_until - now < 1_000.0;
-        h.attempts + 1 < self.settings.most_attempts && (!o.may_have_run || !unsafe_class || last_chance)
+        h.attempts + 1 < self.settings.max_attempts && (!o.may_have_run || !unsafe_class || last_chance)
     }
 
     /// The endpoint with the best payoff of plain waiting, counting its fee and the time until it can accept
     /// the call. An endpoint that is out and due for a trial takes precedence.
-    fn plan(&self, now: Ms, h: &HeldMessage, ahead: &BTreeMap<RouteId, usize>) -> Plan {
+    fn plan(&self, now: Ms, h: &HeldMessage, ahead: &BTreeMap<EndpointId, usize>) -> Plan {
         let mut next_check = f64::MAX;
-        let mut best: Option<(f64, f64, RouteId, Ms)> = None;
+        let mut best: Option<(f64, f64, EndpointId, Ms)> = None;
         for ep in self.eligible_endpoints(h) {
-            let id = &ep.row.route;
+            let id = &ep.row.endpoint;
             if let Some(o) = &ep.outage {
                 let g = &self.groups[ep.group];
                 let at = g.next_trial.max(g.blocked_until());
@@ -1090,12 +1115,12 @@
                     if at <= now && self.destination_has_room(h.message.dest) {
                         return (now, Some(*id), true);
                     }
-                    next_check = next_check.min(at.max(now + self.settings.round));
+                    next_check = next_check.min(at.max(now + self.settings.min_step_interval));
                 }
                 continue;
             }
             if ep.decayed_failure_rate(now, FAILURE_HALF_LIFE) > UNRELIABLE_FAILURE_RATE
-                && self.class(h).effect == Effect::Unsafe
+                && self.class(h).effect == Effect::AtMostOnce
             {
                 next_check = next_check.min(now + FAILURE_HALF_LIFE / 4.0);
                 continue;
@@ -1103,7 +1128,7 @@
             let joins = self
                 .open_calls
                 .get(id)
-                .is_some_and(|c| self.calls[c].pending_outcomes < self.settings.kind(ep.row.kind).batch);
+                .is_some_and(|c| self.calls[c].pending_outcomes < self.settings.kind(ep.row.kind).max_batch);
             let at = if joins { now } else { self.next_ready(now, ep, ahead.get(id).copied().unwrap_or(0)) };
             let repeat_factor = if h.last_endpoint == Some(*id) { 0.8 } else { 1.0 };
             let g = &self.groups[ep.group];
@@ -1142,17 +1167,17 @@
         let Some(closing) = self.closing else { return true };
         let usual = self.eligible_endpoints(h).map(|ep| self.median_time(ep)).fold(0.0, f64::max);
         let slow = self.eligible_endpoints(h).map(|ep| self.overdue_after(ep)).fold(0.0, f64::max);
-        now + if self.class(h).effect == Effect::Unsafe { slow } else { usual } < closing
+        now + if self.class(h).effect == Effect::AtMostOnce { slow } else { usual } < closing
     }
 
     /// Pending messages, ordered by what a delay would cost for each unit of slot time that they need.
-    fn ranked(&self, now: Ms) -> Vec<MsgId> {
-        let mut order: Vec<(f64, Ms, MsgId)> = Vec::new();
+    fn ranked(&self, now: Ms) -> Vec<MessageId> {
+        let mut order: Vec<(f64, Ms, MessageId)> = Vec::new();
         for (id, h) in self.pending() {
             let call_time =
                 self.eligible_endpoints(h).map(|ep| self.median_time(ep)).fold(f64::MAX, f64::min);
             let at = now + call_time;
-            let delay = RANK_DELAY_SHARE * self.class(h).promise;
+            let delay = RANK_DELAY_SHARE * self.class(h).target_time;
             let stake = self.worth(h, at) - self.worth(h, at + delay) + RANK_WORTH_SHARE * self.worth(h, at);
             order.push((stake / (call_time + RANK_CALL_OVERHEAD), h.message.valid_until, *id));
         }
@@ -1165,7 +1190,7 @@
         if self.calls.len() >= self.settings.slots {
             return;
         }
-        let mut ahead: BTreeMap<RouteId, usize> = BTreeMap::new();
+        let mut ahead: BTreeMap<EndpointId, usize> = BTreeMap::new();
         let mut queued: BTreeMap<DestId, usize> = BTreeMap::new();
         // Messages that no endpoint may get now are counted apart, because others of their destination may
         // still be sent.
@@ -1199,10 +1224,10 @@
                 self.wake_at(at);
                 continue;
             };
-            let batch = self.settings.kind(self.endpoints[&endpoint].row.kind).batch;
+            let batch = self.settings.kind(self.endpoints[&endpoint].row.kind).max_batch;
             let joins =
                 self.open_calls.get(&endpoint).is_some_and(|c| self.calls[c].pending_outcomes < batch);
-            let gathered = h.arrived + BATCH_WAIT_SHARE * self.class(h).promise;
+            let gathered = h.arrived + BATCH_WAIT_SHARE * self.class(h).target_time;
             if !joins && !trial && gathered > now && waiting[&h.message.dest] < batch {
                 self.wake_at(gathered);
             } else if joins || self.calls.len() < self.settings.slots {
@@ -1214,8 +1239,8 @@
     fn send(
         &mut self,
         now: Ms,
-        id: MsgId,
-        endpoint: RouteId,
+        id: MessageId,
+        endpoint: EndpointId,
         trial: bool,
         joins: bool,
         out: &mut Vec<Action>,
@@ -1224,12 +1249,13 @@
         let max_idle = self.connections.shortest_idle_loss(now, CONNECTION_MEMORY) * IDLE_LOSS_MARGIN;
         let Some(ep) = self.endpoints.get_mut(&endpoint) else { return };
         let mut idle = ep.idle_since.filter(|_| ep.calls == 0 && !joins).map(|t| now - t);
-        idle = idle
-            .filter(|t| *t > MIN_IDLE && (self.settings.keep_idle <= 0.0 || *t < self.settings.keep_idle));
+        idle = idle.filter(|t| {
+            *t > MIN_IDLE && (self.settings.idle_timeout <= 0.0 || *t < self.settings.idle_timeout)
+        });
         // A connection that has been idle for longer than others that were lost may have been dropped
         // silently; a new one costs no more than a lost call.
         if idle.take_if(|t| *t > max_idle).is_some() {
-            out.push(Action::CloseIdle(endpoint));
+            out.push(Action::CloseIdleConnections(endpoint));
         }
         ep.last_used = now;
         if let Some(o) = ep.outage.as_mut() {
@@ -1270,17 +1296,16 @@
         h.in_flight =
             Some(InFlight { attempt: h.attempts, endpoint, call, sent: now, watchdog: cap.is_some() });
         h.attempts += 1;
-        out.push(Action::Send { id, route: endpoint, cap });
+        out.push(Action::Send { id, endpoint, timeout: cap });
         self.wake_at(now + OVERDUE_BASE);
     }
 
     /// The watchdog of an attempt: none for an at-most-once message, nor once the one fail-over or the retry
     /// budget is used up.
-    fn watchdog_timeout(&self, now: Ms, h: &HeldMessage, endpoint: RouteId) -> Option<Ms> {
+    fn watchdog_timeout(&self, now: Ms, h: &HeldMessage, endpoint: EndpointId) -> Option<Ms> {
         let c = self.class(h);
-        let used_up =
-            h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.most_attempts;
-        if used_up || c.effect == Effect::Unsafe {
+        let used_up = h.failed_over || self.retry.level < 1.0 || h.attempts + 1 >= self.settings.max_attempts;
+        if used_up || c.effect == Effect::AtMostOnce {
             return None;
         }
         let first =
@@ -1288,15 +1313,15 @@
         let left = h.message.valid_until - now;
         let worth = |t: Ms| self.worth(h, now + t);
         let candidates = self.eligible_endpoints(h).filter(|ep| {
-            ep.row.route != endpoint && ep.outage.is_none() && self.in_dedup_group(h, first.row.zone, ep)
+            ep.row.endpoint != endpoint && ep.outage.is_none() && self.in_dedup_group(h, first.row.zone, ep)
         });
         let payoffs = candidates.map(|ep| (self.curve(ep).payoff(worth) - self.fee(ep), ep));
-        let best = payoffs.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.row.route.cmp(&a.1.row.route)));
+        let best = payoffs.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.row.endpoint.cmp(&a.1.row.endpoint)));
         let own = self.curve(first);
         let second = best.map_or(own, |b| self.curve(b.1));
-        let breakpoints = [left, (h.age_from + c.promise - now).max(0.0)];
-        let theta = watchdog(own, second, &breakpoints, worth)?;
-        let keyed = matches!(c.effect, Effect::Keyed { .. });
-        (!keyed || theta < c.window - 4.0 * self.settings.round).then_some(theta)
+        let breakpoints = [left, (h.age_from + c.target_time - now).max(0.0)];
+        let theta = best_watchdog(own, second, &breakpoints, worth)?;
+        let keyed = matches!(c.effect, Effect::Deduplicated { .. });
+        (!keyed || theta < c.dedup_window - 4.0 * self.settings.min_step_interval).then_some(theta)
     }
 }
--- a/src/brain/adopt.rs
+++ b/src/brain/adopt.rs
@@ -1,13 +1,13 @@
 //! Adopts changed settings while messages are held. Nothing is decided here.
 
-use super::Brain;
+use super::DecisionModule;
 use crate::api::Settings;
 use crate::state::TokenBucket;
 
-impl Brain {
+impl DecisionModule {
     /// Replaces the settings, except for the seed. Classes, zones, kinds and tenants keep their indices; new
     /// ones are appended.
-    pub fn adopt(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.quota.resize(settings.tenant_quota.len().max(self.quota.len()), TokenBucket::default());
         // The learned mean worth is scaled to the new worths, and learned further from there.
         let worth =
@@ -17,9 +17,9 @@
     }
 }
 
-impl Brain {
+impl DecisionModule {
     /// Sets how many calls may be outstanding and how many messages may be held.
-    pub fn allow(&mut self, slots: usize, held: usize) {
+    pub fn set_capacity(&mut self, slots: usize, held: usize) {
         (self.settings.slots, self.settings.max_held) = (slots, held);
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -18,12 +18,12 @@
     /// Full path of the key, such as `settings.classes[1].deadline`.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
 }
 
 impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.key, self.what)
+        write!(f, "{}: {}", self.key, self.message)
     }
 }
 
@@ -47,10 +47,10 @@
 }
 
 /// Result of reading a configuration value.
-pub type Checked<T> = Result<T, ConfigError>;
+pub type ConfigResult<T> = Result<T, ConfigError>;
 
-fn config_error<T>(key: impl Into<String>, what: impl Into<String>) -> Checked<T> {
-    Err(ConfigError { key: key.into(), what: what.into() })
+fn config_error<T>(key: impl Into<String>, what: impl Into<String>) -> ConfigResult<T> {
+    Err(ConfigError { key: key.into(), message: what.into() })
 }
 
 static NULL: JsonValue = JsonValue::Null;
@@ -79,7 +79,7 @@
     }
 
     /// An error for this key.
-    pub fn error<T>(&self, what: impl Into<String>) -> Checked<T> {
+    pub fn error<T>(&self, what: impl Into<String>) -> ConfigResult<T> {
         config_error(self.path.clone(), what)
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The value as a number, or `absent` if there is none; a boolean counts as 1 or 0.
-    pub fn number(&self, absent: f64) -> Checked<f64> {
+    pub fn number(&self, absent: f64) -> ConfigResult<f64> {
         match self.value {
             JsonValue::Null => Ok(absent),
             JsonValue::Boolean(b) => Ok(f64::from(u8::from(*b))),
@@ -99,7 +99,7 @@
     }
 
     /// The value as a number that is not negative, or `absent` if there is none.
-    pub fn non_negative(&self, absent: f64) -> Checked<f64> {
+    pub fn non_negative(&self, absent: f64) -> ConfigResult<f64> {
         let n = self.number(absent)?;
         if n < 0.0 {
             return self.error("a negative number makes no sense here");
@@ -108,12 +108,12 @@
     }
 
     /// The value as a boolean; false if absent.
-    pub fn boolean(&self) -> Checked<bool> {
+    pub fn boolean(&self) -> ConfigResult<bool> {
         Ok(self.number(0.0)? != 0.0)
     }
 
     /// The value as a string; empty if absent.
-    pub fn text(&self) -> Checked<&'a str> {
+    pub fn text(&self) -> ConfigResult<&'a str> {
         match self.value {
             JsonValue::Null => Ok(""),
             JsonValue::String(s) => Ok(s),
@@ -122,7 +122,7 @@
     }
 
     /// The items of the value as a list; empty if absent.
-    pub fn items(&self) -> Checked<Vec<Node<'a>>> {
+    pub fn items(&self) -> ConfigResult<Vec<Node<'a>>> {
         match self.value {
             JsonValue::Null => Ok(Vec::new()),
             JsonValue::Array(values) => {
@@ -133,14 +133,14 @@
         }
     }
 
-    fn expect_object(&self) -> Checked<()> {
+    fn expect_object(&self) -> ConfigResult<()> {
         match self.value {
             JsonValue::Object(_) => Ok(()),
             _ => self.error("an object was expected"),
         }
     }
 
-    fn texts(&self) -> Checked<Vec<String>> {
+    fn texts(&self) -> ConfigResult<Vec<String>> {
         self.items()?.iter().map(|n| Ok(n.text()?.to_string())).collect()
     }
 }
@@ -162,12 +162,12 @@
     /// Merges reloaded settings into the numbering in use: existing names keep their index and new names are
     /// appended. Returns the merged settings, all names, and the retired classes and tenants, which exist
     /// only for the messages still held. The workers in `list` are renumbered to match.
-    pub fn carry(
+    pub fn merge_reloaded(
         &self,
         old: &Settings,
         names: &Names,
         new: &Settings,
-        list: &mut WorkerList,
+        list: &mut EndpointList,
     ) -> (Settings, Names, Names) {
         let join = |a: &[String], b: &[String]| -> Vec<String> {
             a.iter().chain(b.iter().filter(|n| !a.contains(n))).cloned().collect()
@@ -187,14 +187,15 @@
         // The values in the order of the merged names: the new value of each name, or its old one if there is
         // no new one.
         fn values<T: Clone>(all: &[String], new: (&[String], &[T]), old: (&[String], &[T])) -> Vec<T> {
-            let value_of =
-                |list: (&[String], &[T]), n: &String| place(list.0, n).and_then(|i| list.1.get(i)).cloned();
+            let value_of = |list: (&[String], &[T]), n: &String| {
+                index_of(list.0, n).and_then(|i| list.1.get(i)).cloned()
+            };
             all.iter().filter_map(|n| value_of(new, n).or_else(|| value_of(old, n))).collect()
         }
         let renumber = |all: &[String], names: &[String], at: usize| -> usize {
-            names.get(at).and_then(|n| place(all, n)).unwrap_or(all.len())
+            names.get(at).and_then(|n| index_of(all, n)).unwrap_or(all.len())
         };
-        for w in &mut list.workers {
+        for w in &mut list.endpoints {
             w.zone = renumber(&all.zones, &names.zones, w.zone);
             w.kind = renumber(&all.kinds, &names.kinds, w.kind);
         }
@@ -216,27 +217,27 @@
 }
 
 /// The index of a name in its list.
-pub fn place(names: &[String], name: &str) -> Option<usize> {
+pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
-fn parse_class(v: &Node) -> Checked<Class> {
+fn parse_class(v: &Node) -> ConfigResult<Class> {
     let effect = match v.get("effect").text()? {
-        "idempotent" => Effect::Safe,
-        "deduplicated" => Effect::Keyed { by_zone: v.get("group").text()? != "all" },
-        "at_most_once" | "" => Effect::Unsafe,
+        "idempotent" => Effect::Idempotent,
+        "deduplicated" => Effect::Deduplicated { same_zone_only: v.get("group").text()? != "all" },
+        "at_most_once" | "" => Effect::AtMostOnce,
         other => return v.get("effect").error(format!("unknown effect '{other}'")),
     };
     let deadline = v.get("deadline").non_negative(0.0)?;
     Ok(Class {
-        promise: v.get("promise").non_negative(deadline)?,
+        target_time: v.get("promise").non_negative(deadline)?,
         deadline,
         effect,
-        window: v.get("window").non_negative(0.0)?,
+        dedup_window: v.get("window").non_negative(0.0)?,
         in_order: v.get("in_order").boolean()?,
         late_worth: v.get("late_worth").number(0.0)?,
         worth: v.get("worth").number(1.0)?,
-        aim_stretch: v.get("aim_stretch").number(0.0)?,
+        target_stretch: v.get("aim_stretch").number(0.0)?,
     })
 }
 
@@ -244,11 +245,11 @@
 const MAX_BALANCERS: f64 = 100_000.0;
 
 /// Reads the settings object; absent keys get their documented defaults.
-pub fn settings(seed: u64, v: &Node) -> Checked<(Settings, Names)> {
+pub fn parse_settings(seed: u64, v: &Node) -> ConfigResult<(Settings, Names)> {
     v.expect_object()?;
     let (limits, guarantees) = (v.get("ceilings"), v.get("guarantees"));
     let (family, prices) = (v.get("family_info"), v.get("prices"));
-    let names = |key: &str| -> Checked<Vec<String>> {
+    let names = |key: &str| -> ConfigResult<Vec<String>> {
         v.get(key).items()?.iter().map(|c| Ok(c.get("name").text()?.to_string())).collect()
     };
     let names = Names {
@@ -258,10 +259,10 @@
         kinds: v.get("kinds").texts()?,
     };
     let (apart, batch) = (family.get("kind_apart").items()?, family.get("batch_by_kind").items()?);
-    let parse_kind = |i: usize| -> Checked<Kind> {
+    let parse_kind = |i: usize| -> ConfigResult<DestinationKind> {
         let apart = apart.get(i).or(apart.last()).map_or(Ok(false), |n| n.boolean())?;
         let batch = batch.get(i).or(batch.last()).map_or(Ok(1.0), |n| n.number(1.0))?;
-        Ok(Kind { apart, batch: batch.max(1.0) as usize })
+        Ok(DestinationKind { per_endpoint_limit: apart, max_batch: batch.max(1.0) as usize })
     };
     let max_advice = if limits.get("retry_after").boolean()? {
         limits.get("max_retry_after").non_negative(0.0)?
@@ -282,55 +283,64 @@
     }
     let s = Settings {
         seed,
-        senders: balancers as usize,
-        round: v.get("round").non_negative(0.0)?,
-        classes: v.get("classes").items()?.iter().map(parse_class).collect::<Checked<_>>()?,
-        decay: if family.get("decay").text()? == "halves" { Decay::Halves } else { Decay::Line },
-        kinds: (0..names.kinds.len().max(1)).map(parse_kind).collect::<Checked<_>>()?,
-        zone_fees: family.get("route_fee").items()?.iter().map(|f| f.number(0.0)).collect::<Checked<_>>()?,
-        zone: place(&names.zones, zone).unwrap_or(names.zones.len()),
-        cross_zone: prices.get("cross_zone").number(0.0)?,
+        dispatchers: balancers as usize,
+        min_step_interval: v.get("round").non_negative(0.0)?,
+        classes: v.get("classes").items()?.iter().map(parse_class).collect::<ConfigResult<_>>()?,
+        decay: if family.get("decay").text()? == "halves" {
+            WorthDecay::HalfLife
+        } else {
+            WorthDecay::Linear
+        },
+        kinds: (0..names.kinds.len().max(1)).map(parse_kind).collect::<ConfigResult<_>>()?,
+        zone_fees: family
+            .get("route_fee")
+            .items()?
+            .iter()
+            .map(|f| f.number(0.0))
+            .collect::<ConfigResult<_>>()?,
+        zone: index_of(&names.zones, zone).unwrap_or(names.zones.len()),
+        cross_zone_price: prices.get("cross_zone").number(0.0)?,
         refused_price: family.get("turned_away_price").number(0.0)?,
         handshake_price: prices.get("handshake").number(0.0)?,
-        keep_idle: limits.get("keepalive").non_negative(0.0)?,
+        idle_timeout: limits.get("keepalive").non_negative(0.0)?,
         tenant_quota: v
             .get("tenants")
             .items()?
             .iter()
             .map(|t| t.get("quota_per_s").non_negative(0.0))
-            .collect::<Checked<_>>()?,
-        over_share_worth: v.get("over_share_worth").number(1.0)?,
-        marks_again: v.get("callers").get("marks_retry").boolean()?,
-        reports: v.get("telemetry").get("via").text()? == "answers",
+            .collect::<ConfigResult<_>>()?,
+        over_quota_worth: v.get("over_share_worth").number(1.0)?,
+        marks_resubmissions: v.get("callers").get("marks_retry").boolean()?,
+        reports_limits: v.get("telemetry").get("via").text()? == "answers",
         slots: family.get("slots").non_negative(1.0)? as usize,
         max_held: limits.get("max_open").non_negative(1e9)? as usize,
-        most_attempts: limits.get("most_tries").non_negative(1e9)? as u32,
+        max_attempts: limits.get("most_tries").non_negative(1e9)? as u32,
         can_cancel: limits.get("cancel").boolean()?,
         can_probe: limits.get("probes").boolean()?,
-        max_advice,
+        max_retry_after: max_advice,
         connect_timeout: limits.get("connect_timeout").non_negative(0.0)?,
         list_on_request: v.get("discovery").text()? == "on_request",
-        ask_within: guarantees.get("ask_within").non_negative(0.0)?,
+        list_request_within: guarantees.get("ask_within").non_negative(0.0)?,
         weights: match v.get("weights").text()? {
-            "nominal" => Weights::Rate,
-            "rough" => Weights::RoughRate,
-            _ => Weights::None,
+            "nominal" => WeightMeaning::Rate,
+            "rough" => WeightMeaning::ApproximateRate,
+            _ => WeightMeaning::None,
         },
         answer_slack: guarantees.get("answer_slack").non_negative(0.0)?,
         drain_grace: guarantees.get("drain_grace").non_negative(0.0)?,
         overload_factor: guarantees.get("overload_factor").number(1.0)?,
-        overload_for: guarantees.get("overload_for").non_negative(0.0)?,
-        cold_from: guarantees.get("cold_from").number(1.0)?,
-        cold: guarantees.get("cold").non_negative(0.0)?,
-        key_quiet: guarantees.get("key_quiet").non_negative(0.0)?,
-        ends_confirmed: false,
+        overload_span: guarantees.get("overload_for").non_negative(0.0)?,
+        cold_capacity_share: guarantees.get("cold_from").number(1.0)?,
+        warm_up: guarantees.get("cold").non_negative(0.0)?,
+        key_quiet_period: guarantees.get("key_quiet").non_negative(0.0)?,
+        answers_confirmed: false,
     };
     Ok((s, names))
 }
 
 /// An endpoint in the registry's list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Worker {
+pub struct RegistryEndpoint {
     /// Id of the endpoint, the same at every dispatcher.
     pub uid: String,
     /// Address of the endpoint.
@@ -340,56 +350,56 @@
     /// Number of its destination's kind.
     pub kind: usize,
     /// Its destination.
-    pub dest: DestId,
+    pub destination: DestId,
     /// Whether it takes calls.
-    pub listing: Listing,
+    pub state: ServiceState,
     /// See [`Weights`].
     pub weight: f64,
 }
 
 /// An endpoint list from the registry, complete or only the changed entries.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct WorkerList {
+pub struct EndpointList {
     /// Revision of the list.
-    pub rev: u64,
+    pub revision: u64,
     /// Whether these are all endpoints; otherwise endpoints that are not listed are unchanged.
-    pub whole: bool,
+    pub is_complete: bool,
     /// The endpoints.
-    pub workers: Vec<Worker>,
+    pub endpoints: Vec<RegistryEndpoint>,
 }
 
 /// Parses the registry's endpoint list.
-pub fn worker_list(v: &Node, names: &Names) -> Checked<WorkerList> {
+pub fn parse_endpoint_list(v: &Node, names: &Names) -> ConfigResult<EndpointList> {
     v.expect_object()?;
-    let parse_worker = |t: &Node| -> Checked<Worker> {
+    let parse_worker = |t: &Node| -> ConfigResult<RegistryEndpoint> {
         let uid = t.get("uid").text()?.to_string();
         if uid.is_empty() {
             return t.get("uid").error("missing");
         }
-        Ok(Worker {
+        Ok(RegistryEndpoint {
             uid,
             address: t.get("endpoint").text()?.to_string(),
-            zone: place(&names.zones, t.get("az").text()?).unwrap_or(names.zones.len()),
-            kind: place(&names.kinds, t.get("model").text()?).unwrap_or(names.kinds.len()),
-            dest: t.get("pod_group").non_negative(0.0)? as DestId,
-            listing: match t.get("state").text()? {
-                "in_service" | "" => Listing::Ready,
-                "terminating" => Listing::Draining,
-                "terminated" => Listing::Gone,
+            zone: index_of(&names.zones, t.get("az").text()?).unwrap_or(names.zones.len()),
+            kind: index_of(&names.kinds, t.get("model").text()?).unwrap_or(names.kinds.len()),
+            destination: t.get("pod_group").non_negative(0.0)? as DestId,
+            state: match t.get("state").text()? {
+                "in_service" | "" => ServiceState::InService,
+                "terminating" => ServiceState::Draining,
+                "terminated" => ServiceState::Removed,
                 other => return t.get("state").error(format!("unknown state '{other}'")),
             },
             weight: t.get("capacity_hint").number(1.0)?,
         })
     };
-    Ok(WorkerList {
-        rev: v.get("rev").non_negative(0.0)? as u64,
-        whole: v.get("all").boolean()?,
-        workers: v.get("targets").items()?.iter().map(parse_worker).collect::<Checked<_>>()?,
+    Ok(EndpointList {
+        revision: v.get("rev").non_negative(0.0)? as u64,
+        is_complete: v.get("all").boolean()?,
+        endpoints: v.get("targets").items()?.iter().map(parse_worker).collect::<ConfigResult<_>>()?,
     })
 }
 
 /// Parses a JSON text; `name` is the key in errors.
-pub fn json(name: &str, text: &str) -> Checked<JsonValue> {
+pub fn parse_json(name: &str, text: &str) -> ConfigResult<JsonValue> {
     text.parse().or_else(|e| config_error(name, format!("not JSON: {e}")))
 }
 
@@ -416,15 +426,15 @@
     /// Address of the registry; `None` if `known` is the fixed endpoint list.
     pub registry: Option<SocketAddr>,
     /// Where the dispatcher reports messages that it accepted and ended undelivered.
-    pub notices: Notify,
+    pub notice_target: NoticeTarget,
     /// Settings that only a sidecar has; `None` on the platform.
     pub sidecar: Option<Sidecar>,
     /// Path of the state folder.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// Resource limits.
     pub limits: Limits,
     /// The endpoint list to start with.
-    pub known: WorkerList,
+    pub initial_endpoints: EndpointList,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the settings' classes, zones, kinds and tenants.
@@ -433,7 +443,7 @@
 
 /// Where notices go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Notify {
+pub enum NoticeTarget {
     /// To this address, by the platform's protocol.
     To(SocketAddr),
     /// Into the log.
@@ -444,24 +454,24 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sidecar {
     /// The limits agreed with each destination.
-    pub promises: Vec<DestinationLimit>,
+    pub limits: Vec<DestinationLimit>,
     /// At-most-once classes, each with the time for which a message is remembered after its end.
-    pub once: Vec<(String, Ms)>,
+    pub at_most_once_classes: Vec<(String, Ms)>,
     /// The cells that share the dispatcher; empty if it is not divided.
     pub cells: Vec<CellSpec>,
     /// The cell map that it shares with other dispatchers, if there are any.
-    pub mesh: Option<MeshSpec>,
+    pub cell_map: Option<MeshSpec>,
     /// The MQTT front end.
-    pub mqtt: Mqtt,
+    pub mqtt: MqttSettings,
     /// Whether the log is written as JSON.
     pub log_json: bool,
     /// Log level if the environment does not set one.
     pub log_level: String,
 }
 
-fn parse_sidecar(v: &Node) -> Checked<Sidecar> {
-    let parse_promise = |m: &Node| -> Checked<DestinationLimit> {
-        let count = |key: &str| -> Checked<Option<u32>> {
+fn parse_sidecar(v: &Node) -> ConfigResult<Sidecar> {
+    let parse_promise = |m: &Node| -> ConfigResult<DestinationLimit> {
+        let count = |key: &str| -> ConfigResult<Option<u32>> {
             let n = m.get(key);
             Ok(if n.is_absent() { None } else { Some(n.non_negative(0.0)? as u32) })
         };
@@ -475,10 +485,10 @@
             connections: count("connections")?,
         })
     };
-    let parse_once = |o: &Node| -> Checked<(String, Ms)> {
+    let parse_once = |o: &Node| -> ConfigResult<(String, Ms)> {
         Ok((o.get("class").text()?.to_string(), o.get("remembered").non_negative(0.0)?))
     };
-    let parse_cell = |c: &Node| -> Checked<CellSpec> {
+    let parse_cell = |c: &Node| -> ConfigResult<CellSpec> {
         let tenants = c.get("tenants").texts()?;
         Ok(CellSpec {
             name: c.get("name").text()?.to_string(),
@@ -495,11 +505,11 @@
         },
     };
     Ok(Sidecar {
-        promises: v.get("members").items()?.iter().map(parse_promise).collect::<Checked<_>>()?,
-        once: v.get("once").items()?.iter().map(parse_once).collect::<Checked<_>>()?,
-        cells: v.get("cells").items()?.iter().map(parse_cell).collect::<Checked<_>>()?,
-        mesh: parse_mesh(&v.get("mesh"))?,
-        mqtt: Mqtt {
+        limits: v.get("members").items()?.iter().map(parse_promise).collect::<ConfigResult<_>>()?,
+        at_most_once_classes: v.get("once").items()?.iter().map(parse_once).collect::<ConfigResult<_>>()?,
+        cells: v.get("cells").items()?.iter().map(parse_cell).collect::<ConfigResult<_>>()?,
+        cell_map: parse_mesh(&v.get("mesh"))?,
+        mqtt: MqttSettings {
             listen,
             sessions: mqtt.get("sessions").non_negative(DEFAULT_MQTT_SESSIONS as f64)? as usize,
         },
@@ -509,11 +519,11 @@
 }
 
 /// Parses the cell map, if there is one.
-fn parse_mesh(v: &Node) -> Checked<Option<MeshSpec>> {
+fn parse_mesh(v: &Node) -> ConfigResult<Option<MeshSpec>> {
     if v.is_absent() {
         return Ok(None);
     }
-    let parse_address = |n: &Node| -> Checked<Option<SocketAddr>> {
+    let parse_address = |n: &Node| -> ConfigResult<Option<SocketAddr>> {
         match n.text()? {
             "" => Ok(None),
             text => match text.parse() {
@@ -522,14 +532,14 @@
             },
         }
     };
-    let parse_peer = |p: &Node| -> Checked<PeerSpec> {
+    let parse_peer = |p: &Node| -> ConfigResult<PeerSpec> {
         let Some(peer) = parse_address(&p.get("peer"))? else {
             return p.get("peer").error("an address with a port was expected");
         };
         let (resp, mqtt) = (parse_address(&p.get("resp"))?, parse_address(&p.get("mqtt"))?);
         Ok(PeerSpec { name: p.get("name").text()?.to_string(), peer, resp, mqtt })
     };
-    let parse_area = |c: &Node| -> Checked<PlacedCell> {
+    let parse_area = |c: &Node| -> ConfigResult<PlacedCell> {
         Ok(PlacedCell {
             name: c.get("name").text()?.to_string(),
             weight: c.get("weight").non_negative(1.0)?,
@@ -540,8 +550,8 @@
     let spec = MeshSpec {
         me: v.get("dispatcher").text()?.to_string(),
         version: v.get("version").non_negative(1.0)? as u64,
-        peers: v.get("dispatchers").items()?.iter().map(parse_peer).collect::<Checked<_>>()?,
-        areas: v.get("cells").items()?.iter().map(parse_area).collect::<Checked<_>>()?,
+        peers: v.get("dispatchers").items()?.iter().map(parse_peer).collect::<ConfigResult<_>>()?,
+        areas: v.get("cells").items()?.iter().map(parse_area).collect::<ConfigResult<_>>()?,
     };
     match spec.peer(&spec.me) {
         Some(_) => Ok(Some(spec)),
@@ -555,12 +565,12 @@
 impl Config {
     /// Reads the environment and the file that `ROUTER_CONFIG` names. Environment variables override the
     /// file's keys.
-    pub fn read(env: EnvLookup) -> Checked<Config> {
+    pub fn read(env: EnvLookup) -> ConfigResult<Config> {
         Config::from_json(&Config::text(env)?, env)
     }
 
     /// The text of the file that `ROUTER_CONFIG` names.
-    pub fn text(env: EnvLookup) -> Checked<String> {
+    pub fn text(env: EnvLookup) -> ConfigResult<String> {
         match env("ROUTER_CONFIG") {
             None => config_error("ROUTER_CONFIG", "missing"),
             Some(path) => std::fs::read_to_string(&path)
@@ -570,8 +580,8 @@
 
     /// Reads the configuration again while the process serves. Here the file's `discovery` overrides the
     /// variable, which is as old as the process, while the file has been replaced since.
-    pub fn reread(text: &str, env: EnvLookup) -> Checked<Config> {
-        let value = json("ROUTER_CONFIG", text)?;
+    pub fn reload(text: &str, env: EnvLookup) -> ConfigResult<Config> {
+        let value = parse_json("ROUTER_CONFIG", text)?;
         let in_file = !Node::root("", &value).get("discovery").is_absent();
         Config::from_json(text, &|name| env(name).filter(|_| !(in_file && name == "ROUTER_DISCOVERY")))
     }
@@ -583,7 +593,7 @@
         let mqtt = |c: &Config| c.sidecar.as_ref().map(|s| s.mqtt.clone());
         // A cell map that gives the dispatcher another name or address requires another listener.
         let mesh = |c: &Config| {
-            let spec = c.sidecar.as_ref().and_then(|s| s.mesh.as_ref());
+            let spec = c.sidecar.as_ref().and_then(|s| s.cell_map.as_ref());
             spec.map(|m| (m.me.clone(), m.peer(&m.me).map(|p| p.peer)))
         };
         let log = |c: &Config| c.sidecar.as_ref().map(|s| (s.log_json, s.log_level.clone()));
@@ -591,7 +601,7 @@
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
             ("control", self.control != other.control),
-            ("state", self.state != other.state),
+            ("state", self.state_folder != other.state_folder),
             ("limits", self.limits != other.limits),
             // A sidecar applies these while it serves.
             ("settings", self.sidecar.is_none() && (self.settings != settings || self.names != other.names)),
@@ -605,21 +615,21 @@
     }
 
     /// Reads the configuration from the text of the JSON file; environment variables override its keys.
-    pub fn from_json(text: &str, env: EnvLookup) -> Checked<Config> {
-        let value = json("ROUTER_CONFIG", text)?;
+    pub fn from_json(text: &str, env: EnvLookup) -> ConfigResult<Config> {
+        let value = parse_json("ROUTER_CONFIG", text)?;
         let v = Node::root("", &value);
         v.expect_object().or_else(|_| config_error("ROUTER_CONFIG", "an object was expected"))?;
         // The value, and the name of the variable or key that it comes from.
-        let lookup = |variable: &str, key: &str| -> Checked<(String, String)> {
+        let lookup = |variable: &str, key: &str| -> ConfigResult<(String, String)> {
             match env(variable).filter(|t| !t.is_empty()) {
                 Some(t) => Ok((variable.to_string(), t)),
                 None => Ok((key.to_string(), v.get(key).text()?.to_string())),
             }
         };
-        let parse = |key: &str, text: &str| -> Checked<SocketAddr> {
+        let parse = |key: &str, text: &str| -> ConfigResult<SocketAddr> {
             text.parse().or_else(|_| config_error(key, format!("'{text}' is not an address with a port")))
         };
-        let address = |variable: &str, key: &str| -> Checked<SocketAddr> {
+        let address = |variable: &str, key: &str| -> ConfigResult<SocketAddr> {
             let (key, text) = lookup(variable, key)?;
             parse(&key, &text)
         };
@@ -633,12 +643,12 @@
             false => Some(address("ROUTER_DISCOVERY", "discovery")?),
         };
         let notices = match (v.get("notices").text()?, registry) {
-            ("log", _) => Notify::Log,
-            ("", Some(to)) => Notify::To(to),
+            ("log", _) => NoticeTarget::Log,
+            ("", Some(to)) => NoticeTarget::To(to),
             ("", None) => {
                 return v.get("notices").error("without a registry, an address or \"log\" is needed")
             }
-            (text, _) => Notify::To(parse("notices", text)?),
+            (text, _) => NoticeTarget::To(parse("notices", text)?),
         };
         let state = lookup("ROUTER_STATE", "state")?.1;
         if state.is_empty() {
@@ -652,8 +662,8 @@
             Err(_) => return v.get("seed").error("hex digits were expected"),
         };
         let limits = v.get("limits");
-        let (mut settings, names) = settings(seed, &v.get("settings"))?;
-        settings.ends_confirmed = true;
+        let (mut settings, names) = parse_settings(seed, &v.get("settings"))?;
+        settings.answers_confirmed = true;
         if settings.classes.is_empty() {
             return v.get("settings").get("classes").error("at least one class is needed");
         }
@@ -671,15 +681,19 @@
                 })?),
             },
             registry,
-            notices,
+            notice_target: notices,
             sidecar: if sidecar.is_absent() { None } else { Some(parse_sidecar(&sidecar)?) },
-            state: PathBuf::from(state),
+            state_folder: PathBuf::from(state),
             limits: Limits {
                 sockets: limits.get("sockets").non_negative(1024.0)? as usize,
                 disk: (limits.get("disk_mb").non_negative(3.0)? * 1e6) as u64,
                 memory: (limits.get("memory_mb").non_negative(192.0)? * 1e6) as u64,
             },
-            known: if known.is_absent() { WorkerList::default() } else { worker_list(&known, &names)? },
+            initial_endpoints: if known.is_absent() {
+                EndpointList::default()
+            } else {
+                parse_endpoint_list(&known, &names)?
+            },
             settings,
             names,
         })
@@ -688,7 +702,7 @@
 
 /// Settings of the MQTT front end.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Mqtt {
+pub struct MqttSettings {
     /// Address on which MQTT clients connect; `None` disables the front end.
     pub listen: Option<SocketAddr>,
     /// Maximum number of concurrent connections.
@@ -700,25 +714,27 @@
 /// Maximum number of concurrent MQTT connections if the configuration does not set one.
 const DEFAULT_MQTT_SESSIONS: usize = 64;
 
-impl Mqtt {
+impl MqttSettings {
     /// Reads the file that `LILACBANK_MQTT` names, or else the default file if it exists. A sidecar without
     /// the variable uses the settings in its own file.
-    pub fn read(env: EnvLookup, sidecar: Option<&Sidecar>) -> Checked<Mqtt> {
+    pub fn read(env: EnvLookup, sidecar: Option<&Sidecar>) -> ConfigResult<MqttSettings> {
         let named = env("LILACBANK_MQTT").filter(|p| !p.is_empty());
         if let (None, Some(sidecar)) = (&named, sidecar) {
             return Ok(sidecar.mqtt.clone());
         }
         let path = named.as_deref().unwrap_or(DEFAULT_MQTT_FILE);
         match std::fs::read_to_string(path) {
-            Ok(text) => Mqtt::from_toml(&text),
-            Err(e) if named.is_none() && e.kind() == std::io::ErrorKind::NotFound => Ok(Mqtt::default()),
+            Ok(text) => MqttSettings::from_toml(&text),
+            Err(e) if named.is_none() && e.kind() == std::io::ErrorKind::NotFound => {
+                Ok(MqttSettings::default())
+            }
             Err(e) => config_error("LILACBANK_MQTT", format!("cannot read '{path}': {e}")),
         }
     }
 
     /// Reads the settings from the text of the file. Unlike the platform's file, it is defined by this
     /// program alone, so an unknown key is an error.
-    pub fn from_toml(text: &str) -> Checked<Mqtt> {
+    pub fn from_toml(text: &str) -> ConfigResult<MqttSettings> {
         let top: toml::Table =
             text.parse().or_else(|e: toml::de::Error| config_error("LILACBANK_MQTT", e.message()))?;
         if let Some(key) = top.keys().find(|k| *k != "acceptor") {
@@ -749,18 +765,18 @@
             None if enabled => return config_error("acceptor.listen", "missing"),
             listen => listen.flatten(),
         };
-        Ok(Mqtt { listen: listen.filter(|_| enabled), sessions })
+        Ok(MqttSettings { listen: listen.filter(|_| enabled), sessions })
     }
 }
 
 /// Looks up a variable in the environment of this process.
-pub fn environment(name: &str) -> Option<String> {
+pub fn env_var(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
 /// Parses options of the form `name=value,name=value`; the last value of a name wins. `None` if a part has no
 /// `=`.
-pub fn options(text: &str) -> Option<HashMap<&str, &str>> {
+pub fn parse_options(text: &str) -> Option<HashMap<&str, &str>> {
     text.split(',').filter(|p| !p.is_empty()).map(|p| p.split_once('=')).collect()
 }
 
@@ -782,9 +798,12 @@
     fn platform_file_is_read_and_its_unknown_keys_are_ignored() {
         let c = Config::from_json(VALID_CONFIG, &empty_environment).unwrap();
         assert_eq!((c.name.as_str(), c.limits.sockets, c.limits.disk), ("n3", 99, 2_000_000));
-        assert_eq!((c.settings.seed, c.settings.classes.len(), c.known.rev), (0x8c1f_30d2_7a5b_e964, 1, 41));
-        let w = &c.known.workers[0];
-        assert_eq!((w.zone, w.kind, w.dest, w.listing), (1, 1, 3, Listing::Draining));
+        assert_eq!(
+            (c.settings.seed, c.settings.classes.len(), c.initial_endpoints.revision),
+            (0x8c1f_30d2_7a5b_e964, 1, 41)
+        );
+        let w = &c.initial_endpoints.endpoints[0];
+        assert_eq!((w.zone, w.kind, w.destination, w.state), (1, 1, 3, ServiceState::Draining));
         let env = |name: &str| (name == "ROUTER_NAME").then(|| "n4".to_string());
         assert_eq!(Config::from_json(VALID_CONFIG, &env).unwrap().name, "n4", "a variable overrides the key");
         let other =
@@ -813,16 +832,17 @@
         }
         assert_eq!(Config::read(&empty_environment).unwrap_err().key, "ROUTER_CONFIG");
         let text = "{\"name\":\"n\",\n \"control\" : \"localhost\"}";
-        let key = ConfigError { key: "control".into(), what: String::new() };
+        let key = ConfigError { key: "control".into(), message: String::new() };
         assert_eq!(key.line_in(text), Some(2));
-        let variable = ConfigError { key: "ROUTER_CONTROL".into(), what: String::new() };
+        let variable = ConfigError { key: "ROUTER_CONTROL".into(), message: String::new() };
         assert_eq!(variable.line_in(text), None);
         assert_eq!(Config::from_json("{", &empty_environment).unwrap_err().key, "ROUTER_CONFIG");
     }
 
     #[test]
     fn mqtt_front_end_is_off_unless_its_file_enables_it() {
-        let read = |text| Mqtt::from_toml(text).map(|m| m.listen.map(|a| a.port())).map_err(|e| e.key);
+        let read =
+            |text| MqttSettings::from_toml(text).map(|m| m.listen.map(|a| a.port())).map_err(|e| e.key);
         assert_eq!(read(""), Ok(None));
         assert_eq!(read("[acceptor]\nlisten = \"127.0.0.1:1883\""), Ok(None));
         assert_eq!(read("[acceptor]\nenabled = true\nlisten = \"127.0.0.1:1883\""), Ok(Some(1883)));
@@ -839,8 +859,8 @@
     #[test]
     fn invalid_numbers_of_dispatchers_are_rejected_with_their_key() {
         let read = |text: &str| {
-            let value = json("settings", text).unwrap();
-            settings(1, &Node::root("settings", &value)).map(|s| s.0.senders).map_err(|e| e.key)
+            let value = parse_json("settings", text).unwrap();
+            parse_settings(1, &Node::root("settings", &value)).map(|s| s.0.dispatchers).map_err(|e| e.key)
         };
         assert_eq!(read("{}"), Ok(1));
         assert_eq!(read(r#"{"balancers": 100, "rank": 99}"#), Ok(100));
--- a/src/curve.rs
+++ b/src/curve.rs
@@ -6,15 +6,15 @@
 /// The distribution of an endpoint's call times as probability steps. Probability that is missing to 1 lies
 /// after any deadline.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Curve {
+pub struct CallTimeDistribution {
     /// Times in ascending order, each with the probability of an answer at that time.
     pub steps: Vec<(Ms, f64)>,
 }
 
-impl Curve {
+impl CallTimeDistribution {
     /// The product-limit estimate from samples `(time, answered)`. An attempt that was cut short is the
     /// censored sample `(time, false)`; a failure is `(∞, false)`.
-    pub fn product_limit(samples: &[(Ms, bool)]) -> Curve {
+    pub fn product_limit(samples: &[(Ms, bool)]) -> CallTimeDistribution {
         let mut sorted = samples.to_vec();
         sorted.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
         let mut left = 1.0;
@@ -26,7 +26,7 @@
                 left -= mass;
             }
         }
-        Curve { steps }
+        CallTimeDistribution { steps }
     }
 
     /// Probability that there is no answer by `t`.
--- a/src/disk.rs
+++ b/src/disk.rs
@@ -76,7 +76,7 @@
 
 /// The life record of a folder (`None`: no file; `Some(None)`: it is malformed), and whether the folder holds
 /// other files of the dispatcher.
-pub type FolderHistory = (Option<Option<crate::recovery::LifeRecord>>, bool);
+pub type FolderHistory = (Option<Option<crate::recovery::IncarnationRecord>>, bool);
 
 /// Reads the folder's life record and checks for other files. Must run before the journal is opened, which
 /// creates files of its own.
@@ -84,9 +84,11 @@
 /// # Errors
 ///
 /// A file cannot be read now, which says nothing about its content.
-pub fn look_at_life(folder: &Path) -> io::Result<FolderHistory> {
+pub fn read_life_record(folder: &Path) -> io::Result<FolderHistory> {
     let record = match std::fs::read(folder.join(LIFE_FILE)) {
-        Ok(bytes) => Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::LifeRecord::decode)),
+        Ok(bytes) => {
+            Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::IncarnationRecord::decode))
+        }
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         Err(e) => return Err(e),
     };
@@ -126,7 +128,7 @@
 
 /// Whether the error is transient, so that the operation may succeed later: the disk may be full or fail for
 /// a while, or the process may be short of file descriptors.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::*;
     /// Linux error numbers without an `ErrorKind` of their own: EIO, ENFILE, EMFILE, ENOLCK and ENOBUFS.
     const TRANSIENT_ERRNOS: [i32; 5] = [5, 23, 24, 37, 105];
@@ -143,7 +145,7 @@
 /// # Errors
 ///
 /// The folder cannot be written to.
-pub fn write_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
+pub fn write_life_record(folder: &Path, record: &crate::recovery::IncarnationRecord) -> io::Result<()> {
     overwrite(&folder.join(LIFE_FILE), &format!("{:<255}\n", record.encode().trim_end()))
 }
 
@@ -153,9 +155,9 @@
 /// # Errors
 ///
 /// The life record cannot be read, or the folder cannot be written to.
-pub fn end_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
-    match look_at_life(folder)?.0.flatten() {
-        Some(now) if now == *record => write_life(folder, &record.after_clean_end()),
+pub fn record_clean_end(folder: &Path, record: &crate::recovery::IncarnationRecord) -> io::Result<()> {
+    match read_life_record(folder)?.0.flatten() {
+        Some(now) if now == *record => write_life_record(folder, &record.after_clean_end()),
         _ => Ok(()),
     }
 }
@@ -168,7 +170,7 @@
 const MAX_KEPT_BYTES: usize = 32 << 10;
 
 /// Reads the cached endpoint lists of earlier incarnations; files that cannot be read are left out.
-pub fn read_kept(folder: &Path) -> Vec<Vec<u8>> {
+pub fn read_cached_lists(folder: &Path) -> Vec<Vec<u8>> {
     KEPT_FILES.iter().filter_map(|name| std::fs::read(folder.join(name)).ok()).collect()
 }
 
@@ -177,7 +179,7 @@
 /// # Errors
 ///
 /// The folder cannot be written to, or the text is too large.
-pub fn write_kept(folder: &Path, turn: usize, text: &str) -> io::Result<()> {
+pub fn write_cached_list(folder: &Path, turn: usize, text: &str) -> io::Result<()> {
     if text.len() > MAX_KEPT_BYTES {
         return Err(io::Error::other(format!(
             "the cached endpoint list has {} bytes; the limit is {MAX_KEPT_BYTES}",
@@ -188,7 +190,7 @@
 }
 
 /// Renames rejected cached endpoint lists to `*.refused`, so that operators can inspect them.
-pub fn set_kept_aside(folder: &Path) {
+pub fn quarantine_cached_lists(folder: &Path) {
     for name in KEPT_FILES {
         let _ = std::fs::rename(folder.join(name), folder.join(format!("{name}.refused")));
     }
--- a/src/dispatch/admit.rs
+++ b/src/dispatch/admit.rs
@@ -5,8 +5,8 @@
 use super::seats_read::OwnershipRecords;
 use super::{AtMostOnce, Core, HeldMessage, KnownIdentity, Ticket, Verdict, Withheld};
 use crate::api::*;
-use crate::config::place;
-use crate::journal::{CallNo, Ending, Identity, Record, Sent, Taken};
+use crate::config::index_of;
+use crate::journal::{AcceptedMessage, AttemptSent, Ending, Identity, MessageNo, Record};
 use std::collections::BTreeMap;
 
 /// Bytes that a message takes in the journal beyond its first record.
@@ -34,23 +34,23 @@
         &mut self,
         now: Ms,
         class: usize,
-        taken: Taken,
+        taken: AcceptedMessage,
         again: bool,
         ticket: Ticket,
     ) -> Result<(), Ms> {
         // A journal that has grown full may have room again after this.
         self.compact_if_full();
-        let record = Record::Taken(taken);
+        let record = Record::Accepted(taken);
         let size = record.size() + MESSAGE_OVERHEAD_BYTES;
-        let Record::Taken(t) = &record else { return Err(NO_ROOM_RETRY_AFTER) };
-        let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
+        let Record::Accepted(t) = &record else { return Err(NO_ROOM_RETRY_AFTER) };
+        let name = self.at_most_once.entry_name(&t.class, &t.idempotency_key, &t.identity.1);
         let needed = self.live_bytes
             + size
             + self.at_most_once.bytes()
             + self.ownership.bytes()
             + name.as_ref().map_or(0, |n| AtMostOnce::entry_size(n));
         if self.messages.len() >= self.settings.max_held && self.cells.is_single()
-            || !self.journal.has_room(needed)
+            || !self.journal.has_room_for_live_records(needed)
         {
             return Err(NO_ROOM_RETRY_AFTER);
         }
@@ -66,18 +66,18 @@
         let cell = self.cells.cell_of(&t.tenant);
         self.reserve_place(now, cell, size)?;
         if let Err(e) = self.journal.append(&record) {
-            if let Some(count) = self.append_errors.raise(now) {
+            if let Some(count) = self.append_errors.record(now) {
                 log::error!(cause:% = e, count = count; "the journal takes nothing more: {e}");
             }
             self.cancel_place(cell, size);
             return Err(NO_ROOM_RETRY_AFTER);
         }
-        let Record::Taken(taken) = record else { return Err(NO_ROOM_RETRY_AFTER) };
+        let Record::Accepted(taken) = record else { return Err(NO_ROOM_RETRY_AFTER) };
         let no = taken.no;
         self.next_message_no = no + 1;
         self.live_bytes += size;
         name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
-        self.ceilings.message_queued(taken.dest);
+        self.ceilings.message_queued(taken.destination);
         self.counters.taken += 1;
         let free = self.replicate_accepted(now, &taken);
         // A message of the same key may still run where the tenant came from.
@@ -86,12 +86,14 @@
             _ if self.is_parked(taken.key) => Some(Withheld::KeyParked),
             // An earlier message of the same key may wait in the backlog.
             _ if ordered && !self.backlog.is_empty() => Some(Withheld::Backlogged),
-            _ if self.must_wait_for_endpoint(&taken.class, taken.dest) => Some(Withheld::EndpointUnconfirmed),
+            _ if self.must_wait_for_endpoint(&taken.class, taken.destination) => {
+                Some(Withheld::EndpointUnconfirmed)
+            }
             _ => (!free).then_some(Withheld::Suspended),
         };
         self.cells.enter_queue(now, &taken);
         if withheld.is_none() {
-            let arrived = Event::Arrived(self.module_message(class, &taken, again));
+            let arrived = Event::MessageArrived(self.module_message(class, &taken, again));
             self.cells.post(cell, arrived);
         }
         let until = taken.valid_until + IDENTITY_MEMORY_AFTER_DEADLINE;
@@ -113,7 +115,7 @@
         if message.withheld == Some(Withheld::Backlogged) {
             self.backlog.push(no, message.taken.valid_until);
         }
-        log::debug!(id = message.taken.identity.1.as_str(), class = message.taken.class.as_str(), member = message.taken.dest,
+        log::debug!(id = message.taken.identity.1.as_str(), class = message.taken.class.as_str(), member = message.taken.destination,
             left_ms = message.taken.valid_until - now; "a call is taken on");
         self.key_order.insert(&message.taken);
         self.messages.insert(no, message);
@@ -123,16 +125,16 @@
         Ok(())
     }
 
-    fn module_message(&self, class: usize, t: &Taken, again: bool) -> Message {
+    fn module_message(&self, class: usize, t: &AcceptedMessage, again: bool) -> Message {
         Message {
             id: t.no,
             class,
-            tenant: place(&self.names.tenants, &t.tenant),
+            tenant: index_of(&self.names.tenants, &t.tenant),
             key: t.key,
             valid_until: t.valid_until,
-            dest: t.dest,
-            again,
-            work: 0.0,
+            dest: t.destination,
+            resubmitted: again,
+            estimated_work: 0.0,
         }
     }
 
@@ -159,7 +161,7 @@
     pub(super) fn expire_identities(&mut self, now: Ms) {
         while let Some((until, identity)) = self.identity_expiry.first().cloned() {
             let held = self.identities.get(&identity).is_some_and(|k| self.messages.contains_key(&k.no));
-            let over_share = !self.journal.has_memory(self.identity_bytes);
+            let over_share = !self.journal.has_room_for_identities(self.identity_bytes);
             if (until as Ms) > now && !over_share {
                 return;
             }
@@ -180,19 +182,19 @@
     pub fn restore(&mut self, now: Ms, records: Vec<Record>) {
         self.now = now;
         if !records.is_empty() {
-            self.cells.post_all(&Event::Restarted);
+            self.cells.post_all(&Event::ProcessRestarted);
         }
         let (mut spent, mut ownership) = (Vec::new(), OwnershipRecords::default());
-        let mut restored: BTreeMap<CallNo, (HeldMessage, bool)> = BTreeMap::new();
+        let mut restored: BTreeMap<MessageNo, (HeldMessage, bool)> = BTreeMap::new();
         for record in records {
             match record {
-                Record::Taken(mut taken) => {
+                Record::Accepted(mut taken) => {
                     self.next_message_no = self.next_message_no.max(taken.no + 1);
-                    let class =
-                        place(&self.names.classes, &taken.class).and_then(|c| self.settings.classes.get(c));
+                    let class = index_of(&self.names.classes, &taken.class)
+                        .and_then(|c| self.settings.classes.get(c));
                     let most = class.map_or(f64::MAX, |c| now + c.deadline);
                     taken.valid_until = taken.valid_until.min(most);
-                    let size = Record::Taken(taken.clone()).size() + MESSAGE_OVERHEAD_BYTES;
+                    let size = Record::Accepted(taken.clone()).size() + MESSAGE_OVERHEAD_BYTES;
                     let cell = self.cells.cell_of(&taken.tenant);
                     let (last_outcome, ran, out, ending, withheld) = (None, None, None, None, None);
                     let message = HeldMessage {
@@ -209,34 +211,37 @@
                     };
                     restored.insert(message.taken.no, (message, false));
                 }
-                Record::State { no, attempts, ran, out } => {
+                Record::Attempts { no, attempts, may_have_run: ran, in_progress: out } => {
                     if let Some((c, interrupted)) = restored.get_mut(&no) {
                         *interrupted = out.is_some();
                         (c.attempts, c.ran) = (attempts, ran.or(out).map(|s| clamp_to_past(now, s)));
                     }
                 }
-                Record::Ended { no, ending } => {
+                Record::FinalAnswer { no, ending } => {
                     if let Some((c, interrupted)) = restored.get_mut(&no) {
                         (c.ending, *interrupted) = (Some(ending), false);
                     }
                 }
-                Record::Over { no, until } => {
+                Record::Settled { no, until } => {
                     if let Some((c, _)) = restored.remove(&no) {
                         let ending = c.ending.unwrap_or(Ending::Delivered);
                         let tenant = self.tenant_if_movable(&c.taken.tenant);
                         self.restore_identity(now, c.taken.identity, no, Some(ending), until, tenant);
                     }
                 }
-                Record::Known { identity, ending, until, tenant } => {
+                Record::RememberedIdentity { identity, ending, until, tenant } => {
                     self.restore_identity(now, identity, 0, Some(ending), until, tenant)
                 }
-                Record::CallRecord(s) => spent.push(s),
-                Record::Once { name, ending, until, tenant } if until > now => {
+                Record::CallsCounted(s) => spent.push(s),
+                Record::AtMostOnceEnded { name, ending, until, tenant } if until > now => {
                     self.at_most_once.remember(name, ending, until, tenant)
                 }
                 // A restart ends all retry-afters, and the clocks were read when the file was opened.
-                Record::Once { .. } | Record::Wait { .. } | Record::Clock(_) | Record::Adopted(_) => {}
-                Record::Seat(bytes) => {
+                Record::AtMostOnceEnded { .. }
+                | Record::RetryAfter { .. }
+                | Record::ClockReading(_)
+                | Record::TakenOver(_) => {}
+                Record::TenantOwnership(bytes) => {
                     if let Some((tenant, from)) = ownership.add(&bytes) {
                         restored.retain(|no, (c, _)| *no < from || c.taken.tenant != tenant);
                     }
@@ -250,7 +255,7 @@
         self.ownership.restore_parked_keys(now, &ownership);
         let mut given_up = Vec::new();
         for (no, (mut message, interrupted)) in restored {
-            if place(&self.names.classes, &message.taken.class).is_none() && message.ending.is_none() {
+            if index_of(&self.names.classes, &message.taken.class).is_none() && message.ending.is_none() {
                 let (id, class) = (message.taken.identity.1.as_str(), message.taken.class.as_str());
                 log::error!(id = id, class = class, outcome = "given_up";
                     "the class '{class}' of a message in the journal is no longer configured; the message is given up");
@@ -264,7 +269,7 @@
                 None if self.is_parked(message.taken.key) && !interrupted => Some(Withheld::KeyParked),
                 // A message that may have run is not sent again, so its end does not wait for an endpoint.
                 None if message.ran.is_none()
-                    && self.must_wait_for_endpoint(&message.taken.class, message.taken.dest) =>
+                    && self.must_wait_for_endpoint(&message.taken.class, message.taken.destination) =>
                 {
                     Some(Withheld::EndpointUnconfirmed)
                 }
@@ -279,13 +284,13 @@
         self.restore_ownership(now, ownership);
         // Not earlier: a compaction writes what is known here, and until now that was incomplete.
         for no in given_up {
-            self.append_or_defer(&Record::Ended { no, ending: Ending::GivenUp });
+            self.append_or_defer(&Record::FinalAnswer { no, ending: Ending::GivenUp });
         }
     }
 
     /// Numbers messages that are accepted from now on from `first` upwards: see
     /// [`crate::recovery::first_number`].
-    pub fn number_from(&mut self, first: CallNo) {
+    pub fn number_from(&mut self, first: MessageNo) {
         self.next_message_no = self.next_message_no.max(first);
         self.first_message_no = self.next_message_no;
     }
@@ -296,9 +301,9 @@
         let (no, t) = (message.taken.no, &message.taken);
         if message.ending.is_none() {
             self.cells.add_restored(now, &message);
-            self.ceilings.message_queued(t.dest);
+            self.ceilings.message_queued(t.destination);
         }
-        let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
+        let name = self.at_most_once.entry_name(&t.class, &t.idempotency_key, &t.identity.1);
         name.into_iter().for_each(|n| self.at_most_once.hold(n, no));
         let (until, tenant) =
             (t.valid_until.max(now) + IDENTITY_MEMORY_AFTER_DEADLINE, self.tenant_if_movable(&t.tenant));
@@ -339,7 +344,7 @@
     }
 
     /// Gives a message to the decision module that does not hold it, or no longer does.
-    pub(super) fn resume(&mut self, no: CallNo) {
+    pub(super) fn resume(&mut self, no: MessageNo) {
         self.backlog.remove(no);
         let suspended = self.is_suspended(no);
         let Some(c) = self.messages.get_mut(&no) else { return };
@@ -349,12 +354,12 @@
         }
         c.withheld = None;
         let c = &self.messages[&no];
-        let zone = |name: &str| place(&self.names.zones, name).unwrap_or(self.names.zones.len());
-        let class = place(&self.names.classes, &c.taken.class).unwrap_or(0);
-        let resumed = Event::Resumed(Resumed {
+        let zone = |name: &str| index_of(&self.names.zones, name).unwrap_or(self.names.zones.len());
+        let class = index_of(&self.names.classes, &c.taken.class).unwrap_or(0);
+        let resumed = Event::MessageResumed(ResumedMessage {
             message: self.module_message(class, &c.taken, true),
             attempts: c.attempts,
-            ran: c.ran.as_ref().map(|s| (s.at, zone(&s.zone))),
+            first_possible_run: c.ran.as_ref().map(|s| (s.at, zone(&s.zone))),
             ended: c.ending.is_some(),
         });
         self.cells.post(c.cell, resumed);
@@ -364,7 +369,7 @@
         &mut self,
         now: Ms,
         identity: Identity,
-        no: CallNo,
+        no: MessageNo,
         ending: Option<Ending>,
         until: Ms,
         tenant: String,
@@ -374,7 +379,7 @@
             // its submission or as a later final answer. A repeat of a rejected submission must not be
             // answered as accepted: its end would never be reported.
             let verdict = match ending {
-                Some(Ending::HandedBack(wait)) if identity.0.is_empty() => Verdict::Busy(wait),
+                Some(Ending::Returned(wait)) if identity.0.is_empty() => Verdict::Busy(wait),
                 Some(Ending::GivenUp) if identity.0.is_empty() => Verdict::Failed("given up".into()),
                 _ => Verdict::Taken,
             };
@@ -383,15 +388,15 @@
     }
 
     /// Sends the final answer of a held message to the place from which its client has submitted it again.
-    pub(super) fn update_reply(&mut self, no: CallNo, reply: Vec<u8>) {
+    pub(super) fn update_reply(&mut self, no: MessageNo, reply: Vec<u8>) {
         if let Some(c) = self.messages.get_mut(&no).filter(|c| !c.taken.identity.0.is_empty()) {
-            c.taken.reply = reply;
+            c.taken.reply_to = reply;
         }
     }
 
     /// Compacts the journal once it has grown.
     pub(super) fn compact_if_full(&mut self) {
-        if self.journal.is_full() && self.now >= self.compact_at {
+        if self.journal.needs_compaction() && self.now >= self.compact_at {
             self.compact();
         }
     }
@@ -400,12 +405,12 @@
     pub(super) fn compact(&mut self) -> bool {
         let mut records = Vec::new();
         for (no, c) in &self.messages {
-            records.push(Record::Taken(c.taken.clone()));
+            records.push(Record::Accepted(c.taken.clone()));
             records.extend(self.compacted_attempt_record(*no, c));
-            records.extend(c.ending.map(|ending| Record::Ended { no: *no, ending }));
+            records.extend(c.ending.map(|ending| Record::FinalAnswer { no: *no, ending }));
         }
         for (identity, k) in self.identities.iter().filter(|(_, k)| !self.messages.contains_key(&k.no)) {
-            let known = |ending| Record::Known {
+            let known = |ending| Record::RememberedIdentity {
                 identity: identity.clone(),
                 ending,
                 until: k.until,
@@ -413,8 +418,8 @@
             };
             records.extend(k.ending.map(known));
         }
-        records.extend(self.ceilings.snapshot(self.now).into_iter().map(Record::CallRecord));
-        let once = |(name, ending, until, tenant): (&String, Ending, Ms, &String)| Record::Once {
+        records.extend(self.ceilings.snapshot(self.now).into_iter().map(Record::CallsCounted));
+        let once = |(name, ending, until, tenant): (&String, Ending, Ms, &String)| Record::AtMostOnceEnded {
             name: name.clone(),
             ending,
             until,
@@ -423,14 +428,14 @@
         records.extend(self.at_most_once.endings().map(once));
         records.extend(self.ownership_records());
         records.extend(self.waits.records(self.now));
-        records.extend(self.adopted_file.map(Record::Adopted));
+        records.extend(self.adopted_file.map(Record::TakenOver));
         let done = self.journal.compact(records.into_iter());
-        if done.is_err() || self.journal.is_full() {
+        if done.is_err() || self.journal.needs_compaction() {
             // Each try writes everything that is held.
             self.compact_at = self.now + COMPACT_RETRY_DELAY;
         }
         if let Err(e) = &done {
-            if let Some(count) = self.compaction_errors.raise(self.now) {
+            if let Some(count) = self.compaction_errors.record(self.now) {
                 log::error!(cause:% = e, count = count; "the journal cannot be compacted: {e}");
             }
         }
@@ -440,7 +445,7 @@
 
 /// An attempt dated in the future was sent before the clock was set back. How long ago is not known, so it
 /// counts as sent long ago.
-fn clamp_to_past(now: Ms, sent: Sent) -> Sent {
+fn clamp_to_past(now: Ms, sent: AttemptSent) -> AttemptSent {
     let at = if sent.at > now { 0.0 } else { sent.at };
-    Sent { at, ..sent }
+    AttemptSent { at, ..sent }
 }
--- a/src/dispatch/backlog.rs
+++ b/src/dispatch/backlog.rs
@@ -2,7 +2,7 @@
 //! with very many messages costs no more in each turn than one with few, and the first of them go at once.
 
 use crate::api::Ms;
-use crate::journal::CallNo;
+use crate::journal::MessageNo;
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
@@ -12,21 +12,21 @@
 /// The waiting messages, in the order of their numbers.
 #[derive(Debug, Clone, Default)]
 pub struct Backlog {
-    waiting: BTreeMap<CallNo, u64>,
+    waiting: BTreeMap<MessageNo, u64>,
     /// The messages by their deadlines.
-    due: BTreeSet<(u64, CallNo)>,
+    due: BTreeSet<(u64, MessageNo)>,
 }
 
 impl Backlog {
     /// Adds a message.
-    pub fn push(&mut self, no: CallNo, valid_until: Ms) {
+    pub fn push(&mut self, no: MessageNo, valid_until: Ms) {
         let until = valid_until.max(0.0) as u64;
         self.waiting.insert(no, until);
         self.due.insert((until, no));
     }
 
     /// Removes a message.
-    pub fn remove(&mut self, no: CallNo) {
+    pub fn remove(&mut self, no: MessageNo) {
         if let Some(until) = self.waiting.remove(&no) {
             self.due.remove(&(until, no));
         }
@@ -44,14 +44,14 @@
 
     /// Removes and returns the messages that go to the decision module now: the first ones, as many as there
     /// is room for, and those past their deadline, whose final answer needs no room.
-    pub fn take(&mut self, now: Ms, room: usize) -> Vec<CallNo> {
+    pub fn take(&mut self, now: Ms, room: usize) -> Vec<MessageNo> {
         let late = self
             .due
             .iter()
             .take_while(|(until, _)| *until as Ms <= now)
             .take(MAX_EXPIRED_PER_TURN)
             .map(|d| d.1);
-        let mut taken: BTreeSet<CallNo> = late.collect();
+        let mut taken: BTreeSet<MessageNo> = late.collect();
         taken.extend(self.waiting.keys().take(room));
         taken.iter().for_each(|no| self.remove(*no));
         taken.into_iter().collect()
--- a/src/dispatch/book.rs
+++ b/src/dispatch/book.rs
@@ -4,7 +4,7 @@
 use super::figures::ClientOutcome;
 use super::{Core, Counters, HeldMessage, Order, Told, Verdict, ANSWER_KEPT};
 use crate::api::*;
-use crate::journal::{CallNo, Ending, Record};
+use crate::journal::{Ending, MessageNo, Record};
 
 /// How long an identity is remembered after its message is closed.
 const IDENTITY_MEMORY_AFTER_END: Ms = 20_000.0;
@@ -30,31 +30,31 @@
     match ending {
         Ending::Delivered => ("delivered", 0.0),
         Ending::GivenUp => ("given_up", 0.0),
-        Ending::HandedBack(wait) => ("handed_back", wait),
+        Ending::Returned(wait) => ("handed_back", wait),
     }
 }
 
 impl Core {
-    pub(super) fn return_message(&mut self, now: Ms, no: CallNo, retry_in: Ms) {
-        self.finish(now, no, Ending::HandedBack(retry_in));
+    pub(super) fn return_message(&mut self, now: Ms, no: MessageNo, retry_in: Ms) {
+        self.finish(now, no, Ending::Returned(retry_in));
     }
 
-    pub(super) fn give_up(&mut self, now: Ms, no: CallNo) {
+    pub(super) fn give_up(&mut self, now: Ms, no: MessageNo) {
         self.finish(now, no, Ending::GivenUp);
     }
 
     /// Ends a message. A client that still waits for its verdict gets the ending as the verdict; any other
     /// gets a final answer.
-    pub(super) fn finish(&mut self, now: Ms, no: CallNo, ending: Ending) {
+    pub(super) fn finish(&mut self, now: Ms, no: MessageNo, ending: Ending) {
         let Some(c) = self.messages.get_mut(&no).filter(|c| c.ending.is_none()) else { return };
         c.ending = Some(ending);
         let tally = match ending {
             Ending::Delivered => ClientOutcome::Completed,
             Ending::GivenUp => ClientOutcome::Failed,
-            Ending::HandedBack(_) => ClientOutcome::Rejected,
+            Ending::Returned(_) => ClientOutcome::Rejected,
         };
         self.figures.count(&c.taken.class, tally);
-        let (identity, dest) = (c.taken.identity.clone(), c.taken.dest);
+        let (identity, dest) = (c.taken.identity.clone(), c.taken.destination);
         let (outcome, wait) = outcome_fields(ending);
         log::debug!(id = identity.1.as_str(), class = c.taken.class.as_str(), member = dest, outcome = outcome, wait_ms = wait,
             attempts = c.attempts, left_ms = c.taken.valid_until - now; "a call ended");
@@ -66,14 +66,14 @@
             // The next message of its key may go, although the client has not confirmed the answer.
             self.key_order.remove(no, c.taken.key);
         }
-        self.append_or_defer(&Record::Ended { no, ending });
+        self.append_or_defer(&Record::FinalAnswer { no, ending });
         self.end_copy_wait(no);
         self.replicate_ending(now, no, &identity, ending);
         let asking = self.awaiting_verdict.iter().any(|a| a.0 == no);
         if let Some(k) = self.identities.get_mut(&identity) {
             k.ending = Some(ending);
             k.verdict = match ending {
-                Ending::HandedBack(wait) if asking => Verdict::Busy(wait),
+                Ending::Returned(wait) if asking => Verdict::Busy(wait),
                 Ending::GivenUp if asking => Verdict::Failed("given up".into()),
                 _ => Verdict::Taken,
             };
@@ -82,7 +82,7 @@
             Ending::Delivered => self.counters.delivered += 1,
             _ if asking => {}
             Ending::GivenUp => self.counters.given_up += 1,
-            Ending::HandedBack(_) => self.counters.handed_back += 1,
+            Ending::Returned(_) => self.counters.handed_back += 1,
         }
         // The platform learns by itself that a message was delivered.
         if asking || (platform && ending == Ending::Delivered && !may_be_late) {
@@ -91,7 +91,7 @@
             }
             // Guards against many rejected messages, each under a new id, filling the journal so that
             // accepted ones find no room.
-            let refused = platform && asking && matches!(ending, Ending::HandedBack(_));
+            let refused = platform && asking && matches!(ending, Ending::Returned(_));
             self.close_with_memory(now, no, if refused { 0.0 } else { IDENTITY_MEMORY_AFTER_END });
         } else {
             self.order_final_answer(no);
@@ -99,10 +99,10 @@
     }
 
     /// Orders the final answer of a message to be sent, if it has ended.
-    pub(super) fn order_final_answer(&mut self, no: CallNo) {
+    pub(super) fn order_final_answer(&mut self, no: MessageNo) {
         let Some(c) = self.messages.get(&no) else { return };
         let Some(ending) = c.ending else { return };
-        let (identity, reply) = (c.taken.identity.clone(), c.taken.reply.clone());
+        let (identity, reply) = (c.taken.identity.clone(), c.taken.reply_to.clone());
         let until = c.taken.valid_until + ANSWER_KEPT;
         self.orders.push(Order::Tell(Told { no, identity, ending, reply, until }));
     }
@@ -114,12 +114,13 @@
             let session = !c.taken.identity.0.is_empty();
             session && c.ending.is_some() && c.taken.valid_until + ANSWER_KEPT <= now
         };
-        let due: Vec<CallNo> = self.messages.iter().filter(|(_, c)| lapsed(c)).map(|(no, _)| *no).collect();
+        let due: Vec<MessageNo> =
+            self.messages.iter().filter(|(_, c)| lapsed(c)).map(|(no, _)| *no).collect();
         due.into_iter().for_each(|no| self.close_message(now, no));
     }
 
     /// The client has confirmed the final answer.
-    pub fn confirmed(&mut self, now: Ms, no: CallNo) {
+    pub fn confirmed(&mut self, now: Ms, no: MessageNo) {
         if self.messages.get(&no).is_some_and(|c| c.ending.is_some()) {
             self.counters.confirmed += 1;
             self.close_message(now, no);
@@ -127,7 +128,7 @@
     }
 
     /// Removes a message from those that are held.
-    pub(super) fn remove_message(&mut self, now: Ms, no: CallNo) -> Option<HeldMessage> {
+    pub(super) fn remove_message(&mut self, now: Ms, no: MessageNo) -> Option<HeldMessage> {
         let c = self.messages.remove(&no)?;
         // Guards against sending the next message of its key while an endpoint may not yet know that an
         // attempt of this message has ended.
@@ -137,33 +138,34 @@
         self.backlog.remove(no);
         self.live_bytes -= c.size;
         if c.ending.is_none() {
-            self.ceilings.message_dequeued(c.taken.dest);
+            self.ceilings.message_dequeued(c.taken.destination);
             self.cells.remove_ended(now, &c, false);
         }
         Some(c)
     }
 
     /// Closes a message: its client is owed nothing more, and a later message of its key may go.
-    pub(super) fn close_message(&mut self, now: Ms, no: CallNo) {
+    pub(super) fn close_message(&mut self, now: Ms, no: MessageNo) {
         self.close_with_memory(now, no, IDENTITY_MEMORY_AFTER_END);
     }
 
-    fn close_with_memory(&mut self, now: Ms, no: CallNo, memory: Ms) {
+    fn close_with_memory(&mut self, now: Ms, no: MessageNo, memory: Ms) {
         let Some(c) = self.remove_message(now, no) else { return };
         self.end_copy_wait(no);
         self.replicate_ending(now, no, &c.taken.identity, c.ending.unwrap_or(Ending::GivenUp));
-        let name = self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
+        let name =
+            self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency_key, &c.taken.identity.1);
         if let Some(name) = name {
             // Without a recorded ending it may have run.
             let ending = c.ending.unwrap_or(Ending::GivenUp);
             let tenant = self.tenant_if_movable(&c.taken.tenant);
             let until = self.at_most_once.end(now, &c.taken.class, &name, ending, tenant.clone());
             if let Some(until) = until {
-                self.append_or_defer(&Record::Once { name, ending, until, tenant });
+                self.append_or_defer(&Record::AtMostOnceEnded { name, ending, until, tenant });
             }
         }
         c.unreported_end.into_iter().for_each(|ended| self.post_end(c.cell, ended));
-        self.cells.post(c.cell, Event::Heard(no));
+        self.cells.post(c.cell, Event::AnswerConfirmed(no));
         let until = now + memory;
         if memory <= 0.0 {
             self.forget_identity(&c.taken.identity);
@@ -173,7 +175,7 @@
             self.identity_expiry.remove(&(old, c.taken.identity.clone()));
             self.identity_expiry.insert((until as u64, c.taken.identity));
         }
-        self.append_or_defer(&Record::Over { no, until });
+        self.append_or_defer(&Record::Settled { no, until });
     }
 
     /// Answers the clients that wait for a verdict of this turn.
@@ -192,7 +194,7 @@
         self.compact_if_full();
         if let Err(e) = self.journal.append(record) {
             self.journal.defer_bounded(record);
-            if let Some(count) = self.append_errors.raise(self.now) {
+            if let Some(count) = self.append_errors.record(self.now) {
                 log::error!(cause:% = e, count = count;
                     "a journal record cannot be written yet and is deferred: {e}");
             }
--- a/src/dispatch/cells.rs
+++ b/src/dispatch/cells.rs
@@ -8,8 +8,8 @@
 
 use super::{Core, HeldMessage};
 use crate::api::*;
-use crate::brain::Brain;
-use crate::journal::{Ending, Taken};
+use crate::brain::DecisionModule;
+use crate::journal::{AcceptedMessage, Ending};
 use lilacbank_cells::bulkhead::{Acquisition, CapacityPool, CellIndex, FairScheduler, Revocability};
 use lilacbank_cells::placement::{place, Candidate};
 use lilacbank_limits::{DestinationLimit, RateLimiter};
@@ -57,13 +57,13 @@
 /// Identifies a pending queue: destination, tenant and class.
 type QueueKey = (DestId, String, String);
 
-fn queue_key(t: &Taken) -> QueueKey {
-    (t.dest, t.tenant.clone(), t.class.clone())
+fn queue_key(t: &AcceptedMessage) -> QueueKey {
+    (t.destination, t.tenant.clone(), t.class.clone())
 }
 
 pub(super) struct Cell {
     pub(super) name: String,
-    pub(super) brain: Brain,
+    pub(super) brain: DecisionModule,
     pub(super) events: Vec<Event>,
     /// Its own share of the promised limits.
     own_limits: RateLimiter,
@@ -137,7 +137,7 @@
         let sum: f64 = weights.iter().sum();
         let cell = |s: &CellSpec| Cell {
             name: s.name.clone(),
-            brain: Brain::new(settings.clone()),
+            brain: DecisionModule::new(settings.clone()),
             events: Vec::new(),
             own_limits: RateLimiter::new(share_of_promises(promises, s.weight / sum.max(f64::MIN_POSITIVE))),
             held: 0,
@@ -242,7 +242,7 @@
         let c = &mut self.all[cell];
         if c.allowed != (slots, held) {
             c.allowed = (slots, held);
-            c.brain.allow(slots, held);
+            c.brain.set_capacity(slots, held);
         }
     }
 
@@ -307,7 +307,7 @@
     }
 
     /// Counts a message as pending in its queue.
-    pub(super) fn enter_queue(&mut self, now: Ms, t: &Taken) {
+    pub(super) fn enter_queue(&mut self, now: Ms, t: &AcceptedMessage) {
         if self.is_single() {
             return;
         }
@@ -317,7 +317,7 @@
     }
 
     /// Removes a message from its queue; `delivered` tells whether it was delivered.
-    fn leave_queue(&mut self, now: Ms, t: &Taken, delivered: bool) {
+    fn leave_queue(&mut self, now: Ms, t: &AcceptedMessage, delivered: bool) {
         let name = queue_key(t);
         let Some(queue) = self.queues.get_mut(&name) else { return };
         queue.held = queue.held.saturating_sub(1);
@@ -335,7 +335,7 @@
     /// How long a client should wait with a message that could not be delivered in time, at the rate at which
     /// earlier messages are. Only messages of the same tenant, class and destination count, since the
     /// decision module may let others overtake.
-    pub(super) fn queue_wait(&self, now: Ms, t: &Taken) -> Option<Ms> {
+    pub(super) fn queue_wait(&self, now: Ms, t: &AcceptedMessage) -> Option<Ms> {
         if self.is_single() {
             return None;
         }
@@ -506,10 +506,10 @@
         };
         let last = self.messages.iter().rev().find(|(_, c)| idle(c)).map(|(no, _)| *no);
         let Some(no) = last else { return false };
-        let wait = self.cells.place_wait(now, cell).min(self.settings.max_advice);
+        let wait = self.cells.place_wait(now, cell).min(self.settings.max_retry_after);
         self.counters.evicted += 1;
-        self.cells.post(cell, Event::ClientGone(no));
-        self.finish(now, no, Ending::HandedBack(wait));
+        self.cells.post(cell, Event::ClientLeft(no));
+        self.finish(now, no, Ending::Returned(wait));
         true
     }
 
--- a/src/dispatch/control.rs
+++ b/src/dispatch/control.rs
@@ -66,12 +66,12 @@
         let listed = self
             .endpoints
             .iter()
-            .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.listing != Listing::Gone);
+            .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.state != ServiceState::Removed);
         let (mut members, mut unavailable) = (0, 0);
         for (route, w) in listed {
             members += 1;
-            let out =
-                self.blocked_endpoints.contains(&w.endpoint.uid) || w.endpoint.listing != Listing::Ready;
+            let out = self.blocked_endpoints.contains(&w.endpoint.uid)
+                || w.endpoint.state != ServiceState::InService;
             unavailable += usize::from(out || self.avoided.contains(route));
         }
         self.figures.json(
@@ -118,21 +118,32 @@
         let Some(route) = self.endpoint_by_id.get(id).copied() else { return };
         let Some(w) = self.endpoints.get(&route).filter(|w| w.gone_since.is_none()) else { return };
         let row = self.listing_row(route, &w.endpoint);
-        if row.listing != Listing::Ready {
+        if row.state != ServiceState::InService {
             let address = w.endpoint.address.clone();
-            let dest = w.endpoint.dest;
+            let dest = w.endpoint.destination;
             self.orders.push(Order::CloseIdle { route, address });
             self.orders.push(Order::Hold { dest, route: Some(route) });
         }
-        self.cells.post_all(&Event::List { rows: vec![row], whole: false, cached: false });
+        self.cells.post_all(&Event::EndpointList { rows: vec![row], complete: false, cached: false });
     }
 
     /// An endpoint as it is reported to the decision modules: a blocked one drains, whatever the list says.
-    pub(super) fn listing_row(&self, route: RouteId, w: &crate::config::Worker) -> Row {
-        let listing = match w.listing {
-            Listing::Ready if self.blocked_endpoints.contains(&w.uid) => Listing::Draining,
+    pub(super) fn listing_row(
+        &self,
+        route: EndpointId,
+        w: &crate::config::RegistryEndpoint,
+    ) -> EndpointEntry {
+        let listing = match w.state {
+            ServiceState::InService if self.blocked_endpoints.contains(&w.uid) => ServiceState::Draining,
             listing => listing,
         };
-        Row { route, zone: w.zone, kind: w.kind, dest: w.dest, listing, weight: w.weight }
+        EndpointEntry {
+            endpoint: route,
+            zone: w.zone,
+            kind: w.kind,
+            dest: w.destination,
+            state: listing,
+            weight: w.weight,
+        }
     }
 }
--- a/src/dispatch/copying.rs
+++ b/src/dispatch/copying.rs
@@ -8,7 +8,7 @@
 use super::{Core, Order, Submission, Verdict};
 use super::{Withheld, NO_ROOM_RETRY_AFTER};
 use crate::api::*;
-use crate::journal::{CallNo, Ending, Identity, Record, Sent, Taken};
+use crate::journal::{AcceptedMessage, AttemptSent, Ending, Identity, MessageNo, Record};
 use crate::together::Replication;
 use lilacbank_limits::ramp::{Health, RememberedHealth};
 use lilacbank_replica::copies::{CopyEnding, MessageContent, MessageCopy, Stage};
@@ -34,9 +34,9 @@
     keeper: Replicator,
     spec: Replication,
     /// Clients that wait until another dispatcher holds a copy, and until when.
-    awaiting_ack: Vec<(CallNo, super::Ticket, Ms)>,
+    awaiting_ack: Vec<(MessageNo, super::Ticket, Ms)>,
     /// Suspended messages.
-    suspended: BTreeSet<CallNo>,
+    suspended: BTreeSet<MessageNo>,
     recheck_at: Ms,
     health_at: Ms,
     /// Repeated submissions for which peers are being queried, and the clients that wait for the result.
@@ -72,21 +72,21 @@
     match ending {
         Ending::Delivered => CopyEnding::Delivered,
         Ending::GivenUp => CopyEnding::GivenUp,
-        Ending::HandedBack(wait) => CopyEnding::Returned(whole_ms(wait)),
+        Ending::Returned(wait) => CopyEnding::Returned(whole_ms(wait)),
     }
 }
 
-fn to_replica_content(t: &Taken) -> MessageContent {
+fn to_replica_content(t: &AcceptedMessage) -> MessageContent {
     MessageContent {
         client: t.identity.0.clone(),
         class: t.class.clone(),
         tenant: t.tenant.clone(),
         ordering_key: t.key,
-        idempotency_key: t.idempotency.clone(),
-        destination: t.dest,
+        idempotency_key: t.idempotency_key.clone(),
+        destination: t.destination,
         valid_until: whole_ms(t.valid_until),
         number: t.no,
-        reply_to: t.reply.clone(),
+        reply_to: t.reply_to.clone(),
         body: t.body.clone(),
         ..MessageContent::default()
     }
@@ -142,7 +142,7 @@
     }
 
     /// Replicates an accepted message. False if it has to be suspended for now.
-    pub(super) fn replicate_accepted(&mut self, now: Ms, t: &Taken) -> bool {
+    pub(super) fn replicate_accepted(&mut self, now: Ms, t: &AcceptedMessage) -> bool {
         let kind = self.replication_kind(&t.class);
         let Some(c) = &mut self.replication else { return true };
         let free = c.keeper.accept(whole_ms(now), &copy_name(&t.identity), to_replica_content(t), kind);
@@ -154,14 +154,14 @@
     }
 
     /// Whether an earlier message of the same key is suspended.
-    fn has_earlier_suspended(&self, no: CallNo, key: Option<u64>) -> bool {
+    fn has_earlier_suspended(&self, no: MessageNo, key: Option<u64>) -> bool {
         let Some(c) = self.replication.as_ref().filter(|_| key.is_some()) else { return false };
         c.suspended.range(..no).any(|n| self.messages.get(n).is_some_and(|c| c.taken.key == key))
     }
 
     /// Suspends a message of an earlier process until the peers have reported what they know of it; a message
     /// that was just taken over is not suspended.
-    pub(super) fn register_restored(&mut self, no: CallNo, message: &super::HeldMessage) {
+    pub(super) fn register_restored(&mut self, no: MessageNo, message: &super::HeldMessage) {
         let kind = self.replication_kind(&message.taken.class);
         let Some(c) = self.replication.as_mut().filter(|_| message.ending.is_none()) else { return };
         let name = copy_name(&message.taken.identity);
@@ -172,7 +172,7 @@
         }
     }
 
-    fn set_suspended(&mut self, no: CallNo, suspended: bool) {
+    fn set_suspended(&mut self, no: MessageNo, suspended: bool) {
         if let Some(c) = &mut self.replication {
             match suspended {
                 true => c.suspended.insert(no),
@@ -182,25 +182,25 @@
     }
 
     /// Whether the message is suspended.
-    pub(super) fn is_suspended(&self, no: CallNo) -> bool {
+    pub(super) fn is_suspended(&self, no: MessageNo) -> bool {
         self.replication.as_ref().is_some_and(|c| c.suspended.contains(&no))
     }
 
     /// If clients wait for copies, answers this one only once another dispatcher holds a copy, and returns
     /// true.
-    pub(super) fn wait_for_copy_ack(&mut self, now: Ms, no: CallNo, ticket: super::Ticket) -> bool {
+    pub(super) fn wait_for_copy_ack(&mut self, now: Ms, no: MessageNo, ticket: super::Ticket) -> bool {
         let Some(c) = self.replication.as_mut().filter(|c| c.spec.ack) else { return false };
         c.awaiting_ack.push((no, ticket, now + c.spec.ack_ms));
         true
     }
 
     /// Whether the message's client still waits for a copy.
-    pub(super) fn waits_for_copy_ack(&self, no: CallNo) -> bool {
+    pub(super) fn waits_for_copy_ack(&self, no: MessageNo) -> bool {
         self.replication.as_ref().is_some_and(|c| c.awaiting_ack.iter().any(|a| a.0 == no))
     }
 
     /// Ends the wait of the message's client for a copy: it gets the verdict of this turn.
-    pub(super) fn end_copy_wait(&mut self, no: CallNo) {
+    pub(super) fn end_copy_wait(&mut self, no: MessageNo) {
         let Some(c) = &mut self.replication else { return };
         let (now, later): (Vec<_>, Vec<_>) = c.awaiting_ack.drain(..).partition(|a| a.0 == no);
         c.awaiting_ack = later;
@@ -208,7 +208,7 @@
     }
 
     /// Whether an attempt may start; else the message and later ones of its key have to be suspended.
-    pub(super) fn replication_allows_start(&mut self, now: Ms, no: CallNo) -> bool {
+    pub(super) fn replication_allows_start(&mut self, now: Ms, no: MessageNo) -> bool {
         let Some(name) = self.messages.get(&no).map(|c| copy_name(&c.taken.identity)) else { return true };
         let Some(c) = &mut self.replication else { return true };
         if c.keeper.may_start_attempt(whole_ms(now), &name) {
@@ -220,23 +220,23 @@
 
     /// Withdraws a message, and later ones of its key without an outstanding attempt, from the decision
     /// module until they may start.
-    pub(super) fn suspend(&mut self, no: CallNo) {
+    pub(super) fn suspend(&mut self, no: MessageNo) {
         let Some(key) = self.messages.get(&no).map(|c| c.taken.key) else { return };
-        let later = |(n, c): &(&CallNo, &super::HeldMessage)| {
+        let later = |(n, c): &(&MessageNo, &super::HeldMessage)| {
             **n == no || (key.is_some() && **n > no && c.taken.key == key && c.withheld.is_none())
         };
         let selected =
             self.messages.iter().filter(later).filter(|(_, c)| c.out.is_none() && c.ending.is_none());
-        let selected: Vec<(CallNo, usize)> = selected.map(|(n, c)| (*n, c.cell)).collect();
+        let selected: Vec<(MessageNo, usize)> = selected.map(|(n, c)| (*n, c.cell)).collect();
         for (n, cell) in selected {
             self.messages.entry(n).and_modify(|c| c.withheld = Some(Withheld::Suspended));
             self.set_suspended(n, true);
-            self.cells.post(cell, Event::ClientGone(n));
+            self.cells.post(cell, Event::ClientLeft(n));
         }
     }
 
     /// Reports a message's ending to replication.
-    pub(super) fn replicate_ending(&mut self, now: Ms, no: CallNo, identity: &Identity, ending: Ending) {
+    pub(super) fn replicate_ending(&mut self, now: Ms, no: MessageNo, identity: &Identity, ending: Ending) {
         if let Some(c) = &mut self.replication {
             c.suspended.remove(&no);
             c.keeper.record_end(whole_ms(now), &copy_name(identity), to_replica_ending(ending));
@@ -245,7 +245,7 @@
 
     /// The answer to a submission of which a copy is held for another dispatcher.
     pub(super) fn verdict_from_copy(&mut self, identity: &Identity) -> Option<Verdict> {
-        let busy = NO_ROOM_RETRY_AFTER.min(self.settings.max_advice);
+        let busy = NO_ROOM_RETRY_AFTER.min(self.settings.max_retry_after);
         let c = self.replication.as_mut()?;
         let verdict = match c.keeper.stage(&copy_name(identity))? {
             // The dispatcher that owns the message reports its end; a session gets the answer where it is
@@ -293,7 +293,7 @@
             c.keeper.tick(whole_ms(now));
         }
         let events = c.keeper.take_events();
-        let late: Vec<CallNo> = c.awaiting_ack.iter().filter(|a| a.2 <= now).map(|a| a.0).collect();
+        let late: Vec<MessageNo> = c.awaiting_ack.iter().filter(|a| a.2 <= now).map(|a| a.0).collect();
         c.unacked += late.len() as u64;
         late.into_iter().for_each(|no| self.end_copy_wait(no));
         let (mut started, mut taken) = (false, Vec::new());
@@ -380,7 +380,7 @@
         self.orders.extend(outgoing.into_iter().map(|(to, e)| Order::Mate { to, envelope: Box::new(e) }));
     }
 
-    fn find_message(&self, name: &str) -> Option<CallNo> {
+    fn find_message(&self, name: &str) -> Option<MessageNo> {
         let no = self.identities.get(&parse_copy_name(name))?.no;
         self.messages.contains_key(&no).then_some(no)
     }
@@ -388,7 +388,7 @@
     /// Resumes the suspended messages that may go now, in their order, and gives up those whose deadline is
     /// near.
     fn recheck_suspended(&mut self, now: Ms) {
-        let suspended: Vec<CallNo> =
+        let suspended: Vec<MessageNo> =
             self.replication.iter().flat_map(|c| c.suspended.iter().copied()).collect();
         for no in suspended {
             let Some(message) = self.messages.get(&no) else {
@@ -423,7 +423,7 @@
                 && !self.is_at_most_once_class(&message.taken.class)
                 && !c.keeper.may_start_attempt(whole_ms(now), &copy_name(&message.taken.identity))
         };
-        let due: Vec<(CallNo, u32)> = self
+        let due: Vec<(MessageNo, u32)> = self
             .messages
             .iter()
             .filter(|(_, message)| unleased(message))
@@ -443,11 +443,11 @@
         let Some(message) = self.remove_message(now, no) else { return };
         log::info!(id = message.taken.identity.1.as_str();
             "{} now belongs to another dispatcher", message.taken.identity.1);
-        self.cells.post(message.cell, Event::ClientGone(no));
+        self.cells.post(message.cell, Event::ClientLeft(no));
         self.end_copy_wait(no);
         self.forget_identity(&message.taken.identity);
         // This does not close the message for good: nothing but its copy is remembered here.
-        self.append_or_defer(&Record::Over { no, until: now });
+        self.append_or_defer(&Record::Settled { no, until: now });
     }
 
     /// Takes over messages of other dispatchers: each is written to the journal before anything is done for
@@ -471,25 +471,25 @@
             let c = copy.content;
             log::info!(id = identity.1.as_str(), class = c.class.as_str(), epoch = copy.fence.epoch;
                 "{} is taken over from {}", identity.1, c.accepted_by);
-            records.push(Record::Taken(Taken {
+            records.push(Record::Accepted(AcceptedMessage {
                 no,
                 identity: identity.clone(),
                 class: c.class,
                 tenant: c.tenant,
                 key: c.ordering_key,
-                idempotency: c.idempotency_key,
-                dest: c.destination,
+                idempotency_key: c.idempotency_key,
+                destination: c.destination,
                 valid_until: c.valid_until as Ms,
-                reply: c.reply_to,
+                reply_to: c.reply_to,
                 body: c.body,
             }));
             if copy.stage == Stage::Started {
                 // Long ago and in no known zone: outside every window for repeats.
-                let ran = Some(Sent { at: 0.0, zone: String::new() });
-                records.push(Record::State { no, attempts: 1, ran, out: None });
+                let ran = Some(AttemptSent { at: 0.0, zone: String::new() });
+                records.push(Record::Attempts { no, attempts: 1, may_have_run: ran, in_progress: None });
             }
             if step == ReplicaAction::GiveUp {
-                records.push(Record::Ended { no, ending: Ending::GivenUp });
+                records.push(Record::FinalAnswer { no, ending: Ending::GivenUp });
                 given_up.push((no, identity));
             }
         }
--- a/src/dispatch/handover.rs
+++ b/src/dispatch/handover.rs
@@ -7,7 +7,7 @@
 
 use super::Core;
 use crate::api::Ms;
-use crate::journal::{CallNo, FileMark, Identity, Record};
+use crate::journal::{FileFingerprint, Identity, MessageNo, Record};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The delay before writing the deferred journal records is tried again.
@@ -20,21 +20,21 @@
     /// from the other file.
     pub fn restore_both(&mut self, now: Ms, own: Vec<Record>, left: Left) -> usize {
         // A process took the other file over and ended before it could empty it.
-        if own.contains(&Record::Adopted(left.mark)) {
+        if own.contains(&Record::TakenOver(left.mark)) {
             // A compacted journal repeats the marker for as long as the other file may exist.
             self.adopted_file = Some(left.mark);
             self.restore(now, own);
             return 0;
         }
-        if left.records.contains(&Record::Adopted(self.journal.found())) {
+        if left.records.contains(&Record::TakenOver(self.journal.start_fingerprint())) {
             (self.superseded, self.adopted_file) = (true, Some(left.mark));
             self.restore(now, left.records);
             return self.messages.len();
         }
         let (own, records) = without_copies(own, left.records);
         let left = Left { records, ..left };
-        let taken = |rs: &[Record]| -> BTreeSet<CallNo> { rs.iter().filter_map(taken_number).collect() };
-        let has_ownership = own.iter().chain(&left.records).any(|r| matches!(r, Record::Seat(_)));
+        let taken = |rs: &[Record]| -> BTreeSet<MessageNo> { rs.iter().filter_map(taken_number).collect() };
+        let has_ownership = own.iter().chain(&left.records).any(|r| matches!(r, Record::TenantOwnership(_)));
         let messages = taken(&left.records);
         // Files written before message numbers continued across processes; and files with ownership records,
         // which concern only the messages of their own file.
@@ -56,10 +56,10 @@
     /// below this process's; only messages of a process from before incarnations existed are renumbered.
     /// Returns how many messages came.
     pub fn take_over(&mut self, now: Ms, left: Left) -> usize {
-        let known = crate::journal::highest(&left.records) < self.first_message_no;
+        let known = crate::journal::highest_message_no(&left.records) < self.first_message_no;
         let base = if known { 0 } else { self.next_message_no };
         let records: Vec<Record> = left.records.into_iter().map(|r| renumber(r, base)).collect();
-        let messages = records.iter().filter(|r| matches!(r, Record::Taken(_))).count();
+        let messages = records.iter().filter(|r| matches!(r, Record::Accepted(_))).count();
         self.restore(now, records.clone());
         self.apply_waits(now, &records);
         self.write_taken_over(records, Some(left.mark));
@@ -68,8 +68,8 @@
 
     /// Writes records of messages that are held already, before any other record. Does not use
     /// `append_or_defer`: a compaction before all of them are written would leave out the rest.
-    pub(super) fn write_taken_over(&mut self, mut records: Vec<Record>, mark: Option<FileMark>) {
-        records.extend(mark.map(Record::Adopted));
+    pub(super) fn write_taken_over(&mut self, mut records: Vec<Record>, mark: Option<FileFingerprint>) {
+        records.extend(mark.map(Record::TakenOver));
         self.adopted_file = mark.or(self.adopted_file);
         self.journal.defer(records.iter());
         if let Err(e) = self.journal.flush_deferred() {
@@ -106,7 +106,7 @@
     /// When writing deferred records or compacting is next tried.
     pub(super) fn journal_due(&self) -> Option<Ms> {
         let flush = self.journal.has_deferred().then_some(self.flush_at);
-        let compact = self.journal.is_full().then_some(self.compact_at);
+        let compact = self.journal.needs_compaction().then_some(self.compact_at);
         flush.into_iter().chain(compact).min_by(f64::total_cmp)
     }
 }
@@ -117,12 +117,12 @@
     /// Its records.
     pub records: Vec<Record>,
     /// Identifies the file.
-    pub mark: FileMark,
+    pub mark: FileFingerprint,
 }
 
-fn taken_number(record: &Record) -> Option<CallNo> {
+fn taken_number(record: &Record) -> Option<MessageNo> {
     match record {
-        Record::Taken(t) => Some(t.no),
+        Record::Accepted(t) => Some(t.no),
         _ => None,
     }
 }
@@ -131,43 +131,48 @@
 /// to copy messages, and nothing was done with the copies: the file with more records of a message is the one
 /// that the message came from.
 fn without_copies(own: Vec<Record>, left: Vec<Record>) -> (Vec<Record>, Vec<Record>) {
-    let identities = |records: &[Record]| -> BTreeSet<(CallNo, Identity)> {
+    let identities = |records: &[Record]| -> BTreeSet<(MessageNo, Identity)> {
         let identity = |r: &Record| match r {
-            Record::Taken(t) => Some((t.no, t.identity.clone())),
+            Record::Accepted(t) => Some((t.no, t.identity.clone())),
             _ => None,
         };
         records.iter().filter_map(identity).collect()
     };
-    let both: BTreeSet<CallNo> =
+    let both: BTreeSet<MessageNo> =
         identities(&own).intersection(&identities(&left)).map(|(no, _)| *no).collect();
     if both.is_empty() {
         return (own, left);
     }
-    let record_counts = |records: &[Record]| -> BTreeMap<CallNo, usize> {
+    let record_counts = |records: &[Record]| -> BTreeMap<MessageNo, usize> {
         let mut record_counts = BTreeMap::new();
-        for no in records.iter().filter_map(Record::call).filter(|no| both.contains(no)) {
+        for no in records.iter().filter_map(Record::message_no).filter(|no| both.contains(no)) {
             *record_counts.entry(no).or_default() += 1;
         }
         record_counts
     };
     let (by_own, by_left) = (record_counts(&own), record_counts(&left));
-    let copied_to_own = |no: CallNo| by_own.get(&no) < by_left.get(&no);
-    let keep = |records: Vec<Record>, drop: &dyn Fn(CallNo) -> bool| -> Vec<Record> {
-        records.into_iter().filter(|r| !r.call().is_some_and(|no| both.contains(&no) && drop(no))).collect()
+    let copied_to_own = |no: MessageNo| by_own.get(&no) < by_left.get(&no);
+    let keep = |records: Vec<Record>, drop: &dyn Fn(MessageNo) -> bool| -> Vec<Record> {
+        records
+            .into_iter()
+            .filter(|r| !r.message_no().is_some_and(|no| both.contains(&no) && drop(no)))
+            .collect()
     };
     (keep(own, &copied_to_own), keep(left, &|no| !copied_to_own(no)))
 }
 
 /// The same record with its message number increased by `base`.
-fn renumber(record: Record, base: CallNo) -> Record {
+fn renumber(record: Record, base: MessageNo) -> Record {
     match record {
-        Record::Taken(mut taken) => {
+        Record::Accepted(mut taken) => {
             taken.no += base;
-            Record::Taken(taken)
+            Record::Accepted(taken)
         }
-        Record::State { no, attempts, ran, out } => Record::State { no: no + base, attempts, ran, out },
-        Record::Ended { no, ending } => Record::Ended { no: no + base, ending },
-        Record::Over { no, until } => Record::Over { no: no + base, until },
+        Record::Attempts { no, attempts, may_have_run: ran, in_progress: out } => {
+            Record::Attempts { no: no + base, attempts, may_have_run: ran, in_progress: out }
+        }
+        Record::FinalAnswer { no, ending } => Record::FinalAnswer { no: no + base, ending },
+        Record::Settled { no, until } => Record::Settled { no: no + base, until },
         other => other,
     }
 }
--- a/src/dispatch/hints.rs
+++ b/src/dispatch/hints.rs
@@ -8,9 +8,9 @@
 
 use super::{Core, Withheld};
 use crate::api::*;
-use crate::config::WorkerList;
-use crate::journal::CallNo;
-use crate::kept::Kept;
+use crate::config::EndpointList;
+use crate::journal::MessageNo;
+use crate::kept::CachedList;
 use crate::state::Random;
 use crate::together::Recovery;
 use lilacbank_limits::ramp::{Health, HealthTracker, Ramp, RememberedHealth};
@@ -43,7 +43,7 @@
     spec: Recovery,
     ramp: Option<Ramp>,
     memory: HealthTracker,
-    confirmed_endpoints: BTreeSet<RouteId>,
+    confirmed_endpoints: BTreeSet<EndpointId>,
     /// Until then a repeated submission of an at-most-once message may have been sent by a lost incarnation.
     unproven_until: Ms,
     next_check: Ms,
@@ -62,7 +62,7 @@
         let first = if crashing { spec.first_rate / 2.0 } else { spec.first_rate };
         let ramp = (enabled && spec.ramp).then(|| Ramp::begin(now, first, former));
         // By then every message that an earlier incarnation accepted has reached its deadline.
-        let longest = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).map(|c| c.deadline);
+        let longest = settings.classes.iter().filter(|c| c.effect == Effect::AtMostOnce).map(|c| c.deadline);
         let unproven = enabled && spec.refuse_again && unproven;
         RecoveryState {
             ramp,
@@ -88,9 +88,13 @@
 
 impl Core {
     /// Identifies what shares a limit with the endpoint: its own id, or that of its destination.
-    fn limit_group(&self, route: RouteId) -> Option<String> {
+    fn limit_group(&self, route: EndpointId) -> Option<String> {
         let w = self.endpoint(route)?;
-        Some(if self.settings.kind(w.kind).apart { w.uid.clone() } else { format!("dest {}", w.dest) })
+        Some(if self.settings.kind(w.kind).per_endpoint_limit {
+            w.uid.clone()
+        } else {
+            format!("dest {}", w.destination)
+        })
     }
 
     /// Sets what the start knows of earlier incarnations; called before any endpoint list arrives.
@@ -100,7 +104,7 @@
 
     /// The endpoint list has changed: ramps begin, and endpoints are confirmed if they come from the registry
     /// and not from the cached list.
-    pub(super) fn recovery_list_changed(&mut self, now: Ms, listed: &[RouteId], cached: bool) {
+    pub(super) fn recovery_list_changed(&mut self, now: Ms, listed: &[EndpointId], cached: bool) {
         if !self.recovery.spec.enabled {
             return;
         }
@@ -111,7 +115,7 @@
                 ramp.add_destination(now, &member, draw);
             }
             self.mark_capacity_changed(*route);
-            if !cached && self.endpoint(*route).is_some_and(|w| w.listing == Listing::Ready) {
+            if !cached && self.endpoint(*route).is_some_and(|w| w.state == ServiceState::InService) {
                 self.confirm_endpoint(*route);
             }
         }
@@ -129,22 +133,22 @@
             let ready = self
                 .endpoints
                 .iter()
-                .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.listing == Listing::Ready);
-            let ready: Vec<RouteId> = ready.map(|(r, _)| *r).collect();
+                .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.state == ServiceState::InService);
+            let ready: Vec<EndpointId> = ready.map(|(r, _)| *r).collect();
             ready.into_iter().for_each(|r| self.confirm_endpoint(r));
         }
     }
 
     /// Confirms an endpoint: at-most-once messages that waited for its destination go to the decision module.
-    fn confirm_endpoint(&mut self, route: RouteId) {
+    fn confirm_endpoint(&mut self, route: EndpointId) {
         if !self.recovery.withholds_at_most_once() || !self.recovery.confirmed_endpoints.insert(route) {
             return;
         }
-        let Some(dest) = self.endpoint(route).map(|w| w.dest) else { return };
+        let Some(dest) = self.endpoint(route).map(|w| w.destination) else { return };
         let waits = |c: &super::HeldMessage| {
-            c.withheld == Some(Withheld::EndpointUnconfirmed) && c.taken.dest == dest
+            c.withheld == Some(Withheld::EndpointUnconfirmed) && c.taken.destination == dest
         };
-        let waiting: Vec<CallNo> =
+        let waiting: Vec<MessageNo> =
             self.messages.iter().filter(|(_, c)| waits(c)).map(|(no, _)| *no).collect();
         waiting.into_iter().for_each(|no| self.resume(no));
     }
@@ -165,8 +169,8 @@
     }
 
     pub(super) fn is_at_most_once_class(&self, class: &str) -> bool {
-        let class = crate::config::place(&self.names.classes, class);
-        class.and_then(|c| self.settings.classes.get(c)).is_some_and(|c| c.effect == Effect::Unsafe)
+        let class = crate::config::index_of(&self.names.classes, class);
+        class.and_then(|c| self.settings.classes.get(c)).is_some_and(|c| c.effect == Effect::AtMostOnce)
     }
 
     /// Whether this repeated submission may have been sent by an incarnation that the state folder knows
@@ -176,7 +180,7 @@
     }
 
     /// Whether an attempt may go to the endpoint now; else the delay before it is decided on again.
-    pub(super) fn recovery_allows(&mut self, now: Ms, no: CallNo, route: RouteId) -> Result<(), Ms> {
+    pub(super) fn recovery_allows(&mut self, now: Ms, no: MessageNo, route: EndpointId) -> Result<(), Ms> {
         if !self.recovery.spec.enabled {
             return Ok(());
         }
@@ -199,15 +203,16 @@
     }
 
     /// How many calls the ramp allows, and when it allows more.
-    pub(super) fn ramp_room(&mut self, now: Ms, route: RouteId) -> (u32, Ms) {
+    pub(super) fn ramp_room(&mut self, now: Ms, route: EndpointId) -> (u32, Ms) {
         let Some(member) = self.limit_group(route) else { return (u32::MAX, now) };
         let room = self.recovery.ramp.as_mut().and_then(|r| r.room(now, &member));
         room.unwrap_or((u32::MAX, now))
     }
 
     /// Marks the capacity of an endpoint's destination as changed.
-    fn mark_capacity_changed(&mut self, route: RouteId) {
-        if let Some(dest) = self.endpoint(route).map(|w| w.dest).filter(|_| self.recovery.is_ramping()) {
+    fn mark_capacity_changed(&mut self, route: EndpointId) {
+        if let Some(dest) = self.endpoint(route).map(|w| w.destination).filter(|_| self.recovery.is_ramping())
+        {
             self.ceilings.mark_changed_at(self.now, dest);
         }
     }
@@ -216,7 +221,7 @@
     pub(super) fn record_endpoint_response(
         &mut self,
         now: Ms,
-        route: RouteId,
+        route: EndpointId,
         outcome: Outcome,
         probe: bool,
     ) {
@@ -252,7 +257,7 @@
                 self.recovery.ramp = None;
                 self.reported_capacity.keys().map(|k| k.0).collect::<BTreeSet<_>>().into_iter().for_each(
                     |r| {
-                        if let Some(dest) = self.endpoint(r).map(|w| w.dest) {
+                        if let Some(dest) = self.endpoint(r).map(|w| w.destination) {
                             self.ceilings.mark_changed_at(now, dest);
                         }
                     },
@@ -275,8 +280,8 @@
         if let Some(ramp) = &mut self.recovery.ramp {
             ramp.update_from_peer(now, member, former);
         }
-        let of = |r: &RouteId| self.limit_group(*r).as_deref() == Some(member);
-        let routes: Vec<RouteId> = self.endpoints.keys().copied().filter(of).collect();
+        let of = |r: &EndpointId| self.limit_group(*r).as_deref() == Some(member);
+        let routes: Vec<EndpointId> = self.endpoints.keys().copied().filter(of).collect();
         routes.into_iter().for_each(|r| self.mark_capacity_changed(r));
     }
 
@@ -293,13 +298,13 @@
             .iter()
             .filter(|(_, c)| c.withheld == Some(Withheld::EndpointUnconfirmed) && c.ending.is_none())
         {
-            dests.insert(c.taken.dest);
+            dests.insert(c.taken.destination);
             if now + RETURN_MARGIN + PROBE_INTERVAL >= c.taken.valid_until {
                 late.push(*no);
             }
         }
         (self.recovery.has_waiting, self.recovery.next_check) = (!dests.is_empty(), now + PROBE_INTERVAL);
-        let wait = NO_ENDPOINT_RETRY_AFTER.min(self.settings.max_advice);
+        let wait = NO_ENDPOINT_RETRY_AFTER.min(self.settings.max_retry_after);
         // Nothing of them was sent since the start or before, so their clients may submit them again.
         late.into_iter().for_each(|no| self.return_message(now, no, wait));
         if !self.settings.can_probe {
@@ -307,8 +312,9 @@
         }
         for dest in dests {
             let routes = self.endpoints_of.get(&dest).cloned().unwrap_or_default();
-            let ready = |r: &&RouteId| self.endpoint(**r).is_some_and(|w| w.listing == Listing::Ready);
-            let ready: Vec<RouteId> = routes.iter().filter(ready).copied().collect();
+            let ready =
+                |r: &&EndpointId| self.endpoint(**r).is_some_and(|w| w.state == ServiceState::InService);
+            let ready: Vec<EndpointId> = routes.iter().filter(ready).copied().collect();
             let pick = (self.recovery.random.next() * ready.len() as f64) as usize;
             ready.get(pick).copied().into_iter().for_each(|r| self.probe(now, r));
         }
@@ -320,15 +326,15 @@
     }
 
     /// What is stored for the next incarnation; `None` where recovery is disabled.
-    pub fn kept(&self, now: Ms, installation: u32, rev: u64) -> Option<Kept> {
+    pub fn kept(&self, now: Ms, installation: u32, rev: u64) -> Option<CachedList> {
         if !self.recovery.spec.enabled {
             return None;
         }
         let workers =
             self.endpoints.values().filter(|w| w.gone_since.is_none()).map(|w| w.endpoint.clone()).collect();
-        let list = WorkerList { rev, whole: true, workers };
+        let list = EndpointList { revision: rev, is_complete: true, endpoints: workers };
         let health = self.recovery.memory.all(now).map(|(m, h)| (m.to_string(), h));
-        Some(Kept::new(installation, (now, self.journal.clocks()), &list, &self.names, health))
+        Some(CachedList::new(installation, (now, self.journal.clocks()), &list, &self.names, health))
     }
 }
 
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -31,10 +31,10 @@
 mod waits;
 
 use crate::api::*;
-use crate::config::{Names, Worker};
+use crate::config::{Names, RegistryEndpoint};
 use crate::guard;
-use crate::journal::{CallNo, Ending, FileMark, Identity, Journal, Sent};
-use crate::logging::Complaint;
+use crate::journal::{AttemptSent, Ending, FileFingerprint, Identity, Journal, MessageNo};
+use crate::logging::LogThrottle;
 use lilacbank_cells::wire::Envelope;
 use lilacbank_limits::{DestinationLimit, RateLimiter};
 use lilacbank_replica::wire::Envelope as MateEnvelope;
@@ -85,11 +85,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Delegation {
     /// The message.
-    pub no: CallNo,
+    pub no: MessageNo,
     /// The number of the attempt within the message, from 0.
     pub attempt: u32,
     /// The endpoint.
-    pub route: RouteId,
+    pub route: EndpointId,
     /// The endpoint's address.
     pub address: String,
     /// The destination; its endpoints share limits and waits.
@@ -115,7 +115,7 @@
     /// The retry-after that the endpoint asked for; 0 if none.
     pub wait: Ms,
     /// What the endpoint reported of its limit.
-    pub report: Report,
+    pub report: LimitReport,
     /// The platform has ended the message.
     pub over: bool,
     /// A part of an answer was received.
@@ -134,7 +134,7 @@
 impl End {
     /// An end with nothing but its outcome.
     pub fn of(outcome: Outcome) -> End {
-        let (wait, report, refused) = (0.0, Report::default(), None);
+        let (wait, report, refused) = (0.0, LimitReport::default(), None);
         let (over, heard, confirmed, pending, at) = (false, false, None, None, None);
         End { outcome, wait, report, over, heard, refused, confirmed, pending, at }
     }
@@ -144,7 +144,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Told {
     /// The message's number, by which the answer is confirmed.
-    pub no: CallNo,
+    pub no: MessageNo,
     /// The client, and the id that it gave the message.
     pub identity: Identity,
     /// How the message ended.
@@ -170,7 +170,7 @@
     /// Cancel an attempt. Its end is reported to [`Core::outcome`] once the endpoint knows of it.
     Abandon {
         /// The message.
-        no: CallNo,
+        no: MessageNo,
         /// The number of the attempt.
         attempt: u32,
         /// The outcome if the attempt was written and no answer comes after all.
@@ -182,12 +182,12 @@
         /// The destination.
         dest: DestId,
         /// The endpoint, where its waits are its own.
-        route: Option<RouteId>,
+        route: Option<EndpointId>,
     },
     /// Probe an endpoint; the result is reported to [`Core::probed`].
     Probe {
         /// The endpoint.
-        route: RouteId,
+        route: EndpointId,
         /// Its destination.
         dest: DestId,
         /// Its address.
@@ -196,7 +196,7 @@
     /// Close idle connections to an endpoint.
     CloseIdle {
         /// The endpoint.
-        route: RouteId,
+        route: EndpointId,
         /// Its address.
         address: String,
     },
@@ -233,7 +233,7 @@
 #[derive(Debug, Clone)]
 struct OutstandingAttempt {
     attempt: u32,
-    route: RouteId,
+    route: EndpointId,
     sent_at: Ms,
     timeout_at: Ms,
     /// The attempt's record is in the journal.
@@ -277,12 +277,12 @@
 /// An accepted message.
 #[derive(Debug, Clone)]
 struct HeldMessage {
-    taken: crate::journal::Taken,
+    taken: crate::journal::AcceptedMessage,
     attempts: u32,
     /// The outcome of the last attempt by this process; logged when the next one starts.
     last_outcome: Option<Outcome>,
     /// When and in which zone the first attempt was sent that may have run.
-    ran: Option<Sent>,
+    ran: Option<AttemptSent>,
     out: Option<OutstandingAttempt>,
     ending: Option<Ending>,
     /// The cell that it belongs to.
@@ -293,13 +293,13 @@
     /// The end of an attempt that delivered the message close to its deadline, so that the platform may not
     /// have counted it as delivered. The decision module learns of it, and frees the key and the slot, once
     /// the platform has confirmed the final answer.
-    unreported_end: Option<Ended>,
+    unreported_end: Option<AttemptEnd>,
 }
 
 /// What is remembered of an identity: the message that it names, or how that message ended.
 #[derive(Debug, Clone)]
 struct KnownIdentity {
-    no: CallNo,
+    no: MessageNo,
     verdict: Verdict,
     ending: Option<Ending>,
     until: Ms,
@@ -310,7 +310,7 @@
 /// An endpoint of the list, and since when it is gone from the list.
 #[derive(Debug, Clone)]
 struct ListedEndpoint {
-    endpoint: Worker,
+    endpoint: RegistryEndpoint,
     gone_since: Option<Ms>,
 }
 
@@ -355,16 +355,16 @@
     settings: Settings,
     names: Names,
     journal: Journal,
-    endpoints: BTreeMap<RouteId, ListedEndpoint>,
-    endpoint_by_id: HashMap<String, RouteId>,
-    next_route: RouteId,
-    messages: BTreeMap<CallNo, HeldMessage>,
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
+    endpoint_by_id: HashMap<String, EndpointId>,
+    next_route: EndpointId,
+    messages: BTreeMap<MessageNo, HeldMessage>,
     identities: HashMap<Identity, KnownIdentity>,
     /// Identities, ordered by when they may be forgotten.
     identity_expiry: BTreeSet<(u64, Identity)>,
-    next_message_no: CallNo,
+    next_message_no: MessageNo,
     /// The number of the first message that this process accepts itself.
-    first_message_no: CallNo,
+    first_message_no: MessageNo,
     /// State for the start after an earlier process: endpoint confirmation, rate ramps and member health.
     recovery: RecoveryState,
     /// Replication of messages to other dispatchers, where it is enabled.
@@ -382,13 +382,13 @@
     /// Refusals and violations of the rules on sending and closing.
     pub guard: guard::Counts,
     /// The journal file that was taken over last; it may still exist.
-    adopted_file: Option<FileMark>,
+    adopted_file: Option<FileFingerprint>,
     /// The journal file still holds records that a later process has taken over and continued.
     superseded: bool,
     /// Limits how often failed journal writes are logged.
-    append_errors: Complaint,
+    append_errors: LogThrottle,
     /// Limits how often failed compactions are logged.
-    compaction_errors: Complaint,
+    compaction_errors: LogThrottle,
     /// When writing the deferred journal records is next tried.
     flush_at: Ms,
     /// When a compaction may be tried again.
@@ -396,19 +396,19 @@
     live_bytes: u64,
     identity_bytes: u64,
     /// Verdicts on messages that ended while their clients still wait for the verdict of this turn.
-    verdicts: HashMap<CallNo, Verdict>,
+    verdicts: HashMap<MessageNo, Verdict>,
     /// Clients that wait for the verdict of this turn.
-    awaiting_verdict: Vec<(CallNo, Ticket)>,
+    awaiting_verdict: Vec<(MessageNo, Ticket)>,
     orders: Vec<Order>,
     ceilings: RateLimiter,
     at_most_once: AtMostOnce,
     /// Endpoints by destination.
-    endpoints_of: BTreeMap<DestId, Vec<RouteId>>,
+    endpoints_of: BTreeMap<DestId, Vec<EndpointId>>,
     /// The capacity last reported to the decision module, by endpoint and cell: calls, when there is more,
     /// and connections.
-    reported_capacity: HashMap<(RouteId, usize), (u32, Ms, u32)>,
+    reported_capacity: HashMap<(EndpointId, usize), (u32, Ms, u32)>,
     /// Outstanding probes, and what each counts against promised limits.
-    probes: HashMap<RouteId, Option<pace::Charge>>,
+    probes: HashMap<EndpointId, Option<pace::Charge>>,
     /// Names that are no longer configured, while messages that use them are held.
     retired: Names,
     /// The time of the last event.
@@ -423,7 +423,7 @@
     /// Ids of the endpoints that operators have blocked.
     blocked_endpoints: BTreeSet<String>,
     /// Endpoints that the decision module has probed and not sent to since.
-    avoided: BTreeSet<RouteId>,
+    avoided: BTreeSet<EndpointId>,
 }
 
 impl Core {
@@ -433,7 +433,12 @@
             backlog: backlog::Backlog::default(),
             replication: None,
             recovery: RecoveryState::new(0.0, Past::default(), &parts.settings),
-            cells: Cells::new(&parts.settings, &parts.cells, &parts.promises, parts.journal.room()),
+            cells: Cells::new(
+                &parts.settings,
+                &parts.cells,
+                &parts.promises,
+                parts.journal.live_records_limit(),
+            ),
             ownership: Ownership::new(parts.mesh),
             settings: parts.settings,
             names: parts.names,
@@ -453,8 +458,8 @@
             guard: guard::Counts::default(),
             adopted_file: None,
             superseded: false,
-            append_errors: Complaint::default(),
-            compaction_errors: Complaint::default(),
+            append_errors: LogThrottle::default(),
+            compaction_errors: LogThrottle::default(),
             flush_at: 0.0,
             compact_at: 0.0,
             live_bytes: 0,
@@ -499,18 +504,18 @@
     /// # Errors
     ///
     /// Its lock or its file cannot be read.
-    pub fn other(&self) -> std::io::Result<crate::journal::Other> {
-        self.journal.other()
+    pub fn other(&self) -> std::io::Result<crate::journal::SiblingFile> {
+        self.journal.check_sibling_file()
     }
 
     /// Reports whether another process serves on the state folder. Once that process has ended, messages
     /// withheld because of it go to the decision module, after those taken over from it.
     pub fn beside(&mut self, now: Ms, lives: bool) {
-        self.journal.share(lives);
+        self.journal.set_shared(lives);
         if !self.sibling.observe_folder(now, lives) {
             return;
         }
-        let held: Vec<CallNo> = self
+        let held: Vec<MessageNo> = self
             .messages
             .iter()
             .filter(|(_, c)| c.withheld == Some(Withheld::SiblingProcess))
@@ -559,7 +564,7 @@
     /// Applies changed settings, under names that [`crate::config::Names::carry`] has made compatible. Held
     /// messages, outstanding attempts, retry-afters and drains are kept.
     pub fn reload(&mut self, now: Ms, parts: Reloaded) {
-        self.cells.all.iter_mut().for_each(|c| c.brain.adopt(parts.settings.clone()));
+        self.cells.all.iter_mut().for_each(|c| c.brain.update_settings(parts.settings.clone()));
         (self.settings, self.names, self.retired) = (parts.settings, parts.names, parts.retired);
         self.cells.change(now, &self.settings, &parts.promises);
         self.ceilings.set_limits(now, parts.promises);
@@ -571,6 +576,6 @@
     /// process.
     pub fn close(&mut self, at: Ms) {
         self.closing = Some(at);
-        self.cells.post_all(&Event::Closing(at));
+        self.cells.post_all(&Event::ProcessEndsAt(at));
     }
 }
--- a/src/dispatch/once.rs
+++ b/src/dispatch/once.rs
@@ -6,7 +6,7 @@
 //! restart. No I/O, no clock.
 
 use crate::api::Ms;
-use crate::journal::{CallNo, Ending};
+use crate::journal::{Ending, MessageNo};
 use std::collections::{BTreeSet, HashMap};
 
 /// Bytes that a remembered message takes in the journal beyond its name.
@@ -18,14 +18,14 @@
     /// Nothing: it may be accepted.
     New,
     /// It is held, under this number.
-    Held(CallNo),
+    Held(MessageNo),
     /// It ended in this way, and may have run.
     Ended(Ending),
 }
 
 #[derive(Debug, Clone)]
 enum RememberedState {
-    Held(CallNo),
+    Held(MessageNo),
     /// How it ended, until when it is remembered, and its tenant where tenants may move.
     Ended(Ending, Ms, String),
 }
@@ -96,14 +96,14 @@
     }
 
     /// A message was accepted.
-    pub fn hold(&mut self, name: String, no: CallNo) {
+    pub fn hold(&mut self, name: String, no: MessageNo) {
         self.put(name, RememberedState::Held(no));
     }
 
     /// A message ended. One that was returned never ran, and may be accepted again. Any other is remembered,
     /// and the time until when is returned, to be written to the journal.
     pub fn end(&mut self, now: Ms, class: &str, name: &str, ending: Ending, tenant: String) -> Option<Ms> {
-        if matches!(ending, Ending::HandedBack(_)) {
+        if matches!(ending, Ending::Returned(_)) {
             self.forget(name);
             return None;
         }
@@ -166,7 +166,7 @@
         assert_ne!(once.entry_name("pay", "", "k"), Some(keyed.clone()), "an id is not a key");
         once.hold(keyed.clone(), 7);
         assert_eq!(once.check(&keyed), RepeatCheck::Held(7));
-        assert_eq!(once.end(0.0, "pay", &keyed, Ending::HandedBack(5.0), String::new()), None);
+        assert_eq!(once.end(0.0, "pay", &keyed, Ending::Returned(5.0), String::new()), None);
         assert_eq!((once.check(&keyed), once.bytes()), (RepeatCheck::New, 0));
         once.hold(keyed.clone(), 8);
         assert_eq!(once.end(10.0, "pay", &keyed, Ending::GivenUp, String::new()), Some(1_010.0));
--- a/src/dispatch/order.rs
+++ b/src/dispatch/order.rs
@@ -1,22 +1,22 @@
 //! The messages of each ordered key that have not ended, in the order in which they were accepted.
 
-use crate::journal::{CallNo, Taken};
+use crate::journal::{AcceptedMessage, MessageNo};
 use std::collections::{BTreeSet, HashMap};
 
 /// The held messages of ordered keys.
 #[derive(Debug, Default)]
-pub struct KeyOrder(HashMap<u64, BTreeSet<CallNo>>);
+pub struct KeyOrder(HashMap<u64, BTreeSet<MessageNo>>);
 
 impl KeyOrder {
     /// Adds a message.
-    pub fn insert(&mut self, taken: &Taken) {
+    pub fn insert(&mut self, taken: &AcceptedMessage) {
         if let Some(key) = taken.key {
             self.0.entry(key).or_default().insert(taken.no);
         }
     }
 
     /// Removes a message.
-    pub fn remove(&mut self, no: CallNo, key: Option<u64>) {
+    pub fn remove(&mut self, no: MessageNo, key: Option<u64>) {
         let Some(key) = key else { return };
         if let Some(messages) = self.0.get_mut(&key) {
             messages.remove(&no);
@@ -27,7 +27,7 @@
     }
 
     /// Whether an earlier message of the same key is held.
-    pub fn has_earlier(&self, taken: &Taken) -> bool {
+    pub fn has_earlier(&self, taken: &AcceptedMessage) -> bool {
         let messages = taken.key.and_then(|key| self.0.get(&key));
         messages.and_then(BTreeSet::first).is_some_and(|first| *first < taken.no)
     }
@@ -39,7 +39,7 @@
 
     #[test]
     fn a_message_has_its_turn_once_all_earlier_ones_of_its_key_have_ended() {
-        let taken = |no, key| Taken { no, key, ..Taken::default() };
+        let taken = |no, key| AcceptedMessage { no, key, ..AcceptedMessage::default() };
         let (a, b, other, free) = (taken(1, Some(7)), taken(2, Some(7)), taken(3, Some(8)), taken(4, None));
         let mut order = KeyOrder::default();
         [&b, &a, &other, &free].into_iter().for_each(|t| order.insert(t));
--- a/src/dispatch/pace.rs
+++ b/src/dispatch/pace.rs
@@ -5,7 +5,7 @@
 
 use super::{Core, End, Order};
 use crate::api::*;
-use crate::journal::{CallNo, Record};
+use crate::journal::{MessageNo, Record};
 use lilacbank_limits::CallStep;
 
 /// An attempt or probe that counts against a promised limit.
@@ -42,7 +42,10 @@
                     let reported = (calls, if calls == 0 { at } else { 0.0 }, links);
                     if self.reported_capacity.get(&(*route, cell)) != Some(&reported) {
                         self.reported_capacity.insert((*route, cell), reported);
-                        self.cells.post(cell, Event::Room { route: *route, calls, again: at, links });
+                        self.cells.post(
+                            cell,
+                            Event::QuotaLeft { endpoint: *route, calls, more_at: at, max_connections: links },
+                        );
                     }
                 }
             }
@@ -54,8 +57,8 @@
 
     /// Counts an attempt or a probe against the endpoint's promised limit, and writes that to the journal;
     /// returns the time to wait if it does not fit.
-    pub(super) fn charge(&mut self, now: Ms, cell: usize, route: RouteId) -> Result<Option<Charge>, Ms> {
-        let Some((dest, uid)) = self.endpoint(route).map(|w| (w.dest, w.uid.clone())) else {
+    pub(super) fn charge(&mut self, now: Ms, cell: usize, route: EndpointId) -> Result<Option<Charge>, Ms> {
+        let Some((dest, uid)) = self.endpoint(route).map(|w| (w.destination, w.uid.clone())) else {
             return Ok(None);
         };
         if self.ceilings.limit(dest).is_none() {
@@ -89,7 +92,7 @@
 
     fn record_step(&mut self, now: Ms, charge: &Charge, step: CallStep) -> bool {
         let Some(spent) = self.ceilings.call_record(now, charge.dest, &charge.uid, step) else { return true };
-        let done = self.journal.append(&Record::CallRecord(spent));
+        let done = self.journal.append(&Record::CallsCounted(spent));
         if let Err(e) = &done {
             log::error!(member = charge.dest, worker = charge.uid.as_str(), cause:% = e;
                 "a counted request cannot be recorded in the journal");
@@ -120,18 +123,18 @@
     }
 
     /// Reports an attempt that does not fit as not sent to the decision module at once, with the wait.
-    pub(super) fn report_unsent(&mut self, now: Ms, no: CallNo, attempt: u32, wait: Ms) {
+    pub(super) fn report_unsent(&mut self, now: Ms, no: MessageNo, attempt: u32, wait: Ms) {
         self.counters.over_limit += 1;
         self.outcome(now, no, attempt, End { wait, ..End::of(Outcome::NotSent) });
     }
 
     /// Orders a probe if it fits: a probe counts as a call. An outstanding probe serves all cells.
-    pub(super) fn probe(&mut self, now: Ms, route: RouteId) {
+    pub(super) fn probe(&mut self, now: Ms, route: EndpointId) {
         if self.probes.contains_key(&route) {
             return;
         }
         let allowed = self.guard_endpoint(now, route).map(|e| crate::guard::may_probe(now, &e));
-        let charge = match allowed.map(|answer| self.guard.note(answer)) {
+        let charge = match allowed.map(|answer| self.guard.record(answer)) {
             Some(Ok(())) => self.charge(now, PROBE_CELL, route),
             _ => Err(0.0),
         };
@@ -139,49 +142,54 @@
             Ok(charge) => drop(self.probes.insert(route, charge)),
             Err(_) => {
                 self.counters.over_limit += 1;
-                let report = Report::default();
-                let ended = Event::Probed { route, outcome: Outcome::NotSent, took: 0.0, report };
+                let report = LimitReport::default();
+                let ended =
+                    Event::ProbeEnded { endpoint: route, outcome: Outcome::NotSent, took: 0.0, report };
                 return self.cells.post_all(&ended);
             }
         }
         self.counters.probes += 1;
         let address = self.address(route);
-        let dest = self.endpoint(route).map_or(0, |w| w.dest);
+        let dest = self.endpoint(route).map_or(0, |w| w.destination);
         self.orders.push(Order::Probe { route, dest, address });
     }
 
     /// The last byte of a probe has been written.
-    pub fn probe_written(&mut self, now: Ms, route: RouteId) {
+    pub fn probe_written(&mut self, now: Ms, route: EndpointId) {
         let Some(mut charge) = self.probes.get_mut(&route).and_then(Option::take) else { return };
         self.charge_written(now, &mut charge);
         self.probes.insert(route, Some(charge));
     }
 
     /// A probe ended.
-    pub fn probed(&mut self, now: Ms, route: RouteId, outcome: Outcome, took: Ms, report: Report) {
+    pub fn probed(&mut self, now: Ms, route: EndpointId, outcome: Outcome, took: Ms, report: LimitReport) {
         if let Some(charge) = self.probes.remove(&route).flatten() {
             self.charge_ended(now, PROBE_CELL, charge);
         }
         self.record_endpoint_response(now, route, outcome, true);
-        self.cells.post_all(&Event::Probed { route, outcome, took, report });
+        self.cells.post_all(&Event::ProbeEnded { endpoint: route, outcome, took, report });
     }
 
     /// Reports the end of an attempt to its cell, and the retry-after that it brought to all other cells.
-    pub(super) fn post_end(&mut self, cell: usize, ended: Ended) {
+    pub(super) fn post_end(&mut self, cell: usize, ended: AttemptEnd) {
         // An attempt that was not sent was held back by the cell's own share: the member asked for no wait.
-        if ended.wait > 0.0 && ended.outcome != Outcome::NotSent {
+        if ended.retry_after > 0.0 && ended.outcome != Outcome::NotSent {
             for other in (0..self.cells.all.len()).filter(|n| *n != cell) {
-                let wait = Ended { id: NO_MESSAGE, report: Report::default(), ..ended };
-                self.cells.post(other, Event::Ended(wait));
+                let wait = AttemptEnd { id: NO_MESSAGE, report: LimitReport::default(), ..ended };
+                self.cells.post(other, Event::AttemptEnded(wait));
             }
         }
-        self.cells.post(cell, Event::Ended(ended));
+        self.cells.post(cell, Event::AttemptEnded(ended));
     }
 
     /// Reports a retry-after to all cells that no attempt of theirs has brought.
-    pub(super) fn post_retry_after(&mut self, route: RouteId, wait: Ms) {
-        let reported = Ended { wait, heard: true, ..Ended::of(NO_MESSAGE, 0, route, Outcome::Refused) };
-        self.cells.post_all(&Event::Ended(reported));
+    pub(super) fn post_retry_after(&mut self, route: EndpointId, wait: Ms) {
+        let reported = AttemptEnd {
+            retry_after: wait,
+            answer_begun: true,
+            ..AttemptEnd::new(NO_MESSAGE, 0, route, Outcome::Refused)
+        };
+        self.cells.post_all(&Event::AttemptEnded(reported));
     }
 
     /// How long a client would have to wait before a message with this much time left could be delivered in
@@ -189,8 +197,9 @@
     pub(super) fn admission_wait(&mut self, now: Ms, dest: DestId, left: Ms) -> Option<Ms> {
         self.ceilings.limit(dest)?;
         let routes = self.endpoints_of.get(&dest).into_iter().flatten();
-        let up =
-            routes.filter_map(|r| self.endpoints.get(r)).filter(|w| w.endpoint.listing == Listing::Ready);
+        let up = routes
+            .filter_map(|r| self.endpoints.get(r))
+            .filter(|w| w.endpoint.state == ServiceState::InService);
         let uids: Vec<&str> = up.map(|w| w.endpoint.uid.as_str()).collect();
         let at = self.ceilings.estimated_start(now, dest, &uids);
         (at > now + left).then(|| (at - now - left).max(1.0))
@@ -200,6 +209,6 @@
 /// Probes count against the first cell's share, and are reported to all.
 const PROBE_CELL: usize = 0;
 /// The number of no message: an event under it concerns its endpoint alone.
-const NO_MESSAGE: MsgId = 0;
+const NO_MESSAGE: MessageId = 0;
 /// The delay after an attempt that could not be written to the journal.
 pub(super) const JOURNAL_RETRY_DELAY: Ms = 100.0;
--- a/src/dispatch/relay.rs
+++ b/src/dispatch/relay.rs
@@ -3,8 +3,8 @@
 use super::unconfirmed::UnconfirmedAttempt;
 use super::{Core, End, Order};
 use crate::api::*;
-use crate::guard::{self, CONFIRM_MOST};
-use crate::journal::{CallNo, Ending, Sent};
+use crate::guard::{self, CONFIRM_TIMEOUT};
+use crate::journal::{AttemptSent, Ending, MessageNo};
 
 /// An answer that came this shortly before the message's deadline by the dispatcher's clock may have come
 /// after it by the platform's, which counts from the last byte of the request: the request spent some time in
@@ -17,9 +17,9 @@
 impl Core {
     /// An attempt ended. Exactly one outcome counts for each attempt; once it is booked, only the
     /// confirmation that its endpoint knows of the end still matters.
-    pub fn outcome(&mut self, now: Ms, no: CallNo, attempt: u32, end: End) {
-        let quiet = if end.outcome.never_ran() { 0.0 } else { self.settings.key_quiet };
-        end.confirmed.into_iter().for_each(|how| self.guard.confirmed(how));
+    pub fn outcome(&mut self, now: Ms, no: MessageNo, attempt: u32, end: End) {
+        let quiet = if end.outcome.never_ran() { 0.0 } else { self.settings.key_quiet_period };
+        end.confirmed.into_iter().for_each(|how| self.guard.record_confirmation(how));
         if let Some(unconfirmed) = self.unconfirmed.confirm(now, no, attempt, quiet) {
             return self.book_late_confirmation(now, &unconfirmed, end.wait);
         }
@@ -31,21 +31,21 @@
 
     /// Books the end of an attempt of which its endpoint may not know for this long: nothing else of the
     /// message goes out before.
-    fn book_unconfirmed_end(&mut self, now: Ms, no: CallNo, attempt: u32, within: Ms, end: End) {
+    fn book_unconfirmed_end(&mut self, now: Ms, no: MessageNo, attempt: u32, within: Ms, end: End) {
         let Some(c) = self.messages.get(&no) else { return };
         let Some(out) = c.out.as_ref().filter(|o| o.attempt == attempt) else { return };
         let unconfirmed = UnconfirmedAttempt::new(out.route, c.taken.key, c.taken.tenant.clone());
         self.unconfirmed.insert(no, attempt, unconfirmed.clone());
         self.book_end(now, no, attempt, end);
-        let until = now + within + self.settings.key_quiet;
+        let until = now + within + self.settings.key_quiet_period;
         self.set_key_quiet(now, unconfirmed.key, &unconfirmed.tenant, until);
     }
 
     /// Books the end of an attempt.
-    fn book_end(&mut self, now: Ms, no: CallNo, attempt: u32, end: End) {
+    fn book_end(&mut self, now: Ms, no: MessageNo, attempt: u32, end: End) {
         let End { outcome, wait, report, over, heard, refused, confirmed, pending, at } = end;
         if let Some(reason) = refused {
-            let _ = self.guard.note(Err(reason));
+            let _ = self.guard.record(Err(reason));
         }
         let Some(c) = self.messages.get_mut(&no) else { return };
         let cell = c.cell;
@@ -56,9 +56,9 @@
         self.counters.count_outcome(outcome);
         if log::log_enabled!(log::Level::Debug) {
             let w = self.endpoints.get(&out.route).map(|w| &w.endpoint);
-            let (member, worker) = w.map_or((0, ""), |w| (w.dest, w.uid.as_str()));
+            let (member, worker) = w.map_or((0, ""), |w| (w.destination, w.uid.as_str()));
             let id = self.messages.get(&no).map_or("", |c| c.taken.identity.1.as_str());
-            let (left, limit) = (report.left.unwrap_or(-1.0), report.limit.unwrap_or(-1.0));
+            let (left, limit) = (report.remaining_share.unwrap_or(-1.0), report.limit.unwrap_or(-1.0));
             let confirmed = confirmed.map_or("not_yet", |how| how.name());
             log::debug!(id = id, member = member, worker = worker, outcome:? = outcome, wait_ms = wait, took_ms = now - out.sent_at,
                 attempt = attempt, left = left, limit = limit, confirmed = confirmed; "a delegation ended");
@@ -73,15 +73,15 @@
             // An attempt that was held back on this side is no reason for the next one.
             false => c.last_outcome = Some(outcome),
         });
-        let ended = Ended {
+        let ended = AttemptEnd {
             took: at.unwrap_or(now) - out.sent_at,
-            over: over || delivered,
-            wait,
+            message_ended: over || delivered,
+            retry_after: wait,
             report,
-            heard,
-            unspent,
-            rest: pending.map_or(0.0, |within| within + CONFIRM_REPORT_DELAY),
-            ..Ended::of(no, attempt, route, outcome)
+            answer_begun: heard,
+            not_counted: unspent,
+            quiet_period: pending.map_or(0.0, |within| within + CONFIRM_REPORT_DELAY),
+            ..AttemptEnd::new(no, attempt, route, outcome)
         };
         let may_be_late = delivered && self.may_be_too_late(now, no);
         self.cells.release_slot(cell);
@@ -91,7 +91,7 @@
             self.post_end(cell, ended);
         }
         if !outcome.never_ran() {
-            let sent = Sent { at: out.sent_at, zone: self.zone_name(out.route) };
+            let sent = AttemptSent { at: out.sent_at, zone: self.zone_name(out.route) };
             self.messages.entry(no).and_modify(|c| {
                 c.ran.get_or_insert(sent);
             });
@@ -121,7 +121,7 @@
 
     /// Whether the message was delivered so late that the platform may still wait for its end. The platform
     /// is then sent a final answer, which does no harm if it has counted the message as delivered.
-    fn may_be_too_late(&self, now: Ms, no: CallNo) -> bool {
+    fn may_be_too_late(&self, now: Ms, no: MessageNo) -> bool {
         let late = |c: &super::HeldMessage| {
             c.taken.identity.0.is_empty() && now + LATE_ANSWER_MARGIN >= c.taken.valid_until
         };
@@ -129,7 +129,7 @@
     }
 
     /// An endpoint asked for a wait in another way than in the answer to an attempt; 0 means none.
-    pub fn told_wait(&mut self, now: Ms, route: RouteId, wait: Ms) {
+    pub fn told_wait(&mut self, now: Ms, route: EndpointId, wait: Ms) {
         if wait > 0.0 && self.endpoint(route).is_some() {
             log::debug!(wait_ms = wait; "endpoint {route} asked for a wait outside of an attempt's answer");
             self.post_retry_after(route, wait);
@@ -139,20 +139,20 @@
     }
 
     /// Keeps attempts that were decided before a retry-after came from being written after it has begun.
-    pub(super) fn order_hold(&mut self, route: RouteId) {
+    pub(super) fn order_hold(&mut self, route: EndpointId) {
         let Some(w) = self.endpoint(route) else { return };
-        let apart = self.settings.kind(w.kind).apart;
-        let (dest, route) = (w.dest, apart.then_some(route));
+        let apart = self.settings.kind(w.kind).per_endpoint_limit;
+        let (dest, route) = (w.destination, apart.then_some(route));
         self.orders.push(Order::Hold { dest, route });
     }
 
     /// Cancels an attempt for the decision module: its connection is closed, and it may have run.
-    pub(super) fn cancel(&mut self, now: Ms, no: CallNo, attempt: u32) {
+    pub(super) fn cancel(&mut self, now: Ms, no: MessageNo, attempt: u32) {
         self.request_cancel(now, no, attempt, Outcome::Cancelled);
     }
 
     /// The same where the endpoint's confirmation cannot be awaited.
-    pub(super) fn cancel_and_book(&mut self, now: Ms, no: CallNo, attempt: u32) {
+    pub(super) fn cancel_and_book(&mut self, now: Ms, no: MessageNo, attempt: u32) {
         self.request_cancel(now, no, attempt, Outcome::Cancelled);
         self.book_cancelled(now, no, attempt);
     }
@@ -160,7 +160,7 @@
     /// Cancels attempts that have reached their timeout. If the message has reached its deadline too, the
     /// attempt is booked as ended at once: nothing follows it, and the client is owed the final answer.
     pub(super) fn expire_attempts(&mut self, now: Ms) {
-        let up = |(no, c): (&CallNo, &super::HeldMessage)| {
+        let up = |(no, c): (&MessageNo, &super::HeldMessage)| {
             let over = c.taken.valid_until <= now;
             let out = c.out.as_ref().filter(|o| o.ends_at(c.taken.valid_until) <= now)?;
             Some((*no, out.attempt, over))
@@ -176,7 +176,7 @@
 
     /// Requests the cancellation of an attempt. It stays outstanding until its connection has reported how it
     /// ended: until then its endpoint may not know of the end, and nothing else of the message may be sent.
-    fn request_cancel(&mut self, now: Ms, no: CallNo, attempt: u32, outcome: Outcome) {
+    fn request_cancel(&mut self, now: Ms, no: MessageNo, attempt: u32, outcome: Outcome) {
         let out = self.messages.get_mut(&no).and_then(|c| c.out.as_mut()).filter(|o| o.attempt == attempt);
         let Some(out) = out.filter(|o| o.cancel_requested.is_none()) else { return };
         out.cancel_requested = Some((now, outcome));
@@ -184,29 +184,29 @@
     }
 
     /// Books the end of a cancelled attempt before its connection has reported it.
-    pub(super) fn book_cancelled(&mut self, now: Ms, no: CallNo, attempt: u32) {
+    pub(super) fn book_cancelled(&mut self, now: Ms, no: MessageNo, attempt: u32) {
         let out = self.messages.get(&no).and_then(|c| c.out.as_ref()).filter(|o| o.attempt == attempt);
         let Some((written, Some((at, outcome)))) = out.map(|o| (o.written, o.cancel_requested)) else {
             return;
         };
         // An attempt that was not written whole cannot have run.
         let outcome = if written { outcome } else { Outcome::NoConnection };
-        let end = End { at: Some(at), pending: Some(CONFIRM_MOST), ..End::of(outcome) };
-        self.book_unconfirmed_end(now, no, attempt, CONFIRM_MOST, end);
+        let end = End { at: Some(at), pending: Some(CONFIRM_TIMEOUT), ..End::of(outcome) };
+        self.book_unconfirmed_end(now, no, attempt, CONFIRM_TIMEOUT, end);
     }
 
     /// Handles the report of a connection on an attempt whose end was booked before.
     fn book_late_confirmation(&mut self, now: Ms, unconfirmed: &UnconfirmedAttempt, wait: Ms) {
-        let until = now + self.settings.key_quiet;
+        let until = now + self.settings.key_quiet_period;
         self.set_key_quiet(now, unconfirmed.key, &unconfirmed.tenant, until);
         self.told_wait(now, unconfirmed.route, wait);
     }
 
     /// Records that an endpoint may not yet know of the end of an attempt that another process had
     /// outstanding when it ended.
-    pub(super) fn inherit_attempt(&mut self, now: Ms, no: CallNo, key: Option<u64>) {
-        let confirmed_at = guard::inherited_by(now);
-        self.unconfirmed.inherit(no, key, confirmed_at, self.settings.key_quiet);
+    pub(super) fn inherit_attempt(&mut self, now: Ms, no: MessageNo, key: Option<u64>) {
+        let confirmed_at = guard::inherited_confirmation_deadline(now);
+        self.unconfirmed.inherit(no, key, confirmed_at, self.settings.key_quiet_period);
     }
 
     /// Releases the keys of ended messages once endpoints know of the end of all their attempts.
