--- a/src/dispatch/route.rs
+++ b/src/dispatch/route.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, ListedEndpoint, Order};
 use crate::api::*;
-use crate::config::{Worker, WorkerList};
+use crate::config::{EndpointList, RegistryEndpoint};
 use std::collections::BTreeSet;
 
 /// The most steps of the decision modules in one turn; remaining events wait for the next turn.
@@ -58,22 +58,22 @@
 
     fn carry_out(&mut self, now: Ms, cell: usize, action: Action) {
         match action {
-            Action::Send { id, route, cap } => {
+            Action::Send { id, endpoint: route, timeout: cap } => {
                 self.avoided.remove(&route);
                 self.send(now, id, route, cap)
             }
             Action::Cancel { id, attempt } => self.cancel(now, id, attempt),
-            Action::Deny { id, retry_in } => self.return_message(now, id, retry_in),
-            Action::Fail(id) => self.give_up(now, id),
+            Action::Return { id, retry_after: retry_in } => self.return_message(now, id, retry_in),
+            Action::GiveUp(id) => self.give_up(now, id),
             Action::Probe(route) => {
                 self.avoided.insert(route);
                 self.probe(now, route)
             }
-            Action::CloseIdle(route) => {
+            Action::CloseIdleConnections(route) => {
                 let address = self.address(route);
                 self.orders.push(Order::CloseIdle { route, address });
             }
-            Action::Watch => self.orders.push(Order::Watch),
+            Action::WatchEndpointList => self.orders.push(Order::Watch),
             Action::Timer { at, token } => self.timers.push((at, cell, token)),
         }
     }
@@ -81,47 +81,47 @@
     /// The endpoints on the list: id, destination, kind and zone.
     pub fn workers_known(&self) -> Vec<(&str, DestId, usize, usize)> {
         let known = self.endpoints.values().map(|l| &l.endpoint);
-        known.map(|w| (w.uid.as_str(), w.dest, w.kind, w.zone)).collect()
+        known.map(|w| (w.uid.as_str(), w.destination, w.kind, w.zone)).collect()
     }
 
-    pub(super) fn endpoint(&self, route: RouteId) -> Option<&Worker> {
+    pub(super) fn endpoint(&self, route: EndpointId) -> Option<&RegistryEndpoint> {
         self.endpoints.get(&route).map(|w| &w.endpoint)
     }
 
-    pub(super) fn address(&self, route: RouteId) -> String {
+    pub(super) fn address(&self, route: EndpointId) -> String {
         self.endpoint(route).map(|w| w.address.clone()).unwrap_or_default()
     }
 
     /// Whether the list contains an endpoint of the destination. Before the first list, any destination may
     /// be in it.
     pub(super) fn is_listed(&self, dest: DestId) -> bool {
-        self.endpoints.is_empty() || self.endpoints.values().any(|w| w.endpoint.dest == dest)
+        self.endpoints.is_empty() || self.endpoints.values().any(|w| w.endpoint.destination == dest)
     }
 
     /// Applies the registry's endpoint list, or changes to it. An endpoint is identified by its id: it keeps
     /// its number if it leaves and comes back soon, and another endpoint at the same address gets a number of
     /// its own.
-    pub fn list(&mut self, now: Ms, list: WorkerList, cached: bool) {
-        if list.whole {
+    pub fn list(&mut self, now: Ms, list: EndpointList, cached: bool) {
+        if list.is_complete {
             self.endpoints.values_mut().for_each(|w| w.gone_since = w.gone_since.or(Some(now)));
         }
         let (mut rows, mut routes) = (Vec::new(), Vec::new());
-        for listed in list.workers {
+        for listed in list.endpoints {
             let old = self.endpoint_by_id.get(&listed.uid).copied();
             let old = old.and_then(|route| Some((route, self.endpoints.remove(&route)?)));
             // A change may omit fields that stay the same.
             let worker = match &old {
                 Some((_, o)) if listed.address.is_empty() => {
-                    Worker { listing: listed.listing, ..o.endpoint.clone() }
+                    RegistryEndpoint { state: listed.state, ..o.endpoint.clone() }
                 }
                 _ => listed,
             };
             let mut kept_route = None;
             if let Some((route, mut o)) = old {
-                let same = (o.endpoint.dest, o.endpoint.kind) == (worker.dest, worker.kind);
+                let same = (o.endpoint.destination, o.endpoint.kind) == (worker.destination, worker.kind);
                 // The endpoint takes nothing new, or has moved: its idle connections are of no use any more.
-                if !same || worker.listing != Listing::Ready || o.endpoint.address != worker.address {
-                    let (address, dest) = (o.endpoint.address.clone(), o.endpoint.dest);
+                if !same || worker.state != ServiceState::InService || o.endpoint.address != worker.address {
+                    let (address, dest) = (o.endpoint.address.clone(), o.endpoint.destination);
                     self.orders.push(Order::CloseIdle { route, address });
                     // Attempts that were decided before must not go out either: their connections may come up
                     // after the drain period.
@@ -131,7 +131,7 @@
                     kept_route = Some(route);
                 } else {
                     // The id serves another destination now: nothing that is known of the old one applies.
-                    o.endpoint.listing = Listing::Gone;
+                    o.endpoint.state = ServiceState::Removed;
                     rows.push(self.listing_row(route, &o.endpoint));
                     self.endpoints.insert(route, ListedEndpoint { gone_since: Some(now), ..o });
                 }
@@ -141,13 +141,14 @@
             self.endpoint_by_id.insert(worker.uid.clone(), route);
             rows.push(self.listing_row(route, &worker));
             routes.push(route);
-            let gone = (worker.listing == Listing::Gone).then_some(now);
+            let gone = (worker.state == ServiceState::Removed).then_some(now);
             self.endpoints.insert(route, ListedEndpoint { endpoint: worker, gone_since: gone });
         }
-        for (route, w) in self.endpoints.iter().filter(|(_, w)| list.whole && w.gone_since == Some(now)) {
-            self.orders.push(Order::Hold { dest: w.endpoint.dest, route: Some(*route) });
+        for (route, w) in self.endpoints.iter().filter(|(_, w)| list.is_complete && w.gone_since == Some(now))
+        {
+            self.orders.push(Order::Hold { dest: w.endpoint.destination, route: Some(*route) });
         }
-        self.cells.post_all(&Event::List { rows, whole: list.whole, cached });
+        self.cells.post_all(&Event::EndpointList { rows, complete: list.is_complete, cached });
         self.prune(now);
         self.index();
         self.recovery_list_changed(now, &routes, cached);
@@ -158,7 +159,7 @@
     fn index(&mut self) {
         self.endpoints_of.clear();
         for (route, w) in &self.endpoints {
-            self.endpoints_of.entry(w.endpoint.dest).or_default().push(*route);
+            self.endpoints_of.entry(w.endpoint.destination).or_default().push(*route);
         }
         let endpoints = &self.endpoints;
         self.reported_capacity.retain(|(route, _), _| endpoints.contains_key(route));
@@ -167,10 +168,10 @@
 
     /// Forgets endpoints that have been gone for long and have no outstanding attempt.
     fn prune(&mut self, now: Ms) {
-        let out: BTreeSet<RouteId> =
+        let out: BTreeSet<EndpointId> =
             self.messages.values().filter_map(|c| Some(c.out.as_ref()?.route)).collect();
-        let over = |route: &RouteId, w: &ListedEndpoint| {
-            w.gone_since.is_some_and(|t| now - t >= GONE_KEPT) && !out.contains(route)
+        let over = |route: &EndpointId, w: &ListedEndpoint| {
+            w.gone_since.is_some_and(|t| now - t >= DELISTED_ENDPOINT_TTL) && !out.contains(route)
         };
         self.endpoints.retain(|route, w| !over(route, w));
         let endpoints = &self.endpoints;
@@ -183,11 +184,19 @@
     use super::*;
     use crate::dispatch::Parts;
     use crate::dispatch::{Submission, Verdict};
-    use crate::journal::{Ending, Journal, Record, Sent, Taken};
+    use crate::journal::{AcceptedMessage, AttemptSent, Ending, Journal, Record};
 
-    fn endpoint(uid: &str, dest: DestId, listing: Listing) -> Worker {
+    fn endpoint(uid: &str, dest: DestId, listing: ServiceState) -> RegistryEndpoint {
         let address = "127.0.0.1:1".into();
-        Worker { uid: uid.into(), address, zone: 0, kind: 0, dest, listing, weight: 1.0 }
+        RegistryEndpoint {
+            uid: uid.into(),
+            address,
+            zone: 0,
+            kind: 0,
+            destination: dest,
+            state: listing,
+            weight: 1.0,
+        }
     }
 
     fn core(name: &str) -> Core {
@@ -202,7 +211,7 @@
             "ROUTER_LISTEN" => Some("127.0.0.1:0".to_string()),
             _ => None,
         };
-        let config = crate::config::Config::reread(&text, &env).unwrap();
+        let config = crate::config::Config::reload(&text, &env).unwrap();
         core_of(name, config.settings, config.names)
     }
 
@@ -217,14 +226,22 @@
     /// Configures the single class `c`, which is idempotent, with this deadline.
     fn one_class(core: &mut Core, deadline: Ms, in_order: bool) {
         let (promise, window, worth) = (1_000.0, 20_000.0, 1.0);
-        let (effect, late_worth, aim_stretch) = (Effect::Safe, 0.0, 0.0);
-        core.settings.classes =
-            vec![Class { promise, deadline, effect, window, in_order, late_worth, worth, aim_stretch }];
+        let (effect, late_worth, aim_stretch) = (Effect::Idempotent, 0.0, 0.0);
+        core.settings.classes = vec![Class {
+            target_time: promise,
+            deadline,
+            effect,
+            dedup_window: window,
+            in_order,
+            late_worth,
+            worth,
+            target_stretch: aim_stretch,
+        }];
         core.names.classes = vec!["c".into()];
     }
 
-    fn update_list(core: &mut Core, now: Ms, workers: Vec<Worker>) {
-        core.list(now, WorkerList { rev: 1, whole: false, workers }, false);
+    fn update_list(core: &mut Core, now: Ms, workers: Vec<RegistryEndpoint>) {
+        core.list(now, EndpointList { revision: 1, is_complete: false, endpoints: workers }, false);
         core.turn(now);
     }
 
@@ -234,13 +251,13 @@
         let mut core = core("growth");
         for n in 0..1_000 {
             let now = Ms::from(n) * 1_000.0;
-            let old = endpoint(&format!("u{}", n - 1), 1, Listing::Gone);
-            update_list(&mut core, now, vec![old, endpoint(&format!("u{n}"), 1, Listing::Ready)]);
+            let old = endpoint(&format!("u{}", n - 1), 1, ServiceState::Removed);
+            update_list(&mut core, now, vec![old, endpoint(&format!("u{n}"), 1, ServiceState::InService)]);
         }
         assert!(core.endpoints.len() < 40 && core.endpoint_by_id.len() < 40, "{}", core.endpoints.len());
         let number = core.endpoint_by_id["u999"];
-        update_list(&mut core, 1e6, vec![endpoint("u999", 1, Listing::Gone)]);
-        update_list(&mut core, 1e6 + 5_000.0, vec![endpoint("u999", 1, Listing::Ready)]);
+        update_list(&mut core, 1e6, vec![endpoint("u999", 1, ServiceState::Removed)]);
+        update_list(&mut core, 1e6 + 5_000.0, vec![endpoint("u999", 1, ServiceState::InService)]);
         assert_eq!(core.endpoint_by_id["u999"], number);
     }
 
@@ -248,11 +265,11 @@
     #[test]
     fn an_id_that_changes_its_destination_is_another_endpoint() {
         let mut core = core("moved");
-        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, ServiceState::InService)]);
         let number = core.endpoint_by_id["u"];
-        update_list(&mut core, 1.0, vec![endpoint("u", 2, Listing::Ready)]);
+        update_list(&mut core, 1.0, vec![endpoint("u", 2, ServiceState::InService)]);
         assert_ne!(core.endpoint_by_id["u"], number);
-        assert_eq!(core.endpoint(number).map(|w| w.listing), Some(Listing::Gone));
+        assert_eq!(core.endpoint(number).map(|w| w.state), Some(ServiceState::Removed));
         assert!(core.is_listed(2) && !core.is_listed(3));
     }
 
@@ -263,12 +280,21 @@
         let mut core = core("clock");
         one_class(&mut core, 6_000.0, false);
         let hour = 3_600_000.0;
-        let taken = Taken { no: 3, class: "c".into(), valid_until: 2.0 * hour, ..Taken::default() };
-        let sent = |at: Ms| Some(Sent { at, zone: "a".into() });
-        let state = |no, at| Record::State { no, attempts: 1, ran: sent(at), out: None };
-        let other = Taken { no: 4, valid_until: hour + 500.0, ..taken.clone() };
-        let records =
-            vec![Record::Taken(taken), Record::Taken(other), state(3, 2.0 * hour), state(4, hour - 9.0)];
+        let taken = AcceptedMessage {
+            no: 3,
+            class: "c".into(),
+            valid_until: 2.0 * hour,
+            ..AcceptedMessage::default()
+        };
+        let sent = |at: Ms| Some(AttemptSent { at, zone: "a".into() });
+        let state = |no, at| Record::Attempts { no, attempts: 1, may_have_run: sent(at), in_progress: None };
+        let other = AcceptedMessage { no: 4, valid_until: hour + 500.0, ..taken.clone() };
+        let records = vec![
+            Record::Accepted(taken),
+            Record::Accepted(other),
+            state(3, 2.0 * hour),
+            state(4, hour - 9.0),
+        ];
         core.restore(hour, records);
         assert_eq!(core.messages[&3].taken.valid_until, hour + 6_000.0);
         assert_eq!(core.messages[&3].ran.as_ref().map(|s| s.at), Some(0.0), "long ago");
@@ -287,7 +313,15 @@
         let taken = |no: u64| {
             let identity = (String::new(), format!("m{no}"));
             let (class, key, valid_until) = ("c".to_string(), Some(no % 50), 50_000.0 + no as f64);
-            Record::Taken(Taken { no, identity, class, key, dest: 1, valid_until, ..Taken::default() })
+            Record::Accepted(AcceptedMessage {
+                no,
+                identity,
+                class,
+                key,
+                destination: 1,
+                valid_until,
+                ..AcceptedMessage::default()
+            })
         };
         core.restore(0.0, (1..=95).map(taken).collect());
         assert_eq!((core.messages.len(), core.backlog.len()), (95, 10));
@@ -328,7 +362,7 @@
     #[test]
     fn a_message_held_back_by_the_guard_costs_no_attempt_and_no_record() {
         let mut core = platform_core("kept-back");
-        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, ServiceState::InService)]);
         let class = "pay".to_string();
         core.submit(
             1.0,
@@ -362,7 +396,7 @@
             RememberedHealth { health: Health { rate: 0.0, unavailable_since: Some(0.0) }, age: Some(10.0) };
         let former = [("u".to_string(), former)].into();
         core.begin_from(0.0, Past { recovery, former, ..Past::default() });
-        update_list(&mut core, 0.0, vec![endpoint("u", 1, Listing::Ready)]);
+        update_list(&mut core, 0.0, vec![endpoint("u", 1, ServiceState::InService)]);
         // The capacity of one call is reported by now, and the time of the next one has passed when the
         // messages come.
         (1..=20).for_each(|n| drop(core.turn(Ms::from(n) * 50.0)));
@@ -390,7 +424,7 @@
     #[test]
     fn a_message_rejected_before_a_restart_is_not_accepted_after_it() {
         let cases = [
-            (Ending::HandedBack(40.0), Verdict::Busy(40.0)),
+            (Ending::Returned(40.0), Verdict::Busy(40.0)),
             (Ending::GivenUp, Verdict::Failed("given up".into())),
             (Ending::Delivered, Verdict::Taken),
         ];
@@ -398,7 +432,10 @@
             let mut core = core("refused");
             let identity = (String::new(), "a".to_string());
             let (until, tenant) = (9_000.0, String::new());
-            core.restore(0.0, vec![Record::Known { identity: identity.clone(), ending, until, tenant }]);
+            core.restore(
+                0.0,
+                vec![Record::RememberedIdentity { identity: identity.clone(), ending, until, tenant }],
+            );
             core.submit(1.0, 7, Submission { identity, ..Submission::default() });
             let answer = Order::Answer { ticket: 7, verdict: wanted };
             assert!(core.turn(1.0).contains(&answer), "{ending:?}");
--- a/src/dispatch/seats.rs
+++ b/src/dispatch/seats.rs
@@ -11,9 +11,9 @@
 use super::seats_read::OwnershipRecords;
 use super::{Core, HeldMessage, Order, Verdict, Withheld};
 use crate::api::*;
-use crate::config::place;
-use crate::guard::{self, CONFIRM_MOST};
-use crate::journal::{CallNo, Ending, Record, Sent, Taken};
+use crate::config::index_of;
+use crate::guard::{self, CONFIRM_TIMEOUT};
+use crate::journal::{AcceptedMessage, AttemptSent, Ending, MessageNo, Record};
 use lilacbank_cells::moving::{
     self, DispatcherId, Faults, HandoffMessage, Input, MoveError, Phase, TenantOwnership,
 };
@@ -221,7 +221,7 @@
     match ending {
         Some(Ending::Delivered) => (0, 0),
         Some(Ending::GivenUp) => (1, 0),
-        Some(Ending::HandedBack(wait)) => (2, whole_ms(wait)),
+        Some(Ending::Returned(wait)) => (2, whole_ms(wait)),
         None => (3, 0),
     }
 }
@@ -230,7 +230,7 @@
     match past.final_answer {
         0 => Some(Ending::Delivered),
         1 => Some(Ending::GivenUp),
-        2 => Some(Ending::HandedBack(past.retry_after_ms as Ms)),
+        2 => Some(Ending::Returned(past.retry_after_ms as Ms)),
         _ => None,
     }
 }
@@ -277,7 +277,7 @@
 
     /// The answer to a client whose tenant is not served here.
     pub(super) fn moved_verdict(&self, tenant: &str) -> Verdict {
-        let busy = Verdict::Busy(MOVING_RETRY_AFTER.min(self.settings.max_advice));
+        let busy = Verdict::Busy(MOVING_RETRY_AFTER.min(self.settings.max_retry_after));
         let Some(state) = self.ownership.tenants.get(tenant) else { return busy };
         let Phase::OwnedElsewhere { at: Some(node) } = state.seat.phase else { return busy };
         let name = self.ownership.name(node);
@@ -351,7 +351,7 @@
     }
 
     fn append_ownership(&mut self, record: &OwnershipRecord) -> bool {
-        let done = self.journal.append(&Record::Seat(record.encode_to_vec()));
+        let done = self.journal.append(&Record::TenantOwnership(record.encode_to_vec()));
         if let Err(e) = &done {
             log::error!(tenant = record.tenant.as_str(), cause:% = e;
                 "an ownership record cannot be written to the journal: {e}");
@@ -363,7 +363,7 @@
     pub(super) fn ownership_records(&self) -> Vec<Record> {
         let known = self.ownership.tenants.iter().filter(|(t, _)| !self.ownership.unclaimed.contains_key(*t));
         let record = |(tenant, p): (&String, &TenantState)| {
-            Record::Seat(self.ownership.record(tenant, &p.seat).encode_to_vec())
+            Record::TenantOwnership(self.ownership.record(tenant, &p.seat).encode_to_vec())
         };
         known.map(record).collect()
     }
@@ -585,13 +585,13 @@
     fn offer_rejection(&self, c: &TenantContents) -> Option<String> {
         let size = c.encoded_len() as u64;
         let needed = self.live_bytes + self.at_most_once.bytes() + self.ownership.bytes + 2 * size;
-        if !self.journal.has_room(needed) {
+        if !self.journal.has_room_for_live_records(needed) {
             return Some(format!("there is no room for {size} bytes in the journal"));
         }
         if self.messages.len() + c.messages.len() > self.settings.max_held {
             return Some(format!("there is no room for {} messages", c.messages.len()));
         }
-        let strange = c.messages.iter().find(|h| place(&self.names.classes, &h.class).is_none());
+        let strange = c.messages.iter().find(|h| index_of(&self.names.classes, &h.class).is_none());
         strange.map(|h| format!("the class '{}' is not configured here", h.class))
     }
 
@@ -670,7 +670,7 @@
                 _ => {}
             }
         }
-        withdrawn.into_iter().for_each(|(cell, no)| self.cells.post(cell, Event::ClientGone(no)));
+        withdrawn.into_iter().for_each(|(cell, no)| self.cells.post(cell, Event::ClientLeft(no)));
     }
 
     /// Gives the messages back to the decision module, in their order, after a move was taken back.
@@ -702,14 +702,14 @@
     }
 
     /// The numbers of the messages that match, in the order in which they were accepted.
-    fn messages_where(&self, are: impl Fn(&HeldMessage) -> bool) -> Vec<CallNo> {
+    fn messages_where(&self, are: impl Fn(&HeldMessage) -> bool) -> Vec<MessageNo> {
         self.messages.iter().filter(|(_, c)| are(c)).map(|(no, _)| *no).collect()
     }
 
     /// Cancels the outstanding attempt of a message whose tenant moves, or whose move was taken back, if the
     /// message may be repeated or the attempt is not written whole. Otherwise the message is left to end
     /// here, and the result is false.
-    fn cancel_or_leave(&mut self, now: Ms, no: CallNo) -> bool {
+    fn cancel_or_leave(&mut self, now: Ms, no: MessageNo) -> bool {
         let out = self.messages.get(&no).and_then(|c| c.out.as_ref()).map(|o| (o.attempt, o.written));
         let Some((attempt, written)) = out else { return true };
         let leave = written && self.is_at_most_once(no);
@@ -720,7 +720,7 @@
         !leave
     }
 
-    fn is_cancel_requested(&self, no: CallNo) -> bool {
+    fn is_cancel_requested(&self, no: MessageNo) -> bool {
         let out = self.messages.get(&no).and_then(|c| c.out.as_ref());
         out.is_some_and(|o| o.cancel_requested.is_some())
     }
@@ -729,29 +729,29 @@
     /// time has passed.
     fn extend_drain(&mut self, now: Ms, tenant: &str) -> bool {
         let Some(state) = self.ownership.tenants.get_mut(tenant) else { return false };
-        let until = *state.confirm_until.get_or_insert(guard::confirmed_by(now));
+        let until = *state.confirm_until.get_or_insert(guard::confirmation_deadline(now));
         state.drain_until = Some(until);
         now < until
     }
 
     /// Books a cancelled attempt as ended, whether or not its endpoint knows: the send rules hold back other
     /// attempts of the message until it does.
-    fn book_any_cancelled(&mut self, now: Ms, no: CallNo) {
+    fn book_any_cancelled(&mut self, now: Ms, no: MessageNo) {
         if let Some(attempt) = self.messages.get(&no).and_then(|c| Some(c.out.as_ref()?.attempt)) {
             self.book_cancelled(now, no, attempt);
         }
     }
 
     /// Gives a message to the decision module, unless another message of its key must end first.
-    fn resume_if_key_free(&mut self, no: CallNo) {
+    fn resume_if_key_free(&mut self, no: MessageNo) {
         if self.messages.get(&no).is_some_and(|c| c.ending.is_none() && !self.is_parked(c.taken.key)) {
             self.resume(no);
         }
     }
 
-    fn is_at_most_once(&self, no: CallNo) -> bool {
-        let class = self.messages.get(&no).and_then(|c| place(&self.names.classes, &c.taken.class));
-        class.is_none_or(|c| self.settings.classes[c].effect == Effect::Unsafe)
+    fn is_at_most_once(&self, no: MessageNo) -> bool {
+        let class = self.messages.get(&no).and_then(|c| index_of(&self.names.classes, &c.taken.class));
+        class.is_none_or(|c| self.settings.classes[c].effect == Effect::AtMostOnce)
     }
 
     /// Whether messages of this key wait here for one that ends at another dispatcher.
@@ -760,7 +760,7 @@
     }
 
     /// Starts the quiet period of a key after an attempt that may still run.
-    pub(super) fn start_quiet_period(&mut self, now: Ms, no: CallNo, outcome: Outcome) {
+    pub(super) fn start_quiet_period(&mut self, now: Ms, no: MessageNo, outcome: Outcome) {
         if self.ownership.spec.is_none()
             || !matches!(outcome, Outcome::Late | Outcome::Reset | Outcome::Cancelled)
         {
@@ -770,7 +770,7 @@
         else {
             return;
         };
-        self.set_key_quiet(now, key, &tenant, now + self.settings.key_quiet);
+        self.set_key_quiet(now, key, &tenant, now + self.settings.key_quiet_period);
     }
 
     /// Sets the quiet period of a tenant's key; a move carries it to the next owner.
@@ -783,7 +783,7 @@
 
     /// Ends a message that stayed here when its tenant moved and whose attempt ended without a delivery: the
     /// decision module does not hold it any more.
-    pub(super) fn end_left_behind(&mut self, now: Ms, no: CallNo) {
+    pub(super) fn end_left_behind(&mut self, now: Ms, no: MessageNo) {
         if self.messages.get(&no).is_some_and(|c| c.withheld == Some(Withheld::LeftBehind) && c.out.is_none())
         {
             self.end_withheld(now, no);
@@ -791,9 +791,9 @@
     }
 
     /// Ends a message that the decision module does not hold: given up if it may have run, else returned.
-    fn end_withheld(&mut self, now: Ms, no: CallNo) {
+    fn end_withheld(&mut self, now: Ms, no: MessageNo) {
         let ran = self.messages.get(&no).is_some_and(|c| c.ran.is_some());
-        self.finish(now, no, if ran { Ending::GivenUp } else { Ending::HandedBack(0.0) });
+        self.finish(now, no, if ran { Ending::GivenUp } else { Ending::Returned(0.0) });
     }
 
     /// Everything that is handed over of a tenant. A message that stays here appears only as a parked key and
@@ -808,17 +808,17 @@
         let mut parked: BTreeMap<u64, u64> = BTreeMap::new();
         for (no, c) in own() {
             let t = &c.taken;
-            let name = self.at_most_once.entry_name(&t.class, &t.idempotency, &t.identity.1);
+            let name = self.at_most_once.entry_name(&t.class, &t.idempotency_key, &t.identity.1);
             if is_moving(c) {
                 contents.messages.push(HandedOverMessage {
                     client: t.identity.0.clone(),
                     id: t.identity.1.clone(),
                     class: t.class.clone(),
                     key: t.key,
-                    idempotency_key: t.idempotency.clone(),
-                    destination: t.dest,
+                    idempotency_key: t.idempotency_key.clone(),
+                    destination: t.destination,
                     valid_until: whole_ms(t.valid_until),
-                    reply_to: t.reply.clone(),
+                    reply_to: t.reply_to.clone(),
                     body: t.body.clone(),
                     attempts: c.attempts,
                     first_attempt_at: c.ran.as_ref().map(|s| whole_ms(s.at)),
@@ -830,8 +830,8 @@
             if let Some(key) = t.key {
                 // The message may run before later ones of its key until its end is known here and to its
                 // endpoint.
-                let unconfirmed = if c.out.is_some() { CONFIRM_MOST } else { 0.0 };
-                let until = whole_ms(t.valid_until.max(now) + unconfirmed + self.settings.key_quiet);
+                let unconfirmed = if c.out.is_some() { CONFIRM_TIMEOUT } else { 0.0 };
+                let until = whole_ms(t.valid_until.max(now) + unconfirmed + self.settings.key_quiet_period);
                 parked.entry(key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
             }
             let until = whole_ms(t.valid_until + self.at_most_once.memory_span(&t.class));
@@ -849,7 +849,7 @@
             parked.entry(*key).and_modify(|u| *u = (*u).max(until)).or_insert(until);
         }
         contents.quiet_keys = parked.into_iter().map(|(key, until)| QuietKey { key, until }).collect();
-        let number_is_moving = |no: &CallNo| self.messages.get(no).is_some_and(is_moving);
+        let number_is_moving = |no: &MessageNo| self.messages.get(no).is_some_and(is_moving);
         for (identity, k) in
             self.identities.iter().filter(|(_, k)| k.tenant == tenant && !number_is_moving(&k.no))
         {
@@ -884,10 +884,10 @@
         for h in &contents.messages {
             let Some(c) = self.remove_message(now, h.number) else { continue };
             let name =
-                self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency, &c.taken.identity.1);
+                self.at_most_once.entry_name(&c.taken.class, &c.taken.idempotency_key, &c.taken.identity.1);
             name.iter().for_each(|n| self.at_most_once.forget(n));
             self.forget_identity(&c.taken.identity);
-            self.append_or_defer(&Record::Over { no: h.number, until: 0.0 });
+            self.append_or_defer(&Record::Settled { no: h.number, until: 0.0 });
         }
     }
 
@@ -900,7 +900,7 @@
             let (cell, known, out) = (c.cell, c.withheld.is_none(), c.out.is_some());
             c.withheld = Some(Withheld::LeftBehind);
             if known {
-                self.cells.post(cell, Event::ClientGone(no));
+                self.cells.post(cell, Event::ClientLeft(no));
             }
             if !out {
                 self.finish(now, no, Ending::GivenUp);
@@ -928,26 +928,28 @@
         if !self.append_ownership(&begun) {
             return false;
         }
-        self.next_message_no += contents.messages.len() as CallNo;
+        self.next_message_no += contents.messages.len() as MessageNo;
         let cell = self.cells.cell_of(tenant);
         let mut messages = Vec::new();
         for (h, no) in contents.messages.iter().zip(first..) {
-            let taken = Taken {
+            let taken = AcceptedMessage {
                 no,
                 identity: (h.client.clone(), h.id.clone()),
                 class: h.class.clone(),
                 tenant: tenant.into(),
                 key: h.key,
-                idempotency: h.idempotency_key.clone(),
-                dest: h.destination,
+                idempotency_key: h.idempotency_key.clone(),
+                destination: h.destination,
                 valid_until: h.valid_until as Ms,
-                reply: h.reply_to.clone(),
+                reply_to: h.reply_to.clone(),
                 body: h.body.clone(),
             };
-            let ran = h.first_attempt_at.map(|at| Sent { at: at as Ms, zone: h.first_attempt_zone.clone() });
-            let record = Record::Taken(taken);
+            let ran =
+                h.first_attempt_at.map(|at| AttemptSent { at: at as Ms, zone: h.first_attempt_zone.clone() });
+            let record = Record::Accepted(taken);
             let size = record.size() + super::admit::MESSAGE_OVERHEAD_BYTES;
-            let state = Record::State { no, attempts: h.attempts, ran: ran.clone(), out: None };
+            let state =
+                Record::Attempts { no, attempts: h.attempts, may_have_run: ran.clone(), in_progress: None };
             let both = [Some(&record), (h.attempts > 0).then_some(&state)];
             for r in both.into_iter().flatten() {
                 if let Err(e) = self.journal.append(r) {
@@ -956,7 +958,7 @@
                     return false;
                 }
             }
-            let Record::Taken(taken) = record else { return false };
+            let Record::Accepted(taken) = record else { return false };
             let withheld = Some(Withheld::KeyParked);
             messages.push(HeldMessage {
                 taken,
@@ -1042,8 +1044,8 @@
             c.taken.tenant == tenant && c.withheld == Some(Withheld::TenantMoving) && c.ending.is_none()
         };
         let moving_messages = self.messages_where(is_moving);
-        let is_out = |no: &CallNo| self.messages.get(no).is_some_and(|c| c.out.is_some());
-        let outstanding: Vec<CallNo> = moving_messages.iter().copied().filter(is_out).collect();
+        let is_out = |no: &MessageNo| self.messages.get(no).is_some_and(|c| c.out.is_some());
+        let outstanding: Vec<MessageNo> = moving_messages.iter().copied().filter(is_out).collect();
         if now < until && !outstanding.is_empty() {
             return;
         }
@@ -1053,7 +1055,7 @@
             self.cancel_or_leave(now, *no);
         }
         let unconfirmed =
-            |no: &CallNo| self.unconfirmed.has_unconfirmed(*no, now) || self.is_cancel_requested(*no);
+            |no: &MessageNo| self.unconfirmed.has_unconfirmed(*no, now) || self.is_cancel_requested(*no);
         if moving_messages.iter().any(unconfirmed) && self.extend_drain(now, tenant) {
             return;
         }
@@ -1157,9 +1159,9 @@
     let (until, ending) = (past.remembered_until as Ms, decode_ending(past).unwrap_or(Ending::GivenUp));
     let tenant = tenant.to_string();
     if past.id_is_remembered_name {
-        return Record::Once { name: past.id.clone(), ending, until, tenant };
+        return Record::AtMostOnceEnded { name: past.id.clone(), ending, until, tenant };
     }
-    Record::Known { identity: (past.client.clone(), past.id.clone()), ending, until, tenant }
+    Record::RememberedIdentity { identity: (past.client.clone(), past.id.clone()), ending, until, tenant }
 }
 
 /// When an offer is taken back without an answer.
--- a/src/dispatch/seats_read.rs
+++ b/src/dispatch/seats_read.rs
@@ -1,6 +1,6 @@
 //! Reads the ownership records of a journal at startup; no I/O.
 
-use crate::journal::CallNo;
+use crate::journal::MessageNo;
 use lilacbank_cells::wire::OwnershipRecord;
 use prost::Message as _;
 use std::collections::BTreeMap;
@@ -15,13 +15,13 @@
     pub(super) latest: BTreeMap<String, OwnershipRecord>,
     /// Adoptions that have begun and not ended, with the number of their first message: messages from that
     /// number on do not count yet.
-    adopting: BTreeMap<String, CallNo>,
+    adopting: BTreeMap<String, MessageNo>,
 }
 
 impl OwnershipRecords {
     /// Adds a record. If it shows that an adoption was cut short, returns the tenant and the number from
     /// which on its messages are void.
-    pub(super) fn add(&mut self, bytes: &[u8]) -> Option<(String, CallNo)> {
+    pub(super) fn add(&mut self, bytes: &[u8]) -> Option<(String, MessageNo)> {
         let Ok(record) = OwnershipRecord::decode(bytes) else {
             log::error!("an ownership record in the journal cannot be decoded");
             return None;
@@ -41,12 +41,12 @@
     }
 
     /// Adoptions that never ended.
-    pub(super) fn unfinished_adoptions(&self) -> impl Iterator<Item = (&String, CallNo)> {
+    pub(super) fn unfinished_adoptions(&self) -> impl Iterator<Item = (&String, MessageNo)> {
         self.adopting.iter().map(|(t, no)| (t, *no))
     }
 
     /// Whether the message is part of an offer or a commitment that is not settled.
-    pub(super) fn is_offered(&self, tenant: &str, no: CallNo) -> bool {
+    pub(super) fn is_offered(&self, tenant: &str, no: MessageNo) -> bool {
         self.latest.get(tenant).is_some_and(|r| matches!(r.phase, 3 | 4) && r.offered_numbers.contains(&no))
     }
 }
@@ -55,7 +55,7 @@
 mod tests {
     use super::*;
 
-    fn record(phase: u32, adopts_from: Option<CallNo>) -> Vec<u8> {
+    fn record(phase: u32, adopts_from: Option<MessageNo>) -> Vec<u8> {
         OwnershipRecord { tenant: "acme".into(), phase, adopts_from, ..OwnershipRecord::default() }
             .encode_to_vec()
     }
--- a/src/dispatch/send.rs
+++ b/src/dispatch/send.rs
@@ -4,9 +4,9 @@
 use super::pace::JOURNAL_RETRY_DELAY;
 use super::{Core, Delegation, HeldMessage, Order, OutstandingAttempt};
 use crate::api::*;
-use crate::config::place;
+use crate::config::index_of;
 use crate::guard;
-use crate::journal::{CallNo, Record, Sent};
+use crate::journal::{AttemptSent, MessageNo, Record};
 
 /// Why an attempt does not go out now.
 enum SendBlock {
@@ -19,7 +19,7 @@
 impl Core {
     /// Starts an attempt if the rules allow it now. An attempt that cannot be written to the journal is not
     /// sent.
-    pub(super) fn send(&mut self, now: Ms, no: CallNo, route: RouteId, cap: Option<Ms>) {
+    pub(super) fn send(&mut self, now: Ms, no: MessageNo, route: EndpointId, cap: Option<Ms>) {
         let allowed = self.guard_allows(now, no, route);
         let Some(attempt) = self.begin_attempt(now, no, route, cap) else { return };
         let passed = self.check_send(now, no, route, allowed).and_then(|()| self.record_attempt(now, no));
@@ -40,7 +40,7 @@
 
     /// Marks an attempt as outstanding, whatever becomes of it, and returns its number; `None` if the message
     /// has ended or has an outstanding attempt.
-    fn begin_attempt(&mut self, now: Ms, no: CallNo, route: RouteId, cap: Option<Ms>) -> Option<u32> {
+    fn begin_attempt(&mut self, now: Ms, no: MessageNo, route: EndpointId, cap: Option<Ms>) -> Option<u32> {
         let c = self.messages.get_mut(&no).filter(|c| c.ending.is_none() && c.out.is_none())?;
         let attempt = c.attempts;
         let left = c.taken.valid_until - now;
@@ -65,8 +65,8 @@
     fn check_send(
         &mut self,
         now: Ms,
-        no: CallNo,
-        route: RouteId,
+        no: MessageNo,
+        route: EndpointId,
         allowed: Result<(), Ms>,
     ) -> Result<(), SendBlock> {
         let cell = self.messages.get(&no).map_or(0, |c| c.cell);
@@ -88,11 +88,11 @@
     }
 
     /// Writes the attempt to the journal before its first byte goes out.
-    fn record_attempt(&mut self, now: Ms, no: CallNo) -> Result<(), SendBlock> {
+    fn record_attempt(&mut self, now: Ms, no: MessageNo) -> Result<(), SendBlock> {
         self.compact_if_full();
         let record = self.messages.get(&no).map(|c| self.attempt_record(no, c));
         if let Some(Err(e)) = record.map(|r| self.journal.append(&r)) {
-            if let Some(count) = self.append_errors.raise(now) {
+            if let Some(count) = self.append_errors.record(now) {
                 log::error!(cause:% = e, count = count;
                     "an attempt cannot be written to the journal and is not sent: {e}");
             }
@@ -105,7 +105,7 @@
     }
 
     /// What the network side needs to carry out the outstanding attempt.
-    fn attempt_order(&self, no: CallNo, route: RouteId) -> Option<Delegation> {
+    fn attempt_order(&self, no: MessageNo, route: EndpointId) -> Option<Delegation> {
         let c = self.messages.get(&no)?;
         let out = c.out.as_ref()?;
         Some(Delegation {
@@ -113,34 +113,34 @@
             attempt: out.attempt,
             route,
             address: self.address(route),
-            dest: c.taken.dest,
+            dest: c.taken.destination,
             id: c.taken.identity.1.clone(),
-            idempotency: c.taken.idempotency.clone(),
+            idempotency: c.taken.idempotency_key.clone(),
             body: c.taken.body.clone(),
             patience: out.timeout_at - out.sent_at,
-            write_by: guard::write_by(&self.guard_message(c), &self.guard_process()),
+            write_by: guard::latest_write(&self.guard_message(c), &self.guard_process()),
         })
     }
 
     /// Logs which attempt it is, where it goes and how the last one ended, which tells why the message is
     /// sent again.
-    fn log_attempt_start(&self, now: Ms, no: CallNo, route: RouteId) {
+    fn log_attempt_start(&self, now: Ms, no: MessageNo, route: EndpointId) {
         let Some(c) = self.messages.get(&no).filter(|_| log::log_enabled!(log::Level::Debug)) else { return };
         let worker = self.endpoint(route).map_or("", |w| w.uid.as_str());
         let after = c.last_outcome.map_or("nothing".to_string(), |outcome| format!("{outcome:?}"));
-        log::debug!(id = c.taken.identity.1.as_str(), class = c.taken.class.as_str(), member = c.taken.dest, worker = worker,
+        log::debug!(id = c.taken.identity.1.as_str(), class = c.taken.class.as_str(), member = c.taken.destination, worker = worker,
             attempt = c.attempts.saturating_sub(1), after = after.as_str(), left_ms = c.taken.valid_until - now;
             "a delegation begins");
     }
 
     /// Asks the send rules whether an attempt may go out. If not, returns how long its endpoint is left alone
     /// (0: no retry-after is active).
-    fn guard_allows(&mut self, now: Ms, no: CallNo, route: RouteId) -> Result<(), Ms> {
+    fn guard_allows(&mut self, now: Ms, no: MessageNo, route: EndpointId) -> Result<(), Ms> {
         let Some(message) = self.messages.get(&no).map(|c| self.guard_message(c)) else { return Err(0.0) };
         let Some(endpoint) = self.guard_endpoint(now, route) else { return Err(0.0) };
-        let wait = endpoint.wait_until.map_or(0.0, |until| until - now);
+        let wait = endpoint.retry_after_until.map_or(0.0, |until| until - now);
         let answer = guard::may_send(now, &message, &endpoint, &self.guard_process());
-        self.guard.note(answer).map_err(|reason| {
+        self.guard.record(answer).map_err(|reason| {
             let id = self.messages.get(&no).map_or("", |c| c.taken.identity.1.as_str());
             log::debug!(id = id, route = route, cause = reason.name();
                 "a send rule does not allow an attempt now");
@@ -149,39 +149,39 @@
     }
 
     /// A message as the send rules see it.
-    fn guard_message<'a>(&self, c: &'a HeldMessage) -> guard::Message<'a> {
-        let class = place(&self.names.classes, &c.taken.class).and_then(|c| self.settings.classes.get(c));
+    fn guard_message<'a>(&self, c: &'a HeldMessage) -> guard::AttemptMessage<'a> {
+        let class = index_of(&self.names.classes, &c.taken.class).and_then(|c| self.settings.classes.get(c));
         let ordered = class.is_some_and(|class| class.in_order);
-        guard::Message {
+        guard::AttemptMessage {
             ended: c.ending.is_some(),
             outstanding: c.out.is_some(),
             unconfirmed: self.unconfirmed.has_unconfirmed(c.taken.no, self.now),
             valid_until: c.taken.valid_until,
             attempts: c.attempts,
-            effect: class.map_or(Effect::Unsafe, |class| class.effect),
-            window: class.map_or(0.0, |class| class.window),
-            ran: c.ran.as_ref().map(|sent| (sent.at, sent.zone.as_str())),
-            has_earlier: ordered && self.key_order.has_earlier(&c.taken),
+            effect: class.map_or(Effect::AtMostOnce, |class| class.effect),
+            dedup_window: class.map_or(0.0, |class| class.dedup_window),
+            first_possible_run: c.ran.as_ref().map(|sent| (sent.at, sent.zone.as_str())),
+            earlier_in_key_pending: ordered && self.key_order.has_earlier(&c.taken),
         }
     }
 
     /// An endpoint as the send rules see it.
-    pub(super) fn guard_endpoint(&self, now: Ms, route: RouteId) -> Option<guard::Endpoint<'_>> {
+    pub(super) fn guard_endpoint(&self, now: Ms, route: EndpointId) -> Option<guard::AttemptEndpoint<'_>> {
         let w = self.endpoint(route)?;
-        let out = self.blocked_endpoints.contains(&w.uid) && w.listing == Listing::Ready;
-        let listing = if out { Listing::Draining } else { w.listing };
+        let out = self.blocked_endpoints.contains(&w.uid) && w.state == ServiceState::InService;
+        let listing = if out { ServiceState::Draining } else { w.state };
         let zone = self.names.zones.get(w.zone).map_or("", String::as_str);
         let wait_until = self.active_wait(now, route).map(|wait| wait.until);
-        Some(guard::Endpoint { listing, zone, wait_until })
+        Some(guard::AttemptEndpoint { state: listing, zone, retry_after_until: wait_until })
     }
 
     fn guard_process(&self) -> guard::Process {
-        let (most_attempts, round) = (self.settings.most_attempts, self.settings.round);
-        guard::Process { closing: self.closing, most_attempts, round }
+        let (most_attempts, round) = (self.settings.max_attempts, self.settings.min_step_interval);
+        guard::Process { no_attempts_from: self.closing, max_attempts: most_attempts, time_resolution: round }
     }
 
     /// The last byte of an attempt has been written.
-    pub fn written(&mut self, now: Ms, no: CallNo, attempt: u32) {
+    pub fn written(&mut self, now: Ms, no: MessageNo, attempt: u32) {
         let out = self.messages.get_mut(&no).and_then(|c| c.out.as_mut()).filter(|o| o.attempt == attempt);
         let Some(o) = out else { return };
         let first = !std::mem::replace(&mut o.written, true);
@@ -200,45 +200,47 @@
 
     /// Counts the rule that the writing of an attempt has violated, if any. This is checked when the write is
     /// reported, a little after the write itself.
-    fn check_write_rules(&mut self, now: Ms, no: CallNo) {
+    fn check_write_rules(&mut self, now: Ms, no: MessageNo) {
         let Some(c) = self.messages.get(&no) else { return };
         let message = self.guard_message(c);
-        let written = guard::Written {
-            write_by: guard::write_by(&message, &self.guard_process()),
-            wait_told: c
+        let written = guard::WrittenAttempt {
+            latest_write: guard::latest_write(&message, &self.guard_process()),
+            retry_after_received_at: c
                 .out
                 .as_ref()
                 .and_then(|out| self.active_wait(now, out.route))
                 .map(|wait| wait.learned_at),
-            has_earlier: message.has_earlier,
+            earlier_in_key_pending: message.earlier_in_key_pending,
             unconfirmed: message.unconfirmed,
         };
-        if let Some(reason) = guard::broken_by(now, &written) {
-            log::error!(id = c.taken.identity.1.as_str(), late_ms = now - written.write_by, cause = reason.name();
+        if let Some(reason) = guard::violated_rule(now, &written) {
+            log::error!(id = c.taken.identity.1.as_str(), late_ms = now - written.latest_write, cause = reason.name();
                 "an attempt was written in violation of a send rule");
-            self.guard.violated(reason);
+            self.guard.record_violation(reason);
         }
     }
 
     /// The journal record of a message's attempts.
-    pub(super) fn attempt_record(&self, no: CallNo, c: &HeldMessage) -> Record {
-        let out = c.out.as_ref().map(|o| Sent { at: o.sent_at, zone: self.zone_name(o.route) });
-        Record::State { no, attempts: c.attempts, ran: c.ran.clone(), out }
+    pub(super) fn attempt_record(&self, no: MessageNo, c: &HeldMessage) -> Record {
+        let out = c.out.as_ref().map(|o| AttemptSent { at: o.sent_at, zone: self.zone_name(o.route) });
+        Record::Attempts { no, attempts: c.attempts, may_have_run: c.ran.clone(), in_progress: out }
     }
 
     /// The same record for a compacted journal. An attempt that is not in the journal yet may still be held
     /// back and does not count.
-    pub(super) fn compacted_attempt_record(&self, no: CallNo, c: &HeldMessage) -> Option<Record> {
+    pub(super) fn compacted_attempt_record(&self, no: MessageNo, c: &HeldMessage) -> Option<Record> {
         let unrecorded = c.out.as_ref().filter(|o| !o.recorded).map(|o| o.attempt);
         match unrecorded {
             Some(0) => None,
-            Some(attempts) => Some(Record::State { no, attempts, ran: c.ran.clone(), out: None }),
+            Some(attempts) => {
+                Some(Record::Attempts { no, attempts, may_have_run: c.ran.clone(), in_progress: None })
+            }
             None => (c.attempts > 0).then(|| self.attempt_record(no, c)),
         }
     }
 
     /// The name of an endpoint's zone.
-    pub(super) fn zone_name(&self, route: RouteId) -> String {
+    pub(super) fn zone_name(&self, route: EndpointId) -> String {
         let zone = self.endpoint(route).map(|w| w.zone);
         zone.and_then(|z| self.names.zones.get(z)).cloned().unwrap_or_default()
     }
--- a/src/dispatch/take_in.rs
+++ b/src/dispatch/take_in.rs
@@ -5,8 +5,8 @@
 use super::once::RepeatCheck;
 use super::{Core, Order, Ticket, Verdict};
 use crate::api::{Effect, Ms};
-use crate::config::place;
-use crate::journal::{Ending, Identity, Taken};
+use crate::config::index_of;
+use crate::journal::{AcceptedMessage, Ending, Identity};
 
 /// The largest body, in bytes.
 pub const BODY_MOST: usize = 64 * 1024;
@@ -139,7 +139,7 @@
     /// and the answer to its client.
     fn check_acceptance(&mut self, now: Ms, s: &Submission) -> Result<(usize, Ms), (RejectReason, Verdict)> {
         let busy = |wait: Ms, most: Ms| Verdict::Busy(wait.min(most));
-        let advice = self.settings.max_advice;
+        let advice = self.settings.max_retry_after;
         let class = match self.validate(s) {
             Ok(class) => class,
             Err(why) => return Err((RejectReason::Unreadable, Verdict::Failed(why))),
@@ -172,20 +172,20 @@
 
     fn accept(&mut self, now: Ms, ticket: Ticket, s: Submission, class: usize, left: Ms) {
         let (name, id) = (s.class.clone(), s.identity.1.clone());
-        let taken = Taken {
+        let taken = AcceptedMessage {
             no: self.next_message_no,
             identity: s.identity,
             key: s.key.filter(|_| self.settings.classes[class].in_order),
             class: s.class,
             tenant: s.tenant,
-            idempotency: s.idempotency,
-            dest: s.dest,
+            idempotency_key: s.idempotency,
+            destination: s.dest,
             valid_until: now + left,
-            reply: s.reply,
+            reply_to: s.reply,
             body: s.body,
         };
         if let Err(wait) = self.admit(now, class, taken, s.again, ticket) {
-            let verdict = Verdict::Busy(wait.min(self.settings.max_advice));
+            let verdict = Verdict::Busy(wait.min(self.settings.max_retry_after));
             self.reject(&name, &id, ticket, RejectReason::NoRoom, verdict);
         }
     }
@@ -237,7 +237,9 @@
             // The message is held and its end not known yet. Its own client is answered by its identity; any
             // other has to submit again, as it would not get the final answer.
             RepeatCheck::Held(no) if self.identities.get(&s.identity).is_some_and(|k| k.no == no) => None,
-            RepeatCheck::Held(_) => Some(Verdict::Busy(NO_ROOM_RETRY_AFTER.min(self.settings.max_advice))),
+            RepeatCheck::Held(_) => {
+                Some(Verdict::Busy(NO_ROOM_RETRY_AFTER.min(self.settings.max_retry_after)))
+            }
             RepeatCheck::Ended(ending @ Ending::Delivered) => {
                 if !s.identity.0.is_empty() {
                     let until = now + super::ANSWER_KEPT;
@@ -254,13 +256,13 @@
 
     /// The class of a valid message, or the error text.
     fn validate(&self, s: &Submission) -> Result<usize, String> {
-        let class = place(&self.names.classes, &s.class).ok_or("unknown class")?;
+        let class = index_of(&self.names.classes, &s.class).ok_or("unknown class")?;
         if self.retired.classes.contains(&s.class) || self.retired.tenants.contains(&s.tenant) {
             return Err("the class or tenant is not served any more".into());
         }
-        let keyed = matches!(self.settings.classes[class].effect, Effect::Keyed { .. });
+        let keyed = matches!(self.settings.classes[class].effect, Effect::Deduplicated { .. });
         let printable = |t: &str| t.bytes().all(|b| b.is_ascii_graphic());
-        if !s.tenant.is_empty() && place(&self.names.tenants, &s.tenant).is_none() {
+        if !s.tenant.is_empty() && index_of(&self.names.tenants, &s.tenant).is_none() {
             Err("unknown tenant".into())
         } else if s.identity.1.is_empty() || s.identity.1.len() > MAX_NAME_BYTES || !printable(&s.identity.1)
         {
--- a/src/dispatch/unconfirmed.rs
+++ b/src/dispatch/unconfirmed.rs
@@ -5,15 +5,15 @@
 //! The attempts kept here could not wait for that: the endpoint itself ended the connection, the message
 //! reached its deadline, it went to another dispatcher, or the process that had sent it has ended.
 
-use crate::api::{Ms, RouteId};
-use crate::journal::CallNo;
+use crate::api::{EndpointId, Ms};
+use crate::journal::MessageNo;
 use std::collections::BTreeMap;
 
 /// An attempt that has ended here while its endpoint may not know yet.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct UnconfirmedAttempt {
     /// The endpoint that it was sent to.
-    pub(super) route: RouteId,
+    pub(super) route: EndpointId,
     /// The ordering key of its message, in ordered classes.
     pub(super) key: Option<u64>,
     /// The tenant of its message.
@@ -28,7 +28,7 @@
 
 impl UnconfirmedAttempt {
     /// An attempt of a message that is held.
-    pub(super) fn new(route: RouteId, key: Option<u64>, tenant: String) -> UnconfirmedAttempt {
+    pub(super) fn new(route: EndpointId, key: Option<u64>, tenant: String) -> UnconfirmedAttempt {
         UnconfirmedAttempt { route, key, tenant, ..UnconfirmedAttempt::default() }
     }
 
@@ -45,7 +45,7 @@
 /// A message whose key is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReleasedKey {
-    pub(super) no: CallNo,
+    pub(super) no: MessageNo,
     pub(super) key: Option<u64>,
 }
 
@@ -54,17 +54,17 @@
 
 /// All such attempts, by message and attempt.
 #[derive(Debug, Default)]
-pub(super) struct UnconfirmedAttempts(BTreeMap<(CallNo, u32), UnconfirmedAttempt>);
+pub(super) struct UnconfirmedAttempts(BTreeMap<(MessageNo, u32), UnconfirmedAttempt>);
 
 impl UnconfirmedAttempts {
     /// Adds an attempt that was booked as ended; its connection will report when the endpoint knows.
-    pub(super) fn insert(&mut self, no: CallNo, attempt: u32, unconfirmed: UnconfirmedAttempt) {
+    pub(super) fn insert(&mut self, no: MessageNo, attempt: u32, unconfirmed: UnconfirmedAttempt) {
         self.0.insert((no, attempt), unconfirmed);
     }
 
     /// Adds an attempt that an ended process had outstanding; its endpoint knows of the end at
     /// `confirmed_at`, and the quiet period of its key follows.
-    pub(super) fn inherit(&mut self, no: CallNo, key: Option<u64>, confirmed_at: Ms, quiet: Ms) {
+    pub(super) fn inherit(&mut self, no: MessageNo, key: Option<u64>, confirmed_at: Ms, quiet: Ms) {
         let confirmed_at = Some(confirmed_at);
         self.0.insert(
             (no, INHERITED),
@@ -77,7 +77,7 @@
     pub(super) fn confirm(
         &mut self,
         now: Ms,
-        no: CallNo,
+        no: MessageNo,
         attempt: u32,
         quiet: Ms,
     ) -> Option<UnconfirmedAttempt> {
@@ -89,12 +89,12 @@
     }
 
     /// Whether the message has an attempt whose endpoint may not know of its end.
-    pub(super) fn has_unconfirmed(&self, no: CallNo, now: Ms) -> bool {
+    pub(super) fn has_unconfirmed(&self, no: MessageNo, now: Ms) -> bool {
         self.0.range((no, 0)..=(no, u32::MAX)).any(|(_, unconfirmed)| !unconfirmed.is_confirmed(now))
     }
 
     /// Its message is not held any more. True if the key has to wait all the same.
-    pub(super) fn end_message(&mut self, no: CallNo) -> bool {
+    pub(super) fn end_message(&mut self, no: MessageNo) -> bool {
         let mut found = false;
         for (_, unconfirmed) in self.0.range_mut((no, 0)..=(no, u32::MAX)) {
             unconfirmed.message_ended = true;
--- a/src/dispatch/waits.rs
+++ b/src/dispatch/waits.rs
@@ -5,7 +5,7 @@
 //! restart ends all retry-afters.
 
 use super::Core;
-use crate::api::{Ms, RouteId};
+use crate::api::{EndpointId, Ms};
 use crate::journal::Record;
 use std::collections::BTreeMap;
 
@@ -53,24 +53,24 @@
     /// Records of the active retry-afters, for a compacted journal.
     pub fn records(&self, now: Ms) -> impl Iterator<Item = Record> + '_ {
         let on = self.waits.iter().filter(move |(_, wait)| wait.until > now);
-        on.map(|(worker, wait)| Record::Wait { worker: worker.clone(), until: wait.until })
+        on.map(|(worker, wait)| Record::RetryAfter { endpoint: worker.clone(), until: wait.until })
     }
 }
 
 impl Core {
     /// Records a retry-after that this process received, so that a sibling process keeps it too, now or when
     /// it starts.
-    pub(super) fn record_wait(&mut self, now: Ms, route: RouteId, wait: Ms) {
+    pub(super) fn record_wait(&mut self, now: Ms, route: EndpointId, wait: Ms) {
         let Some(worker) = self.endpoint(route).map(|w| w.uid.clone()) else { return };
         if wait > 0.0 && self.waits.set(now, &worker, now + wait) {
-            self.append_or_defer(&Record::Wait { worker, until: now + wait });
+            self.append_or_defer(&Record::RetryAfter { endpoint: worker, until: now + wait });
         }
     }
 
     /// Applies retry-afters received by the sibling process, or by one that has ended and left its journal.
     pub fn apply_waits(&mut self, now: Ms, records: &[Record]) {
         for record in records {
-            let Record::Wait { worker, until } = record else { continue };
+            let Record::RetryAfter { endpoint: worker, until } = record else { continue };
             if *until > now && self.waits.set(now, worker, *until) {
                 log::debug!(worker = worker.as_str(), wait_ms = until - now;
                     "the sibling process recorded a retry-after");
@@ -81,12 +81,13 @@
 
     /// The retry-after that is active for the endpoint: its own, or the longest among the endpoints that
     /// share its limit.
-    pub(super) fn active_wait(&self, now: Ms, route: RouteId) -> Option<Wait> {
+    pub(super) fn active_wait(&self, now: Ms, route: EndpointId) -> Option<Wait> {
         let w = self.endpoint(route)?;
-        if self.settings.kind(w.kind).apart {
+        if self.settings.kind(w.kind).per_endpoint_limit {
             return self.waits.active(now, &w.uid);
         }
-        let sharing = self.endpoints_of.get(&w.dest).into_iter().flatten().filter_map(|r| self.endpoint(*r));
+        let sharing =
+            self.endpoints_of.get(&w.destination).into_iter().flatten().filter_map(|r| self.endpoint(*r));
         sharing.filter_map(|w| self.waits.active(now, &w.uid)).max_by(|a, b| a.until.total_cmp(&b.until))
     }
 
@@ -111,7 +112,7 @@
 
     /// Applies the retry-afters that the sibling process received since the last call.
     pub fn apply_waits_of_other_process(&mut self, now: Ms) {
-        let records = self.journal.other_waits();
+        let records = self.journal.read_sibling_waits();
         self.apply_waits(now, &records);
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -74,9 +74,9 @@
 /// accepts no connections. Where answers report the limit, a call that reached the limit gets the report even
 /// if it is refused. One that was refused on a new connection without a report never got that far, and says
 /// nothing about the limit.
-pub(crate) fn refused_before_limit(reports: bool, new_connection: bool, e: &Ended) -> bool {
-    let no_report = e.report.limit.is_none() && e.report.left.is_none();
-    reports && new_connection && no_report && e.wait <= 0.0 && e.outcome == Outcome::Refused
+pub(crate) fn refused_before_limit(reports: bool, new_connection: bool, e: &AttemptEnd) -> bool {
+    let no_report = e.report.limit.is_none() && e.report.remaining_share.is_none();
+    reports && new_connection && no_report && e.retry_after <= 0.0 && e.outcome == Outcome::Refused
 }
 
 /// Wait after a refusal from a full connection table. Places come free as calls end, so the wait is about as
@@ -104,9 +104,9 @@
 
 /// Whether the connection failed a call, as 1 or 0; `None` if the outcome does not tell. A connection that
 /// broke within its answer had not been dropped while idle.
-pub(crate) fn connection_failure(e: &Ended, watchdog: bool) -> Option<f64> {
+pub(crate) fn connection_failure(e: &AttemptEnd, watchdog: bool) -> Option<f64> {
     match e.outcome {
-        Outcome::Reset if e.heard => Some(0.0),
+        Outcome::Reset if e.answer_begun => Some(0.0),
         Outcome::NotSent | Outcome::NoConnection => None,
         Outcome::Late if watchdog => None,
         Outcome::Reset | Outcome::Late | Outcome::Cancelled => Some(1.0),
@@ -259,9 +259,9 @@
 
 /// How a request for the endpoint list, or the watch that it opened, failed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Unanswered {
+pub(crate) enum RequestFailure {
     /// Nothing was received for too long.
-    Silent,
+    TimedOut,
     /// No connection, a connection that ended, or an invalid answer.
     Broken,
     /// The registry refused the request; its retry-after in milliseconds, or 0.
@@ -272,7 +272,7 @@
 /// release of the dispatchers or when the registry's process ends. An overloaded registry works on every
 /// request, so those that give up early and ask again keep it overloaded.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asking {
+pub(crate) struct RegistryBackoff {
     dispatchers: usize,
     /// Upper bound of the delay of the first request after a start.
     max_start_delay: Ms,
@@ -282,37 +282,37 @@
     silent: u32,
 }
 
-impl Asking {
+impl RegistryBackoff {
     /// For one of `dispatchers`; `drain_grace` is how long a draining endpoint may still be sent to after
     /// that was reported.
-    pub(crate) fn new(dispatchers: usize, drain_grace: Ms) -> Asking {
+    pub(crate) fn new(dispatchers: usize, drain_grace: Ms) -> RegistryBackoff {
         // 0 means that no grace is configured.
         let grace = if drain_grace > 0.0 { START_DELAY_GRACE_SHARE * drain_grace } else { MAX_START_DELAY };
         let max_start_delay = MAX_START_DELAY.min(grace);
-        Asking { dispatchers, max_start_delay, failed: 0, silent: 0 }
+        RegistryBackoff { dispatchers, max_start_delay, failed: 0, silent: 0 }
     }
 
     /// How long a request may go without an answer.
-    pub(crate) fn patience(&self) -> Ms {
+    pub(crate) fn answer_timeout(&self) -> Ms {
         let queue = ANSWER_TIME_PER_DISPATCHER * (self.dispatchers.max(1) - 1) as f64;
         ((FIRST_ANSWER_TIMEOUT + queue) * f64::from(1u32 << self.silent.min(8))).min(MAX_ANSWER_TIMEOUT)
     }
 
     /// Delay of the first request, spread over all dispatchers.
-    pub(crate) fn first(&self, draw: f64) -> Ms {
+    pub(crate) fn first_delay(&self, draw: f64) -> Ms {
         draw * SPREAD_PER_DISPATCHER * (self.dispatchers.max(1) - 1) as f64
     }
 
     /// Delay of the first request of a process that starts with a cached endpoint list: spread over all
     /// dispatchers, within a bound.
-    pub(crate) fn start(&self, draw: f64) -> Ms {
+    pub(crate) fn start_delay_with_cached_list(&self, draw: f64) -> Ms {
         draw * (SPREAD_PER_DISPATCHER * (self.dispatchers.max(1) - 1) as f64).min(self.max_start_delay)
     }
 
     /// Delay of the first request of a process that starts without a list. It serves nothing until the list
     /// is there, so the delay covers only the time in which the registry serves the dispatchers that may
     /// start together, and at most half the bound of a start with a list.
-    pub(crate) fn empty(&self, draw: f64) -> Ms {
+    pub(crate) fn start_delay_without_list(&self, draw: f64) -> Ms {
         draw * (ANSWER_TIME_PER_DISPATCHER * (self.dispatchers.max(1) - 1) as f64)
             .min(self.max_start_delay / 2.0)
     }
@@ -322,25 +322,27 @@
     /// ([`Asking::patience`]) and the delay after it are shorter together. Only the refusal of an overloaded
     /// registry may delay many dispatchers for longer: requests that are given up early would keep it
     /// overloaded, and nobody would get an answer.
-    pub(crate) fn failed(&mut self, why: Unanswered, draw: f64) -> Ms {
+    pub(crate) fn record_failure(&mut self, why: RequestFailure, draw: f64) -> Ms {
         let gap = (FIRST_RETRY_GAP * f64::from(1u32 << self.failed.min(8))).min(MAX_RETRY_GAP);
         // Between half of the gap and the whole. The spread over the dispatchers is added, and doubles with
         // each failure, because the previous spread was too short.
         let pause = gap * (0.5 + 0.5 * draw);
-        let spread = self.first(draw) * f64::from(1u32 << self.failed.min(MAX_SPREAD_DOUBLINGS));
+        let spread = self.first_delay(draw) * f64::from(1u32 << self.failed.min(MAX_SPREAD_DOUBLINGS));
         self.failed += 1;
         match why {
-            Unanswered::Refused(wait) if self.dispatchers > BOUNDED_DISPATCHERS => wait.max(pause) + spread,
-            Unanswered::Refused(wait) => (wait.max(pause) + spread).min(MAX_RETRY_DELAY),
-            Unanswered::Silent | Unanswered::Broken => {
-                self.silent += u32::from(why == Unanswered::Silent);
-                (pause + self.first(draw).min(draw * MAX_SPREAD_UNANSWERED)).min(MAX_RETRY_DELAY)
+            RequestFailure::Refused(wait) if self.dispatchers > BOUNDED_DISPATCHERS => {
+                wait.max(pause) + spread
+            }
+            RequestFailure::Refused(wait) => (wait.max(pause) + spread).min(MAX_RETRY_DELAY),
+            RequestFailure::TimedOut | RequestFailure::Broken => {
+                self.silent += u32::from(why == RequestFailure::TimedOut);
+                (pause + self.first_delay(draw).min(draw * MAX_SPREAD_UNANSWERED)).min(MAX_RETRY_DELAY)
             }
         }
     }
 
     /// Records an answer.
-    pub(crate) fn settled(&mut self) {
+    pub(crate) fn record_answer(&mut self) {
         (self.failed, self.silent) = (0, 0);
     }
 }
@@ -357,14 +359,14 @@
     fn a_start_with_a_cached_list_asks_within_the_bound_for_any_number_of_dispatchers() {
         let mut random = Random::new(5);
         for dispatchers in [1, 10, 100, 300, 3_000] {
-            let a = Asking::new(dispatchers, 2_000.0);
-            let most = (0..1_000).map(|_| a.start(random.next())).fold(0.0, f64::max);
+            let a = RegistryBackoff::new(dispatchers, 2_000.0);
+            let most = (0..1_000).map(|_| a.start_delay_with_cached_list(random.next())).fold(0.0, f64::max);
             assert!(most <= MAX_START_DELAY, "{dispatchers}: {most}");
             assert!(dispatchers < 10 || most > MAX_START_DELAY / 2.0, "still spread: {dispatchers}: {most}");
             // With a drain grace of half a second the bound is shorter: what the registry has counts as known
             // from the first moment of a new process.
-            let a = Asking::new(dispatchers, 500.0);
-            let most = (0..1_000).map(|_| a.start(random.next())).fold(0.0, f64::max);
+            let a = RegistryBackoff::new(dispatchers, 500.0);
+            let most = (0..1_000).map(|_| a.start_delay_with_cached_list(random.next())).fold(0.0, f64::max);
             assert!(most <= 200.0, "{dispatchers}: {most}");
         }
     }
@@ -373,9 +375,11 @@
     /// but still does its work. Returns when the last dispatcher has its watch.
     fn time_until_all_watch(dispatchers: usize, seed: u64) -> Option<Ms> {
         let mut random = Random::new(seed);
-        let mut requesters: Vec<Asking> = vec![Asking::new(dispatchers, 2_000.0); dispatchers];
+        let mut requesters: Vec<RegistryBackoff> =
+            vec![RegistryBackoff::new(dispatchers, 2_000.0); dispatchers];
         // When each dispatcher makes its next request, or, if the flag is set, stops waiting for the answer.
-        let mut at: Vec<(Ms, bool)> = requesters.iter().map(|a| (a.first(random.next()), false)).collect();
+        let mut at: Vec<(Ms, bool)> =
+            requesters.iter().map(|a| (a.first_delay(random.next()), false)).collect();
         let mut has = vec![false; dispatchers];
         let mut queue: VecDeque<usize> = VecDeque::new();
         for tick in 0..600 {
@@ -386,12 +390,12 @@
                     continue;
                 }
                 at[n] = if waiting {
-                    let silent = requesters[n].patience() < 2_000.0;
-                    let why = if silent { Unanswered::Silent } else { Unanswered::Refused(0.0) };
-                    (now + requesters[n].failed(why, random.next()), false)
+                    let silent = requesters[n].answer_timeout() < 2_000.0;
+                    let why = if silent { RequestFailure::TimedOut } else { RequestFailure::Refused(0.0) };
+                    (now + requesters[n].record_failure(why, random.next()), false)
                 } else {
                     queue.push_back(n);
-                    (now + requesters[n].patience().min(2_000.0), true)
+                    (now + requesters[n].answer_timeout().min(2_000.0), true)
                 };
             }
             // A request that was given up is served as well, in vain.
@@ -410,13 +414,13 @@
     #[test]
     fn starts_without_a_list_are_spread_within_a_bound() {
         let mut random = Random::new(7);
-        let a = Asking::new(100, 2_000.0);
-        let mut at: Vec<Ms> = (0..100).map(|_| a.empty(random.next())).collect();
+        let a = RegistryBackoff::new(100, 2_000.0);
+        let mut at: Vec<Ms> = (0..100).map(|_| a.start_delay_without_list(random.next())).collect();
         at.sort_by(f64::total_cmp);
         let busiest = at.iter().map(|t| at.iter().filter(|u| **u >= *t && **u < t + 10.0).count()).max();
         assert!(busiest.is_some_and(|b| b <= 8), "{busiest:?}");
         assert!(at[99] <= MAX_START_DELAY / 2.0);
-        assert_eq!(Asking::new(1, 2_000.0).empty(0.9), 0.0);
+        assert_eq!(RegistryBackoff::new(1, 2_000.0).start_delay_without_list(0.9), 0.0);
     }
 
     /// Guards against a change that the registry has for 6 s after its return while no dispatcher asks: after
@@ -426,19 +430,19 @@
         let mut random = Random::new(11);
         for dispatchers in [1, 3, 25, 100, 300, 3_000] {
             for silent in [true, false] {
-                let mut a = Asking::new(dispatchers, 2_000.0);
+                let mut a = RegistryBackoff::new(dispatchers, 2_000.0);
                 for n in 0..12 {
-                    let patience = if silent { a.patience() } else { 0.0 };
-                    let why = if silent { Unanswered::Silent } else { Unanswered::Broken };
-                    let all = patience + a.failed(why, random.next());
+                    let patience = if silent { a.answer_timeout() } else { 0.0 };
+                    let why = if silent { RequestFailure::TimedOut } else { RequestFailure::Broken };
+                    let all = patience + a.record_failure(why, random.next());
                     assert!(all < 5_500.0, "{dispatchers} dispatchers, failure {n}: {all}");
                 }
             }
         }
-        let mut few = Asking::new(BOUNDED_DISPATCHERS, 2_000.0);
+        let mut few = RegistryBackoff::new(BOUNDED_DISPATCHERS, 2_000.0);
         for _ in 0..12 {
-            let wait = Unanswered::Refused(60_000.0);
-            assert!(few.patience() + few.failed(wait, random.next()) < 5_500.0);
+            let wait = RequestFailure::Refused(60_000.0);
+            assert!(few.answer_timeout() + few.record_failure(wait, random.next()) < 5_500.0);
         }
     }
 
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -10,7 +10,7 @@
 //! endpoint counts the last one as over ([`Confirmation`]). An MQTT client's connection needs no check
 //! either: its session, and the answers owed to it, outlive the connection.
 
-use crate::api::{Effect, Listing, Ms};
+use crate::api::{Effect, Ms, ServiceState};
 use std::collections::BTreeMap;
 
 /// Why an action is not allowed now.
@@ -31,17 +31,17 @@
     /// It may have run, and the window in which repeats are dropped is over.
     WindowOver,
     /// It may have run at another endpoint, and this one would not drop the repeat.
-    OtherGroup,
+    OtherDedupGroup,
     /// An earlier message of its key has not ended.
-    OutOfTurn,
+    OutOfOrder,
     /// A retry-after of the endpoint, or of one that shares its limit, has not passed.
-    Waiting,
+    RetryAfter,
     /// The endpoint is draining, off the endpoint list or blocked by an operator.
     NotInService,
     /// The process is ending, or has handed over.
     Leaving,
     /// A request was read, and its answer is not written yet.
-    AnswerOwed,
+    AnswerPending,
     /// Attempts are outstanding or messages are held, and there is time to finish them.
     Unfinished,
     /// Ends of messages are not in the state folder yet, so the next process would not know of them.
@@ -59,12 +59,12 @@
             Reason::Exhausted => "exhausted",
             Reason::MayHaveRun => "may_have_run",
             Reason::WindowOver => "window_over",
-            Reason::OtherGroup => "other_group",
-            Reason::OutOfTurn => "out_of_turn",
-            Reason::Waiting => "waiting",
+            Reason::OtherDedupGroup => "other_group",
+            Reason::OutOfOrder => "out_of_turn",
+            Reason::RetryAfter => "waiting",
             Reason::NotInService => "not_in_service",
             Reason::Leaving => "leaving",
-            Reason::AnswerOwed => "answer_owed",
+            Reason::AnswerPending => "answer_owed",
             Reason::Unfinished => "unfinished",
             Reason::Unrecorded => "unrecorded",
         }
@@ -73,7 +73,7 @@
 
 /// A message for which an attempt is planned.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Message<'a> {
+pub struct AttemptMessage<'a> {
     /// Its end is decided.
     pub ended: bool,
     /// An attempt of it is outstanding.
@@ -87,33 +87,33 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Span after the first attempt in which its receiver drops a repeat.
-    pub window: Ms,
+    pub dedup_window: Ms,
     /// The first attempt that may have run: its send time, and the zone of its endpoint.
-    pub ran: Option<(Ms, &'a str)>,
+    pub first_possible_run: Option<(Ms, &'a str)>,
     /// An earlier message of its key has not ended.
-    pub has_earlier: bool,
+    pub earlier_in_key_pending: bool,
 }
 
 /// The endpoint of a planned attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Endpoint<'a> {
+pub struct AttemptEndpoint<'a> {
     /// Its state on the endpoint list, or as set by an operator.
-    pub listing: Listing,
+    pub state: ServiceState,
     /// Its zone.
     pub zone: &'a str,
     /// End of a retry-after that is in force.
-    pub wait_until: Option<Ms>,
+    pub retry_after_until: Option<Ms>,
 }
 
 /// What applies to all messages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Process {
     /// When it stops to start attempts.
-    pub closing: Option<Ms>,
+    pub no_attempts_from: Option<Ms>,
     /// Largest number of attempts for one message.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Resolution of times, in milliseconds.
-    pub round: Ms,
+    pub time_resolution: Ms,
 }
 
 /// Whether an attempt of the message may be sent to the endpoint now.
@@ -121,17 +121,22 @@
 /// # Errors
 ///
 /// The first rule that forbids it.
-pub fn may_send(now: Ms, message: &Message, endpoint: &Endpoint, process: &Process) -> Result<(), Reason> {
+pub fn may_send(
+    now: Ms,
+    message: &AttemptMessage,
+    endpoint: &AttemptEndpoint,
+    process: &Process,
+) -> Result<(), Reason> {
     let rules = [
         (message.ended, Reason::Ended),
         (message.outstanding, Reason::Outstanding),
         (message.unconfirmed, Reason::Unconfirmed),
         (now >= message.valid_until, Reason::Expired),
-        (message.attempts >= process.most_attempts, Reason::Exhausted),
-        (process.closing.is_some_and(|at| now >= at), Reason::Leaving),
-        (endpoint.listing != Listing::Ready, Reason::NotInService),
-        (endpoint.wait_until.is_some_and(|until| now < until), Reason::Waiting),
-        (message.has_earlier, Reason::OutOfTurn),
+        (message.attempts >= process.max_attempts, Reason::Exhausted),
+        (process.no_attempts_from.is_some_and(|at| now >= at), Reason::Leaving),
+        (endpoint.state != ServiceState::InService, Reason::NotInService),
+        (endpoint.retry_after_until.is_some_and(|until| now < until), Reason::RetryAfter),
+        (message.earlier_in_key_pending, Reason::OutOfOrder),
     ];
     match rules.iter().find(|(holds, _)| *holds) {
         Some((_, reason)) => Err(*reason),
@@ -140,14 +145,21 @@
 }
 
 /// Whether a message that may have run may be sent again, to this endpoint.
-fn may_repeat(now: Ms, message: &Message, endpoint: &Endpoint, process: &Process) -> Result<(), Reason> {
-    let Some((_, zone)) = message.ran else { return Ok(()) };
+fn may_repeat(
+    now: Ms,
+    message: &AttemptMessage,
+    endpoint: &AttemptEndpoint,
+    process: &Process,
+) -> Result<(), Reason> {
+    let Some((_, zone)) = message.first_possible_run else { return Ok(()) };
     match message.effect {
-        Effect::Safe => Ok(()),
-        Effect::Unsafe => Err(Reason::MayHaveRun),
-        Effect::Keyed { by_zone: true } if zone != endpoint.zone => Err(Reason::OtherGroup),
-        Effect::Keyed { .. } if now > write_by(message, process) => Err(Reason::WindowOver),
-        Effect::Keyed { .. } => Ok(()),
+        Effect::Idempotent => Ok(()),
+        Effect::AtMostOnce => Err(Reason::MayHaveRun),
+        Effect::Deduplicated { same_zone_only: true } if zone != endpoint.zone => {
+            Err(Reason::OtherDedupGroup)
+        }
+        Effect::Deduplicated { .. } if now > latest_write(message, process) => Err(Reason::WindowOver),
+        Effect::Deduplicated { .. } => Ok(()),
     }
 }
 
@@ -156,19 +168,19 @@
 /// # Errors
 ///
 /// The rule that forbids it.
-pub fn may_probe(now: Ms, endpoint: &Endpoint) -> Result<(), Reason> {
-    match endpoint.wait_until {
-        Some(until) if now < until => Err(Reason::Waiting),
-        _ if endpoint.listing == Listing::Gone => Err(Reason::NotInService),
+pub fn may_probe(now: Ms, endpoint: &AttemptEndpoint) -> Result<(), Reason> {
+    match endpoint.retry_after_until {
+        Some(until) if now < until => Err(Reason::RetryAfter),
+        _ if endpoint.state == ServiceState::Removed => Err(Reason::NotInService),
         _ => Ok(()),
     }
 }
 
 /// Latest time at which a byte of an attempt may be written: its connection may be established late.
-pub fn write_by(message: &Message, process: &Process) -> Ms {
-    match (message.effect, message.ran) {
-        (Effect::Keyed { .. }, Some((sent, _))) => {
-            message.valid_until.min(sent + message.window - 2.0 * process.round)
+pub fn latest_write(message: &AttemptMessage, process: &Process) -> Ms {
+    match (message.effect, message.first_possible_run) {
+        (Effect::Deduplicated { .. }, Some((sent, _))) => {
+            message.valid_until.min(sent + message.dedup_window - 2.0 * process.time_resolution)
         }
         _ => message.valid_until,
     }
@@ -195,26 +207,28 @@
 
 /// An attempt whose last byte was written, as it is recorded.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Written {
+pub struct WrittenAttempt {
     /// Latest time for writing it: see [`write_by`].
-    pub write_by: Ms,
+    pub latest_write: Ms,
     /// When the retry-after that is in force at its endpoint arrived.
-    pub wait_told: Option<Ms>,
+    pub retry_after_received_at: Option<Ms>,
     /// An earlier message of its key has not ended.
-    pub has_earlier: bool,
+    pub earlier_in_key_pending: bool,
     /// An earlier attempt of its message has ended here, but its endpoint may not know yet.
     pub unconfirmed: bool,
 }
 
 /// The rule that writing the attempt has broken, if any.
-pub fn broken_by(now: Ms, written: &Written) -> Option<Reason> {
+pub fn violated_rule(now: Ms, written: &WrittenAttempt) -> Option<Reason> {
     let broken = [
-        (now > written.write_by + MAX_PROCESS_DELAY, Reason::WindowOver),
+        (now > written.latest_write + MAX_PROCESS_DELAY, Reason::WindowOver),
         (
-            written.wait_told.is_some_and(|arrived| now > arrived + RETRY_AFTER_GRACE + MAX_PROCESS_DELAY),
-            Reason::Waiting,
+            written
+                .retry_after_received_at
+                .is_some_and(|arrived| now > arrived + RETRY_AFTER_GRACE + MAX_PROCESS_DELAY),
+            Reason::RetryAfter,
         ),
-        (written.has_earlier, Reason::OutOfTurn),
+        (written.earlier_in_key_pending, Reason::OutOfOrder),
         (written.unconfirmed, Reason::Unconfirmed),
     ];
     broken.iter().find(|(holds, _)| *holds).map(|(_, reason)| *reason)
@@ -222,19 +236,19 @@
 
 /// Which side ended the connection of an attempt that was written and not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndedFirst {
+pub enum ClosedFirst {
     /// This process: it has shut down its sending side, and the endpoint answers that by ending its own.
     Dispatcher,
     /// The endpoint, or a proxy on the path: no further confirmation can arrive.
     Endpoint,
 }
 
-impl EndedFirst {
+impl ClosedFirst {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            EndedFirst::Dispatcher => "dispatcher",
-            EndedFirst::Endpoint => "endpoint",
+            ClosedFirst::Dispatcher => "dispatcher",
+            ClosedFirst::Endpoint => "endpoint",
         }
     }
 }
@@ -244,7 +258,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Confirmation {
     /// Its last byte was not written, so no endpoint has begun it.
-    NeverBegun,
+    NotWritten,
     /// The endpoint answered.
     Answered,
     /// The endpoint ended the connection after this side did.
@@ -257,7 +271,7 @@
     /// Its name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Confirmation::NeverBegun => "never_begun",
+            Confirmation::NotWritten => "never_begun",
             Confirmation::Answered => "answered",
             Confirmation::EndedByEndpoint => "ended_by_endpoint",
             Confirmation::TimedOut => "timed_out",
@@ -269,57 +283,57 @@
 /// that hangs or is cut off never confirms, and after an endpoint ended the connection first no confirmation
 /// can arrive. The span is longer than any path delays bytes one way, which is the way the end takes. It is
 /// not derived from the last answer times, because the path may have become slow since.
-pub const CONFIRM_MOST: Ms = 700.0;
+pub const CONFIRM_TIMEOUT: Ms = 700.0;
 /// The endpoint's own end of the connection may have crossed this side's, so it does not prove that the
 /// endpoint has seen the latter. After this span the endpoint has.
-pub const CONFIRM_CROSSED: Ms = 100.0;
+pub const CROSSED_CLOSE_DELAY: Ms = 100.0;
 /// The same as [`CONFIRM_MOST`] for attempts that another process left outstanding when it ended: the system
 /// ends its connections at once, and the next process has taken a while to start.
 const INHERITED_CONFIRM_TIMEOUT: Ms = 500.0;
 
 /// When an attempt that ends now, written and not answered, counts as over at its endpoint at the latest.
-pub fn confirmed_by(now: Ms) -> Ms {
-    now + CONFIRM_MOST
+pub fn confirmation_deadline(now: Ms) -> Ms {
+    now + CONFIRM_TIMEOUT
 }
 
 /// The same once the endpoint has ended its side after this one.
-pub fn confirmed_behind(now: Ms, by: Ms) -> Ms {
-    by.min(now + CONFIRM_CROSSED)
+pub fn deadline_after_peer_close(now: Ms, by: Ms) -> Ms {
+    by.min(now + CROSSED_CLOSE_DELAY)
 }
 
 /// The same for attempts of another process that is found to have ended now.
-pub fn inherited_by(now: Ms) -> Ms {
+pub fn inherited_confirmation_deadline(now: Ms) -> Ms {
     now + INHERITED_CONFIRM_TIMEOUT
 }
 
 /// How the end of such an attempt became known to its endpoint, once its wait is over.
-pub fn confirmation(first: EndedFirst, endpoint_ended: bool) -> Confirmation {
+pub fn confirmation_kind(first: ClosedFirst, endpoint_ended: bool) -> Confirmation {
     match first {
-        EndedFirst::Dispatcher if endpoint_ended => Confirmation::EndedByEndpoint,
+        ClosedFirst::Dispatcher if endpoint_ended => Confirmation::EndedByEndpoint,
         _ => Confirmation::TimedOut,
     }
 }
 
 /// After SIGTERM, outstanding attempts may finish for this span.
-pub const LEAVE_AFTER: Ms = 3_300.0;
+pub const SHUTDOWN_TIMEOUT: Ms = 3_300.0;
 /// After SIGTERM, the process accepts clients for this span, and ends after it if it holds no message.
-pub const LINGER: Ms = 700.0;
+pub const SHUTDOWN_LINGER: Ms = 700.0;
 
 /// A process that was told to end.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Leaving {
+pub struct Shutdown {
     /// Time since it was told.
-    pub told_for: Ms,
+    pub since: Ms,
     /// Messages that it holds.
     pub held: usize,
     /// Messages of `held` with an outstanding attempt.
     pub outstanding: usize,
     /// A sibling process serves on the state folder and takes over what this one holds.
-    pub has_company: bool,
+    pub has_sibling: bool,
     /// A request was read that is not decided on or answered.
-    pub undecided: bool,
+    pub requests_pending: bool,
     /// Records of the ends of messages are not all in the state folder.
-    pub unrecorded: bool,
+    pub records_pending: bool,
 }
 
 /// Whether the process may end now. At [`LEAVE_AFTER`] it may in any case: requests that were read get an
@@ -328,18 +342,18 @@
 /// # Errors
 ///
 /// What it still has to do.
-pub fn may_end(leaving: &Leaving) -> Result<(), Reason> {
-    if leaving.told_for >= LEAVE_AFTER {
+pub fn may_end(leaving: &Shutdown) -> Result<(), Reason> {
+    if leaving.since >= SHUTDOWN_TIMEOUT {
         return Ok(());
     }
-    let done = leaving.held == 0 || (leaving.has_company && leaving.outstanding == 0);
-    if leaving.told_for < LINGER || !done {
+    let done = leaving.held == 0 || (leaving.has_sibling && leaving.outstanding == 0);
+    if leaving.since < SHUTDOWN_LINGER || !done {
         return Err(Reason::Unfinished);
     }
-    if leaving.undecided {
-        return Err(Reason::AnswerOwed);
+    if leaving.requests_pending {
+        return Err(Reason::AnswerPending);
     }
-    if leaving.unrecorded {
+    if leaving.records_pending {
         return Err(Reason::Unrecorded);
     }
     Ok(())
@@ -347,7 +361,7 @@
 
 /// Why a client's connection is to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Close {
+pub enum CloseReason {
     /// The client ended or broke it.
     ByClient,
     /// All its requests are answered, and the client or this process ends the connection.
@@ -355,33 +369,33 @@
     /// It was idle, silent or in the middle of a request for too long.
     TimedOut,
     /// Its file descriptor is needed for another connection.
-    NoRoom,
+    DescriptorNeeded,
     /// The process drains.
     Draining,
 }
 
-impl Close {
+impl CloseReason {
     /// Its name in the log and in the metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Close::ByClient => "by_client",
-            Close::Answered => "answered",
-            Close::TimedOut => "timed_out",
-            Close::NoRoom => "no_room",
-            Close::Draining => "draining",
+            CloseReason::ByClient => "by_client",
+            CloseReason::Answered => "answered",
+            CloseReason::TimedOut => "timed_out",
+            CloseReason::DescriptorNeeded => "no_room",
+            CloseReason::Draining => "draining",
         }
     }
 }
 
 /// A client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Connection {
+pub struct ClientConnection {
     /// A whole request was read, and its answer is not decided yet.
     pub awaits_answer: bool,
     /// Bytes of answers that are not written yet.
     pub unwritten: usize,
     /// The client does not read what is written.
-    pub stalled: bool,
+    pub client_not_reading: bool,
 }
 
 /// Whether a client's connection may be closed for this reason now.
@@ -389,10 +403,10 @@
 /// # Errors
 ///
 /// An answer is outstanding and would be lost.
-pub fn may_close(connection: &Connection, why: Close) -> Result<(), Reason> {
-    let owed = connection.awaits_answer || (connection.unwritten > 0 && !connection.stalled);
-    if why != Close::ByClient && owed {
-        return Err(Reason::AnswerOwed);
+pub fn may_close(connection: &ClientConnection, why: CloseReason) -> Result<(), Reason> {
+    let owed = connection.awaits_answer || (connection.unwritten > 0 && !connection.client_not_reading);
+    if why != CloseReason::ByClient && owed {
+        return Err(Reason::AnswerPending);
     }
     Ok(())
 }
@@ -401,9 +415,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Attempts, probes and closes that were not allowed.
-    pub refused: BTreeMap<Reason, u64>,
+    pub forbidden: BTreeMap<Reason, u64>,
     /// Closed connections of clients, by reason.
-    pub closed: BTreeMap<Close, u64>,
+    pub closed: BTreeMap<CloseReason, u64>,
     /// Attempts that ended, by how their endpoints are known to count them as over.
     pub confirmed: BTreeMap<Confirmation, u64>,
     /// What was done although it was not allowed; 0 unless this program has a fault.
@@ -416,25 +430,25 @@
     /// # Errors
     ///
     /// The result, if it is an error.
-    pub fn note(&mut self, answer: Result<(), Reason>) -> Result<(), Reason> {
+    pub fn record(&mut self, answer: Result<(), Reason>) -> Result<(), Reason> {
         if let Err(reason) = answer {
-            *self.refused.entry(reason).or_default() += 1;
+            *self.forbidden.entry(reason).or_default() += 1;
         }
         answer
     }
 
     /// Counts a closed connection.
-    pub fn closed(&mut self, why: Close) {
+    pub fn record_close(&mut self, why: CloseReason) {
         *self.closed.entry(why).or_default() += 1;
     }
 
     /// Counts an attempt that is over for its endpoint, too.
-    pub fn confirmed(&mut self, how: Confirmation) {
+    pub fn record_confirmation(&mut self, how: Confirmation) {
         *self.confirmed.entry(how).or_default() += 1;
     }
 
     /// Counts an action that this rule forbids.
-    pub fn violated(&mut self, reason: Reason) {
+    pub fn record_violation(&mut self, reason: Reason) {
         *self.violations.entry(reason).or_default() += 1;
     }
 
@@ -452,7 +466,7 @@
         let confirmed: serde_json::Map<_, _> =
             self.confirmed.iter().map(|(c, n)| (c.name().to_string(), (*n).into())).collect();
         serde_json::json!({
-            "refused": by_reason(&self.refused),
+            "refused": by_reason(&self.forbidden),
             "closed": closed,
             "confirmed": confirmed,
             "violations": by_reason(&self.violations)
@@ -464,85 +478,101 @@
 mod tests {
     use super::*;
 
-    const PROCESS: Process = Process { closing: None, most_attempts: 8, round: 1.0 };
-    const ENDPOINT: Endpoint = Endpoint { listing: Listing::Ready, zone: "a", wait_until: None };
+    const PROCESS: Process = Process { no_attempts_from: None, max_attempts: 8, time_resolution: 1.0 };
+    const ENDPOINT: AttemptEndpoint =
+        AttemptEndpoint { state: ServiceState::InService, zone: "a", retry_after_until: None };
 
-    fn message(effect: Effect) -> Message<'static> {
-        Message {
+    fn message(effect: Effect) -> AttemptMessage<'static> {
+        AttemptMessage {
             ended: false,
             outstanding: false,
             unconfirmed: false,
             valid_until: 1_000.0,
             attempts: 1,
             effect,
-            window: 500.0,
-            ran: None,
-            has_earlier: false,
+            dedup_window: 500.0,
+            first_possible_run: None,
+            earlier_in_key_pending: false,
         }
     }
 
     #[test]
     fn each_rule_alone_forbids_an_attempt() {
-        let m = message(Effect::Safe);
+        let m = message(Effect::Idempotent);
         assert_eq!(may_send(0.0, &m, &ENDPOINT, &PROCESS), Ok(()));
         let forbidden = [
-            (Message { ended: true, ..m }, ENDPOINT, PROCESS, Reason::Ended),
-            (Message { outstanding: true, ..m }, ENDPOINT, PROCESS, Reason::Outstanding),
-            (Message { unconfirmed: true, ..m }, ENDPOINT, PROCESS, Reason::Unconfirmed),
-            (Message { valid_until: 0.0, ..m }, ENDPOINT, PROCESS, Reason::Expired),
-            (Message { attempts: 8, ..m }, ENDPOINT, PROCESS, Reason::Exhausted),
-            (Message { has_earlier: true, ..m }, ENDPOINT, PROCESS, Reason::OutOfTurn),
-            (m, Endpoint { listing: Listing::Draining, ..ENDPOINT }, PROCESS, Reason::NotInService),
-            (m, Endpoint { listing: Listing::Gone, ..ENDPOINT }, PROCESS, Reason::NotInService),
-            (m, Endpoint { wait_until: Some(0.1), ..ENDPOINT }, PROCESS, Reason::Waiting),
-            (m, ENDPOINT, Process { closing: Some(0.0), ..PROCESS }, Reason::Leaving),
+            (AttemptMessage { ended: true, ..m }, ENDPOINT, PROCESS, Reason::Ended),
+            (AttemptMessage { outstanding: true, ..m }, ENDPOINT, PROCESS, Reason::Outstanding),
+            (AttemptMessage { unconfirmed: true, ..m }, ENDPOINT, PROCESS, Reason::Unconfirmed),
+            (AttemptMessage { valid_until: 0.0, ..m }, ENDPOINT, PROCESS, Reason::Expired),
+            (AttemptMessage { attempts: 8, ..m }, ENDPOINT, PROCESS, Reason::Exhausted),
+            (AttemptMessage { earlier_in_key_pending: true, ..m }, ENDPOINT, PROCESS, Reason::OutOfOrder),
+            (m, AttemptEndpoint { state: ServiceState::Draining, ..ENDPOINT }, PROCESS, Reason::NotInService),
+            (m, AttemptEndpoint { state: ServiceState::Removed, ..ENDPOINT }, PROCESS, Reason::NotInService),
+            (m, AttemptEndpoint { retry_after_until: Some(0.1), ..ENDPOINT }, PROCESS, Reason::RetryAfter),
+            (m, ENDPOINT, Process { no_attempts_from: Some(0.0), ..PROCESS }, Reason::Leaving),
         ];
         for (message, endpoint, process, reason) in forbidden {
             assert_eq!(may_send(0.0, &message, &endpoint, &process), Err(reason));
         }
-        let wait_over = Endpoint { wait_until: Some(0.0), ..ENDPOINT };
+        let wait_over = AttemptEndpoint { retry_after_until: Some(0.0), ..ENDPOINT };
         assert_eq!(may_send(0.0, &m, &wait_over, &PROCESS), Ok(()), "a retry-after that has passed");
     }
 
     #[test]
     fn a_message_that_may_have_run_is_repeated_as_its_effect_allows() {
-        let ran = |effect| Message { ran: Some((100.0, "a")), ..message(effect) };
-        let may = |now, m: &Message, zone| may_send(now, m, &Endpoint { zone, ..ENDPOINT }, &PROCESS);
-        assert_eq!(may(900.0, &ran(Effect::Safe), "b"), Ok(()));
-        assert_eq!(may(101.0, &ran(Effect::Unsafe), "a"), Err(Reason::MayHaveRun));
-        let keyed = |by_zone| ran(Effect::Keyed { by_zone });
+        let ran = |effect| AttemptMessage { first_possible_run: Some((100.0, "a")), ..message(effect) };
+        let may =
+            |now, m: &AttemptMessage, zone| may_send(now, m, &AttemptEndpoint { zone, ..ENDPOINT }, &PROCESS);
+        assert_eq!(may(900.0, &ran(Effect::Idempotent), "b"), Ok(()));
+        assert_eq!(may(101.0, &ran(Effect::AtMostOnce), "a"), Err(Reason::MayHaveRun));
+        let keyed = |by_zone| ran(Effect::Deduplicated { same_zone_only: by_zone });
         assert_eq!(may(598.0, &keyed(false), "b"), Ok(()));
         assert_eq!(may(598.1, &keyed(false), "b"), Err(Reason::WindowOver));
-        assert_eq!(may(200.0, &keyed(true), "b"), Err(Reason::OtherGroup));
-        assert_eq!(write_by(&keyed(true), &PROCESS), 598.0);
-        assert_eq!(write_by(&Message { valid_until: 300.0, ..keyed(true) }, &PROCESS), 300.0);
+        assert_eq!(may(200.0, &keyed(true), "b"), Err(Reason::OtherDedupGroup));
+        assert_eq!(latest_write(&keyed(true), &PROCESS), 598.0);
+        assert_eq!(latest_write(&AttemptMessage { valid_until: 300.0, ..keyed(true) }, &PROCESS), 300.0);
     }
 
     #[test]
     fn a_write_that_is_late_within_a_wait_or_out_of_order_is_a_violation() {
-        let written = Written { write_by: 1_000.0, wait_told: None, has_earlier: false, unconfirmed: false };
+        let written = WrittenAttempt {
+            latest_write: 1_000.0,
+            retry_after_received_at: None,
+            earlier_in_key_pending: false,
+            unconfirmed: false,
+        };
         assert_eq!(
             (may_write(1_000.0, 1_000.0), may_write(1_000.1, 1_000.0)),
             (Ok(()), Err(Reason::WindowOver))
         );
-        assert_eq!(broken_by(1_150.0, &written), None);
-        assert_eq!(broken_by(1_151.0, &written), Some(Reason::WindowOver));
-        let waiting = Written { wait_told: Some(100.0), ..written };
-        assert_eq!((broken_by(350.0, &waiting), broken_by(351.0, &waiting)), (None, Some(Reason::Waiting)));
-        assert_eq!(broken_by(0.0, &Written { has_earlier: true, ..written }), Some(Reason::OutOfTurn));
-        assert_eq!(broken_by(0.0, &Written { unconfirmed: true, ..written }), Some(Reason::Unconfirmed));
+        assert_eq!(violated_rule(1_150.0, &written), None);
+        assert_eq!(violated_rule(1_151.0, &written), Some(Reason::WindowOver));
+        let waiting = WrittenAttempt { retry_after_received_at: Some(100.0), ..written };
+        assert_eq!(
+            (violated_rule(350.0, &waiting), violated_rule(351.0, &waiting)),
+            (None, Some(Reason::RetryAfter))
+        );
+        assert_eq!(
+            violated_rule(0.0, &WrittenAttempt { earlier_in_key_pending: true, ..written }),
+            Some(Reason::OutOfOrder)
+        );
+        assert_eq!(
+            violated_rule(0.0, &WrittenAttempt { unconfirmed: true, ..written }),
+            Some(Reason::Unconfirmed)
+        );
     }
 
     #[test]
     fn an_unanswered_attempt_is_over_after_a_confirmation_or_a_timeout() {
-        let by = confirmed_by(10.0);
-        assert_eq!(by, 10.0 + CONFIRM_MOST);
-        assert_eq!(confirmed_behind(20.0, by), 20.0 + CONFIRM_CROSSED);
-        assert_eq!(confirmed_behind(by - 1.0, by), by, "never longer than without the confirmation");
-        assert_eq!(confirmation(EndedFirst::Dispatcher, true), Confirmation::EndedByEndpoint);
-        assert_eq!(confirmation(EndedFirst::Dispatcher, false), Confirmation::TimedOut);
+        let by = confirmation_deadline(10.0);
+        assert_eq!(by, 10.0 + CONFIRM_TIMEOUT);
+        assert_eq!(deadline_after_peer_close(20.0, by), 20.0 + CROSSED_CLOSE_DELAY);
+        assert_eq!(deadline_after_peer_close(by - 1.0, by), by, "never longer than without the confirmation");
+        assert_eq!(confirmation_kind(ClosedFirst::Dispatcher, true), Confirmation::EndedByEndpoint);
+        assert_eq!(confirmation_kind(ClosedFirst::Dispatcher, false), Confirmation::TimedOut);
         assert_eq!(
-            confirmation(EndedFirst::Endpoint, true),
+            confirmation_kind(ClosedFirst::Endpoint, true),
             Confirmation::TimedOut,
             "the end of the endpoint does not confirm ours"
         );
@@ -550,28 +580,28 @@
 
     #[test]
     fn a_process_ends_when_its_work_is_done_or_its_time_is_up() {
-        let idle = Leaving {
-            told_for: LINGER,
+        let idle = Shutdown {
+            since: SHUTDOWN_LINGER,
             held: 0,
             outstanding: 0,
-            has_company: false,
-            undecided: false,
-            unrecorded: false,
+            has_sibling: false,
+            requests_pending: false,
+            records_pending: false,
         };
         assert_eq!(may_end(&idle), Ok(()));
         let stays = [
-            (Leaving { told_for: LINGER - 1.0, ..idle }, Reason::Unfinished),
-            (Leaving { held: 1, ..idle }, Reason::Unfinished),
-            (Leaving { held: 2, outstanding: 1, has_company: true, ..idle }, Reason::Unfinished),
-            (Leaving { undecided: true, ..idle }, Reason::AnswerOwed),
-            (Leaving { unrecorded: true, ..idle }, Reason::Unrecorded),
+            (Shutdown { since: SHUTDOWN_LINGER - 1.0, ..idle }, Reason::Unfinished),
+            (Shutdown { held: 1, ..idle }, Reason::Unfinished),
+            (Shutdown { held: 2, outstanding: 1, has_sibling: true, ..idle }, Reason::Unfinished),
+            (Shutdown { requests_pending: true, ..idle }, Reason::AnswerPending),
+            (Shutdown { records_pending: true, ..idle }, Reason::Unrecorded),
         ];
         for (leaving, reason) in stays {
             assert_eq!(may_end(&leaving), Err(reason));
-            assert_eq!(may_end(&Leaving { told_for: LEAVE_AFTER, ..leaving }), Ok(()));
+            assert_eq!(may_end(&Shutdown { since: SHUTDOWN_TIMEOUT, ..leaving }), Ok(()));
         }
         assert_eq!(
-            may_end(&Leaving { held: 2, has_company: true, ..idle }),
+            may_end(&Shutdown { held: 2, has_sibling: true, ..idle }),
             Ok(()),
             "the sibling process takes over"
         );
@@ -579,19 +609,24 @@
 
     #[test]
     fn only_the_client_closes_a_connection_with_an_outstanding_answer() {
-        let idle = Connection { awaits_answer: false, unwritten: 0, stalled: false };
-        let awaiting = Connection { awaits_answer: true, ..idle };
-        let writing = Connection { unwritten: 3, ..idle };
-        for why in [Close::Answered, Close::TimedOut, Close::NoRoom, Close::Draining] {
+        let idle = ClientConnection { awaits_answer: false, unwritten: 0, client_not_reading: false };
+        let awaiting = ClientConnection { awaits_answer: true, ..idle };
+        let writing = ClientConnection { unwritten: 3, ..idle };
+        for why in [
+            CloseReason::Answered,
+            CloseReason::TimedOut,
+            CloseReason::DescriptorNeeded,
+            CloseReason::Draining,
+        ] {
             assert_eq!(may_close(&idle, why), Ok(()));
-            assert_eq!(may_close(&awaiting, why), Err(Reason::AnswerOwed));
-            assert_eq!(may_close(&writing, why), Err(Reason::AnswerOwed));
-            assert_eq!(may_close(&Connection { stalled: true, ..writing }, why), Ok(()));
+            assert_eq!(may_close(&awaiting, why), Err(Reason::AnswerPending));
+            assert_eq!(may_close(&writing, why), Err(Reason::AnswerPending));
+            assert_eq!(may_close(&ClientConnection { client_not_reading: true, ..writing }, why), Ok(()));
         }
-        assert_eq!(may_close(&awaiting, Close::ByClient), Ok(()));
+        assert_eq!(may_close(&awaiting, CloseReason::ByClient), Ok(()));
         let mut counts = Counts::default();
-        let _ = counts.note(may_close(&awaiting, Close::NoRoom));
-        counts.closed(Close::ByClient);
+        let _ = counts.record(may_close(&awaiting, CloseReason::DescriptorNeeded));
+        counts.record_close(CloseReason::ByClient);
         assert_eq!(counts.json()["refused"]["answer_owed"], 1);
         assert_eq!(counts.json()["closed"]["by_client"], 1);
     }
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -9,9 +9,9 @@
 mod scan;
 mod slot;
 
-use crate::timeline::{self, Reading};
-pub use record::{CallNo, Ending, FileMark, Identity, Record, Sent, Taken};
-pub use scan::{highest, unsure};
+use crate::timeline::{self, ClockReading};
+pub use record::{AcceptedMessage, AttemptSent, Ending, FileFingerprint, Identity, MessageNo, Record};
+pub use scan::{highest_message_no, mark_open_messages_as_possibly_executed};
 use scan::{quarantine, scan, Scan};
 use slot::{lock, was_truncated, write_length_mark, SLOTS};
 use std::fs::{File, OpenOptions};
@@ -60,9 +60,9 @@
     /// The start found that the file had been truncated.
     truncated: bool,
     /// Fingerprint of the file as the start found it.
-    found: FileMark,
+    found: FileFingerprint,
     /// The clocks at the start of this process; `None` for a reader that only inspects a folder.
-    clocks: Option<Reading>,
+    clocks: Option<ClockReading>,
     /// Encoded records that must be written before any other, because the file did not accept them earlier.
     deferred: Vec<u8>,
     /// Read position in the sibling process's file.
@@ -76,7 +76,7 @@
     inode: u64,
     read: u64,
     /// The clock reading that applies to the next records.
-    clocks: Option<Reading>,
+    clocks: Option<ClockReading>,
 }
 
 impl SiblingTail {
@@ -91,10 +91,10 @@
         file.read_exact_at(&mut bytes, self.read)?;
         let found = scan(&bytes);
         self.read += found.valid_len as u64;
-        let mut records: Vec<Record> = self.clocks.map(Record::Clock).into_iter().collect();
+        let mut records: Vec<Record> = self.clocks.map(Record::ClockReading).into_iter().collect();
         records.extend(found.records);
         let clocks =
-            records.iter().rev().find_map(|r| if let Record::Clock(c) = r { Some(*c) } else { None });
+            records.iter().rev().find_map(|r| if let Record::ClockReading(c) = r { Some(*c) } else { None });
         self.clocks = clocks.or(self.clocks);
         Ok(records)
     }
@@ -102,7 +102,7 @@
 
 /// The journal file of an ended process, locked by this process until the file is truncated.
 #[derive(Debug)]
-pub struct Orphan {
+pub struct OrphanedJournal {
     path: PathBuf,
     _lock: File,
     /// The records that the file held.
@@ -110,17 +110,17 @@
     /// Number of damaged byte ranges that were skipped, plus one if the file was truncated.
     pub damaged: usize,
     /// Fingerprint by which the file is recognized if it could not be truncated.
-    pub mark: FileMark,
+    pub fingerprint: FileFingerprint,
 }
 
-impl Orphan {
+impl OrphanedJournal {
     /// Truncates the file once its records are written elsewhere, and releases its lock for the next process.
     ///
     /// # Errors
     ///
     /// The file cannot be truncated. Its records stay in it and must be skipped by its fingerprint.
-    pub fn clear(self) -> io::Result<()> {
-        self.empty()
+    pub fn truncate_and_release(self) -> io::Result<()> {
+        self.truncate()
     }
 
     /// Truncates the file and keeps its lock, so that a failed truncation can be retried later.
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// See [`Orphan::clear`].
-    pub fn empty(&self) -> io::Result<()> {
+    pub fn truncate(&self) -> io::Result<()> {
         write_length_mark(&self._lock, 0)?;
         OpenOptions::new().write(true).open(&self.path)?.set_len(0)
     }
@@ -136,13 +136,13 @@
 
 /// State of the folder's other journal file, as found by [`Journal::other`].
 #[derive(Debug)]
-pub enum Other {
+pub enum SiblingFile {
     /// No process holds its lock, and it has no records.
-    Free,
+    Unused,
     /// A running sibling process holds its lock, as during an upgrade.
-    Lives,
+    InUse,
     /// It holds records of a process that has ended.
-    Left(Orphan),
+    Orphaned(OrphanedJournal),
 }
 
 /// Whether the error means that the file cannot grow at the moment.
@@ -152,9 +152,9 @@
 }
 
 /// Translates the records' times to the timeline of the reading process, if it has one.
-fn on_timeline(records: Vec<Record>, clocks: Option<&Reading>) -> Vec<Record> {
+fn on_timeline(records: Vec<Record>, clocks: Option<&ClockReading>) -> Vec<Record> {
     match clocks {
-        Some(clocks) => timeline::translated(records, clocks),
+        Some(clocks) => timeline::translate_records(records, clocks),
         None => records,
     }
 }
@@ -186,7 +186,11 @@
     /// # Errors
     ///
     /// See [`Journal::open`].
-    pub fn open_at(folder: &Path, limit: u64, clocks: Option<Reading>) -> io::Result<(Journal, Vec<Record>)> {
+    pub fn open_at(
+        folder: &Path,
+        limit: u64,
+        clocks: Option<ClockReading>,
+    ) -> io::Result<(Journal, Vec<Record>)> {
         crate::disk::make_folder(folder)?;
         let mut held = None;
         // A sibling process briefly holds a free file's lock while it checks that file, so a failure may
@@ -235,9 +239,9 @@
             slot,
             damaged: damaged.len(),
             truncated,
-            found: FileMark::of(&bytes),
+            found: FileFingerprint::of(&bytes),
             clocks,
-            deferred: clocks.map_or_else(Vec::new, |c| Record::Clock(c).encode()),
+            deferred: clocks.map_or_else(Vec::new, |c| Record::ClockReading(c).encode()),
             sibling_tail: SiblingTail::default(),
             _lock: lock,
         };
@@ -261,12 +265,12 @@
     }
 
     /// Fingerprint of the file as the start found it.
-    pub fn found(&self) -> FileMark {
+    pub fn start_fingerprint(&self) -> FileFingerprint {
         self.found
     }
 
     /// The clocks at the start of this process.
-    pub fn clocks(&self) -> Option<Reading> {
+    pub fn clocks(&self) -> Option<ClockReading> {
         self.clocks
     }
 
@@ -282,18 +286,18 @@
     }
 
     /// Index of the file that this process holds, from 0.
-    pub fn slot(&self) -> usize {
+    pub fn file_index(&self) -> usize {
         self.slot
     }
 
     /// The highest message number in the folder's other file, even while a sibling process writes it; 0 if
     /// there is none.
-    pub fn other_numbers(&self) -> CallNo {
+    pub fn highest_sibling_number(&self) -> MessageNo {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let others = (0..SLOTS.len()).filter(|s| *s != self.slot);
         let records =
             others.filter_map(|s| std::fs::read(folder.join(SLOTS[s])).ok()).flat_map(|b| scan(&b).records);
-        highest(&records.collect::<Vec<_>>())
+        highest_message_no(&records.collect::<Vec<_>>())
     }
 
     /// Checks the folder's other file: held by a running process, left with records by an ended one, or
@@ -302,12 +306,12 @@
     /// # Errors
     ///
     /// The other file or its lock cannot be opened or read.
-    pub fn other(&self) -> io::Result<Other> {
+    pub fn check_sibling_file(&self) -> io::Result<SiblingFile> {
         let folder = self.path.parent().unwrap_or(Path::new("."));
-        let mut found = Other::Free;
+        let mut found = SiblingFile::Unused;
         for slot in (0..SLOTS.len()).filter(|s| *s != self.slot) {
             let Some(lock) = lock(folder, slot)? else {
-                found = Other::Lives;
+                found = SiblingFile::InUse;
                 continue;
             };
             let path = folder.join(SLOTS[slot]);
@@ -324,8 +328,14 @@
                 let truncated = was_truncated(&lock, valid_len, bytes.len());
                 let damaged = damaged.len() + usize::from(truncated);
                 let records = on_timeline(records, self.clocks.as_ref());
-                let mark = FileMark::of(&bytes);
-                return Ok(Other::Left(Orphan { path, _lock: lock, records, damaged, mark }));
+                let mark = FileFingerprint::of(&bytes);
+                return Ok(SiblingFile::Orphaned(OrphanedJournal {
+                    path,
+                    _lock: lock,
+                    records,
+                    damaged,
+                    fingerprint: mark,
+                }));
             }
         }
         Ok(found)
@@ -333,12 +343,12 @@
 
     /// Retry-after records that a running sibling process has written to the other file since the last call.
     /// Endpoints asked the dispatcher as a whole to wait, so these waits bind this process too.
-    pub fn other_waits(&mut self) -> Vec<Record> {
+    pub fn read_sibling_waits(&mut self) -> Vec<Record> {
         let folder = self.path.parent().unwrap_or(Path::new("."));
         let Some(other) = (0..SLOTS.len()).find(|s| *s != self.slot) else { return Vec::new() };
         let records = self.sibling_tail.read_new_records(&folder.join(SLOTS[other])).unwrap_or_default();
         let waits = on_timeline(records, self.clocks.as_ref()).into_iter();
-        waits.filter(|r| matches!(r, Record::Wait { .. })).collect()
+        waits.filter(|r| matches!(r, Record::RetryAfter { .. })).collect()
     }
 
     /// The other file, if [`Journal::other`] finds that an ended process left it.
@@ -346,9 +356,9 @@
     /// # Errors
     ///
     /// See [`Journal::other`].
-    pub fn orphan(&self) -> io::Result<Option<Orphan>> {
-        Ok(match self.other()? {
-            Other::Left(orphan) => Some(orphan),
+    pub fn orphaned_journal(&self) -> io::Result<Option<OrphanedJournal>> {
+        Ok(match self.check_sibling_file()? {
+            SiblingFile::Orphaned(orphan) => Some(orphan),
             _ => None,
         })
     }
@@ -393,7 +403,7 @@
         self.flush_deferred()?;
         let before = self.size;
         self.write(&record.encode())?;
-        if matches!(record, Record::State { out: Some(_), .. }) {
+        if matches!(record, Record::Attempts { in_progress: Some(_), .. }) {
             // If the recorded length lagged behind, a truncation that removes this record would not be
             // detected.
             if let Err(e) = write_length_mark(&self._lock, self.size) {
@@ -421,30 +431,30 @@
     }
 
     /// Sets whether a sibling process has a file of its own in the folder, as during an upgrade.
-    pub fn share(&mut self, shared: bool) {
+    pub fn set_shared(&mut self, shared: bool) {
         self.shared = shared;
     }
 
     /// Whether `live` bytes of live records still fit. Also false if the file itself has grown too large
     /// because it could not be compacted.
-    pub fn has_room(&self, live: u64) -> bool {
+    pub fn has_room_for_live_records(&self, live: u64) -> bool {
         let fits = |bytes: u64, share: f64| (bytes as f64) < self.own_limit() * share;
         fits(live, LIVE_RECORDS_SHARE) && fits(self.size, MAX_FILE_SHARE)
     }
 
     /// Bytes that live records may fill if no sibling process shares the folder.
-    pub fn room(&self) -> u64 {
+    pub fn live_records_limit(&self) -> u64 {
         (self.limit as f64 * LIVE_RECORDS_SHARE) as u64
     }
 
     /// Whether `known` bytes of identities still fit.
-    pub fn has_memory(&self, known: u64) -> bool {
+    pub fn has_room_for_identities(&self, known: u64) -> bool {
         (known as f64) < self.limit as f64 * IDENTITIES_SHARE
     }
 
     /// Whether the file should be compacted: it has grown past the threshold, or its last write ran out of
     /// space.
-    pub fn is_full(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         self.out_of_space || self.size as f64 > self.own_limit() * COMPACTION_SHARE
     }
 
@@ -476,7 +486,7 @@
     fn write_compacted(&self, records: impl Iterator<Item = Record>) -> io::Result<(File, u64)> {
         let new = compacted_path(&self.path);
         let mut bytes = Vec::new();
-        let clocks = self.clocks.map(Record::Clock);
+        let clocks = self.clocks.map(Record::ClockReading);
         clocks.into_iter().chain(records).for_each(|r| bytes.extend(r.encode()));
         let _ = std::fs::remove_file(&new);
         let mut file = OpenOptions::new().append(true).create_new(true).open(&new)?;
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -3,15 +3,15 @@
 //! A record is its length, its checksum and its body; the first byte of the body is the record's tag.
 
 use crate::api::Ms;
-use crate::timeline::Reading;
+use crate::timeline::ClockReading;
 use lilacbank_limits::{CallRecord, CallStep};
 
 /// Number of a message in the journal; it increases with each accepted message.
-pub type CallNo = u64;
+pub type MessageNo = u64;
 
 /// Time and place of an attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Sent {
+pub struct AttemptSent {
     /// Wall-clock time at which it was sent.
     pub at: Ms,
     /// Name of the endpoint's zone.
@@ -27,7 +27,7 @@
     GivenUp,
     /// Returned to the client: it never ran or may be repeated. The client may submit it again after this
     /// many milliseconds; 0 gives no time.
-    HandedBack(Ms),
+    Returned(Ms),
 }
 
 /// Identity of a message: the name of its client and the client's id for it.
@@ -35,9 +35,9 @@
 
 /// A message as its client submitted it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// The message's number.
-    pub no: CallNo,
+    pub no: MessageNo,
     /// Client name and id; the platform's clients have an empty name.
     pub identity: Identity,
     /// Name of the class.
@@ -47,30 +47,30 @@
     /// The ordering key.
     pub key: Option<u64>,
     /// The idempotency key, passed on to endpoints.
-    pub idempotency: String,
+    pub idempotency_key: String,
     /// The destination.
-    pub dest: u64,
+    pub destination: u64,
     /// Deadline for delivery, in wall-clock time.
     pub valid_until: Ms,
     /// Where the final answer goes, in an encoding that only the message's front end reads.
-    pub reply: Vec<u8>,
+    pub reply_to: Vec<u8>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 /// Fingerprint by which a journal file is recognized. The file does not change once its process has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct FileMark {
+pub struct FileFingerprint {
     /// Length in bytes.
     pub length: u64,
     /// CRC-32 of the bytes.
     pub checksum: u32,
 }
 
-impl FileMark {
+impl FileFingerprint {
     /// Fingerprint of a file with these bytes.
-    pub fn of(bytes: &[u8]) -> FileMark {
-        FileMark { length: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
+    pub fn of(bytes: &[u8]) -> FileFingerprint {
+        FileFingerprint { length: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
     }
 }
 
@@ -78,36 +78,36 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A message was accepted.
-    Taken(Taken),
+    Accepted(AcceptedMessage),
     /// The state of a message's attempts from this record on.
-    State {
+    Attempts {
         /// Number of the message.
-        no: CallNo,
+        no: MessageNo,
         /// Number of attempts begun.
         attempts: u32,
         /// The first attempt that may have run.
-        ran: Option<Sent>,
+        may_have_run: Option<AttemptSent>,
         /// The attempt in progress.
-        out: Option<Sent>,
+        in_progress: Option<AttemptSent>,
     },
     /// The final answer of a message is decided, but its client may not have received it.
-    Ended {
+    FinalAnswer {
         /// Number of the message.
-        no: CallNo,
+        no: MessageNo,
         /// How the message ended.
         ending: Ending,
     },
     /// Nothing is pending for a message any more; only its identity is remembered.
-    Over {
+    Settled {
         /// Number of the message.
-        no: CallNo,
+        no: MessageNo,
         /// Time until which the identity is remembered.
         until: Ms,
     },
     /// Calls that count against a destination's agreed limit.
-    CallRecord(CallRecord),
+    CallsCounted(CallRecord),
     /// An at-most-once message has ended and may have run.
-    Once {
+    AtMostOnceEnded {
         /// Key under which it is remembered.
         name: String,
         /// How the message ended.
@@ -118,7 +118,7 @@
         tenant: String,
     },
     /// Identity and end of a message for which nothing is pending any more.
-    Known {
+    RememberedIdentity {
         /// Identity of the message.
         identity: Identity,
         /// How the message ended.
@@ -129,17 +129,17 @@
         tenant: String,
     },
     /// The ownership record of a tenant, encoded by `lilacbank_cells::wire`.
-    Seat(Vec<u8>),
+    TenantOwnership(Vec<u8>),
     /// The machine's clocks at the start of the process that wrote the following records: see
     /// [`crate::timeline`].
-    Clock(Reading),
+    ClockReading(ClockReading),
     /// The records of the folder's other file, left by an ended process, precede this record. The file with
     /// this fingerprint may still exist and must not be read again.
-    Adopted(FileMark),
+    TakenOver(FileFingerprint),
     /// An endpoint asked for a wait (retry-after).
-    Wait {
+    RetryAfter {
         /// The endpoint's id in the endpoint list.
-        worker: String,
+        endpoint: String,
         /// Time at which the wait ends.
         until: Ms,
     },
@@ -159,7 +159,7 @@
         self.u64(b.len() as u64);
         self.0.extend_from_slice(b);
     }
-    fn sent(&mut self, s: &Option<Sent>) {
+    fn sent(&mut self, s: &Option<AttemptSent>) {
         self.0.push(u8::from(s.is_some()));
         if let Some(s) = s {
             self.ms(s.at);
@@ -170,7 +170,7 @@
         let (code, wait) = match e {
             Ending::Delivered => (0, 0.0),
             Ending::GivenUp => (1, 0.0),
-            Ending::HandedBack(wait) => (2, wait),
+            Ending::Returned(wait) => (2, wait),
         };
         self.0.push(code);
         self.ms(wait);
@@ -211,15 +211,15 @@
     fn text(&mut self) -> Option<String> {
         String::from_utf8(self.bytes()?).ok()
     }
-    fn sent(&mut self) -> Option<Option<Sent>> {
-        Some(if self.u8()? == 0 { None } else { Some(Sent { at: self.ms()?, zone: self.text()? }) })
+    fn sent(&mut self) -> Option<Option<AttemptSent>> {
+        Some(if self.u8()? == 0 { None } else { Some(AttemptSent { at: self.ms()?, zone: self.text()? }) })
     }
     fn ending(&mut self) -> Option<Ending> {
         let (code, wait) = (self.u8()?, self.ms()?);
         Some(match code {
             0 => Ending::Delivered,
             1 => Ending::GivenUp,
-            2 => Ending::HandedBack(wait),
+            2 => Ending::Returned(wait),
             _ => return None,
         })
     }
@@ -232,7 +232,7 @@
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut enc = Encoder(vec![0; 8]);
         match self {
-            Record::Taken(t) => {
+            Record::Accepted(t) => {
                 enc.0.push(b'T');
                 enc.u64(t.no);
                 enc.identity(&t.identity);
@@ -240,30 +240,30 @@
                 enc.bytes(t.tenant.as_bytes());
                 enc.0.push(u8::from(t.key.is_some()));
                 enc.u64(t.key.unwrap_or(0));
-                enc.bytes(t.idempotency.as_bytes());
-                enc.u64(t.dest);
+                enc.bytes(t.idempotency_key.as_bytes());
+                enc.u64(t.destination);
                 enc.ms(t.valid_until);
-                enc.bytes(&t.reply);
+                enc.bytes(&t.reply_to);
                 enc.bytes(&t.body);
             }
-            Record::State { no, attempts, ran, out } => {
+            Record::Attempts { no, attempts, may_have_run: ran, in_progress: out } => {
                 enc.0.push(b'S');
                 enc.u64(*no);
                 enc.u64(u64::from(*attempts));
                 enc.sent(ran);
                 enc.sent(out);
             }
-            Record::Ended { no, ending } => {
+            Record::FinalAnswer { no, ending } => {
                 enc.0.push(b'E');
                 enc.u64(*no);
                 enc.ending(*ending);
             }
-            Record::Over { no, until } => {
+            Record::Settled { no, until } => {
                 enc.0.push(b'O');
                 enc.u64(*no);
                 enc.ms(*until);
             }
-            Record::CallRecord(s) => {
+            Record::CallsCounted(s) => {
                 enc.0.push(b'P');
                 enc.u64(s.destination);
                 enc.bytes(s.endpoint.as_bytes());
@@ -275,36 +275,36 @@
                     CallStep::Cancelled => 2,
                 });
             }
-            Record::Once { name, ending, until, tenant } => {
+            Record::AtMostOnceEnded { name, ending, until, tenant } => {
                 enc.0.push(if tenant.is_empty() { b'N' } else { b'n' });
                 enc.bytes(name.as_bytes());
                 enc.ending(*ending);
                 enc.ms(*until);
                 enc.tenant(tenant);
             }
-            Record::Known { identity, ending, until, tenant } => {
+            Record::RememberedIdentity { identity, ending, until, tenant } => {
                 enc.0.push(if tenant.is_empty() { b'K' } else { b'k' });
                 enc.identity(identity);
                 enc.ending(*ending);
                 enc.ms(*until);
                 enc.tenant(tenant);
             }
-            Record::Seat(bytes) => {
+            Record::TenantOwnership(bytes) => {
                 enc.0.push(b'M');
                 enc.bytes(bytes);
             }
-            Record::Clock(reading) => {
+            Record::ClockReading(reading) => {
                 enc.0.push(b'C');
                 enc.u64(reading.boot);
                 enc.ms(reading.since_boot);
                 enc.ms(reading.wall);
             }
-            Record::Adopted(mark) => {
+            Record::TakenOver(mark) => {
                 enc.0.push(b'A');
                 enc.u64(mark.length);
                 enc.u64(u64::from(mark.checksum));
             }
-            Record::Wait { worker, until } => {
+            Record::RetryAfter { endpoint: worker, until } => {
                 enc.0.push(b'W');
                 enc.bytes(worker.as_bytes());
                 enc.ms(*until);
@@ -320,7 +320,7 @@
     pub(super) fn decode(body: &[u8]) -> Option<Record> {
         let mut dec = Decoder(body);
         let record = match dec.u8()? {
-            b'T' => Record::Taken(Taken {
+            b'T' => Record::Accepted(AcceptedMessage {
                 no: dec.u64()?,
                 identity: dec.identity()?,
                 class: dec.text()?,
@@ -329,21 +329,21 @@
                     (0, _) => None,
                     (_, k) => Some(k),
                 },
-                idempotency: dec.text()?,
-                dest: dec.u64()?,
+                idempotency_key: dec.text()?,
+                destination: dec.u64()?,
                 valid_until: dec.ms()?,
-                reply: dec.bytes()?,
+                reply_to: dec.bytes()?,
                 body: dec.bytes()?,
             }),
-            b'S' => Record::State {
+            b'S' => Record::Attempts {
                 no: dec.u64()?,
                 attempts: u32::try_from(dec.u64()?).ok()?,
-                ran: dec.sent()?,
-                out: dec.sent()?,
+                may_have_run: dec.sent()?,
+                in_progress: dec.sent()?,
             },
-            b'E' => Record::Ended { no: dec.u64()?, ending: dec.ending()? },
-            b'O' => Record::Over { no: dec.u64()?, until: dec.ms()? },
-            b'P' => Record::CallRecord(CallRecord {
+            b'E' => Record::FinalAnswer { no: dec.u64()?, ending: dec.ending()? },
+            b'O' => Record::Settled { no: dec.u64()?, until: dec.ms()? },
+            b'P' => Record::CallsCounted(CallRecord {
                 destination: dec.u64()?,
                 endpoint: dec.text()?,
                 at: dec.ms()?,
@@ -355,34 +355,41 @@
                     _ => return None,
                 },
             }),
-            tag @ (b'N' | b'n') => Record::Once {
+            tag @ (b'N' | b'n') => Record::AtMostOnceEnded {
                 name: dec.text()?,
                 ending: dec.ending()?,
                 until: dec.ms()?,
                 tenant: if tag == b'n' { dec.text()? } else { String::new() },
             },
-            tag @ (b'K' | b'k') => Record::Known {
+            tag @ (b'K' | b'k') => Record::RememberedIdentity {
                 identity: dec.identity()?,
                 ending: dec.ending()?,
                 until: dec.ms()?,
                 tenant: if tag == b'k' { dec.text()? } else { String::new() },
             },
-            b'M' => Record::Seat(dec.bytes()?),
-            b'C' => Record::Clock(Reading { boot: dec.u64()?, since_boot: dec.ms()?, wall: dec.ms()? }),
-            b'A' => {
-                Record::Adopted(FileMark { length: dec.u64()?, checksum: u32::try_from(dec.u64()?).ok()? })
-            }
-            b'W' => Record::Wait { worker: dec.text()?, until: dec.ms()? },
+            b'M' => Record::TenantOwnership(dec.bytes()?),
+            b'C' => Record::ClockReading(ClockReading {
+                boot: dec.u64()?,
+                since_boot: dec.ms()?,
+                wall: dec.ms()?,
+            }),
+            b'A' => Record::TakenOver(FileFingerprint {
+                length: dec.u64()?,
+                checksum: u32::try_from(dec.u64()?).ok()?,
+            }),
+            b'W' => Record::RetryAfter { endpoint: dec.text()?, until: dec.ms()? },
             _ => return None,
         };
         dec.0.is_empty().then_some(record)
     }
 
     /// Number of the message that the record is about.
-    pub fn call(&self) -> Option<CallNo> {
+    pub fn message_no(&self) -> Option<MessageNo> {
         match self {
-            Record::Taken(t) => Some(t.no),
-            Record::State { no, .. } | Record::Ended { no, .. } | Record::Over { no, .. } => Some(*no),
+            Record::Accepted(t) => Some(t.no),
+            Record::Attempts { no, .. } | Record::FinalAnswer { no, .. } | Record::Settled { no, .. } => {
+                Some(*no)
+            }
             _ => None,
         }
     }
--- a/src/journal/scan.rs
+++ b/src/journal/scan.rs
@@ -1,7 +1,7 @@
 //! Reads the records of a journal file, skips damaged ranges, and derives what damage means for the messages
 //! in it.
 
-use super::record::{CallNo, Record, Sent};
+use super::record::{AttemptSent, MessageNo, Record};
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -71,31 +71,36 @@
 /// prove that it was never sent. The added attempt has no zone and time 0, so that an at-most-once message is
 /// never sent again and a deduplicated one is not repeated at any endpoint. Idempotent messages are sent as
 /// before. Returns the number of messages marked.
-pub fn unsure(records: &mut Vec<Record>) -> usize {
-    let mut open: BTreeMap<CallNo, (u32, bool)> = BTreeMap::new();
+pub fn mark_open_messages_as_possibly_executed(records: &mut Vec<Record>) -> usize {
+    let mut open: BTreeMap<MessageNo, (u32, bool)> = BTreeMap::new();
     for r in records.iter() {
         match r {
-            Record::Taken(t) => drop(open.insert(t.no, (0, false))),
-            Record::State { no, attempts, ran, out } => {
+            Record::Accepted(t) => drop(open.insert(t.no, (0, false))),
+            Record::Attempts { no, attempts, may_have_run: ran, in_progress: out } => {
                 if let Some(o) = open.get_mut(no) {
                     *o = (*attempts, ran.is_some() || out.is_some());
                 }
             }
-            Record::Ended { no, .. } | Record::Over { no, .. } => drop(open.remove(no)),
+            Record::FinalAnswer { no, .. } | Record::Settled { no, .. } => drop(open.remove(no)),
             _ => {}
         }
     }
     let unmarked: Vec<_> = open.into_iter().filter(|(_, (_, marked))| !marked).collect();
     for (no, (attempts, _)) in &unmarked {
-        let ran = Some(Sent { at: 0.0, zone: String::new() });
-        records.push(Record::State { no: *no, attempts: (*attempts).max(1), ran, out: None });
+        let ran = Some(AttemptSent { at: 0.0, zone: String::new() });
+        records.push(Record::Attempts {
+            no: *no,
+            attempts: (*attempts).max(1),
+            may_have_run: ran,
+            in_progress: None,
+        });
     }
     unmarked.len()
 }
 
 /// The highest message number among the records; 0 if there is none.
-pub fn highest(records: &[Record]) -> CallNo {
-    records.iter().filter_map(Record::call).max().unwrap_or(0)
+pub fn highest_message_no(records: &[Record]) -> MessageNo {
+    records.iter().filter_map(Record::message_no).max().unwrap_or(0)
 }
 
 /// Maximum number of damaged bytes that one start copies to the file `damaged`. Further bytes are counted but
--- a/src/journal/tests.rs
+++ b/src/journal/tests.rs
@@ -8,9 +8,15 @@
     dir
 }
 
-fn taken(no: CallNo) -> Record {
+fn taken(no: MessageNo) -> Record {
     let identity = (String::new(), format!("{no:016x}"));
-    Record::Taken(Taken { no, identity, body: vec![0, 255, 10], key: Some(7), ..Taken::default() })
+    Record::Accepted(AcceptedMessage {
+        no,
+        identity,
+        body: vec![0, 255, 10],
+        key: Some(7),
+        ..AcceptedMessage::default()
+    })
 }
 
 /// Guards against a torn record making the other records unreadable, or those appended after its truncation.
@@ -19,9 +25,9 @@
     let dir = folder("torn");
     let (mut j, none) = Journal::open(&dir, 1 << 20).unwrap();
     assert!(none.is_empty());
-    let sent = Some(Sent { at: 5.5, zone: "a".into() });
-    let state = Record::State { no: 1, attempts: 2, ran: sent, out: None };
-    let ended = Record::Ended { no: 1, ending: Ending::HandedBack(250.0) };
+    let sent = Some(AttemptSent { at: 5.5, zone: "a".into() });
+    let state = Record::Attempts { no: 1, attempts: 2, may_have_run: sent, in_progress: None };
+    let ended = Record::FinalAnswer { no: 1, ending: Ending::Returned(250.0) };
     for r in [&taken(1), &state, &ended, &taken(2)] {
         j.append(r).unwrap();
     }
@@ -42,8 +48,8 @@
 fn truncation_between_two_records_is_detected_by_the_length_mark_and_a_clean_end_is_not_reported() {
     let dir = folder("cut");
     let (mut j, _) = Journal::open(&dir, 4_000).unwrap();
-    let out = Some(Sent { at: 5.5, zone: "a".into() });
-    let begun = Record::State { no: 1, attempts: 1, ran: None, out };
+    let out = Some(AttemptSent { at: 5.5, zone: "a".into() });
+    let begun = Record::Attempts { no: 1, attempts: 1, may_have_run: None, in_progress: out };
     j.append(&taken(1)).unwrap();
     let first = j.size();
     j.append(&begun).unwrap();
@@ -116,8 +122,8 @@
     assert!(!j.may_lack_records(), "no attempt was begun after the valid records: a write failed halfway");
     drop(j);
     // Truncates the file within the record of an attempt, before it, and within the record before that one.
-    let out = Some(Sent { at: 5.5, zone: "a".into() });
-    let begun = Record::State { no: 1, attempts: 1, ran: None, out };
+    let out = Some(AttemptSent { at: 5.5, zone: "a".into() });
+    let begun = Record::Attempts { no: 1, attempts: 1, may_have_run: None, in_progress: out };
     let mut j = Journal::open(&dir, 1 << 20).unwrap().0;
     let before = j.size();
     j.append(&begun).unwrap();
@@ -144,23 +150,23 @@
 /// message without an attempt gets one; messages that ended or have one are left unchanged.
 #[test]
 fn after_damage_open_messages_count_as_possibly_executed() {
-    let ran = Some(Sent { at: 5.0, zone: "a".into() });
+    let ran = Some(AttemptSent { at: 5.0, zone: "a".into() });
     let mut records = vec![
         taken(1),
         taken(2),
-        Record::State { no: 2, attempts: 3, ran: ran.clone(), out: None },
+        Record::Attempts { no: 2, attempts: 3, may_have_run: ran.clone(), in_progress: None },
         taken(3),
-        Record::Ended { no: 3, ending: Ending::Delivered },
+        Record::FinalAnswer { no: 3, ending: Ending::Delivered },
         taken(4),
-        Record::State { no: 4, attempts: 2, ran: None, out: None },
+        Record::Attempts { no: 4, attempts: 2, may_have_run: None, in_progress: None },
     ];
-    assert_eq!(unsure(&mut records), 2);
-    let none = Some(Sent { at: 0.0, zone: String::new() });
+    assert_eq!(mark_open_messages_as_possibly_executed(&mut records), 2);
+    let none = Some(AttemptSent { at: 0.0, zone: String::new() });
     assert_eq!(
         records[7..],
         [
-            Record::State { no: 1, attempts: 1, ran: none.clone(), out: None },
-            Record::State { no: 4, attempts: 2, ran: none, out: None }
+            Record::Attempts { no: 1, attempts: 1, may_have_run: none.clone(), in_progress: None },
+            Record::Attempts { no: 4, attempts: 2, may_have_run: none, in_progress: None }
         ]
     );
 }
@@ -173,16 +179,16 @@
     let (mut first, _) = Journal::open(&dir, 1 << 20).unwrap();
     first.append(&taken(1)).unwrap();
     let (second, none) = Journal::open(&dir, 1 << 20).unwrap();
-    assert_eq!((first.slot(), second.slot(), none), (0, 1, vec![]));
+    assert_eq!((first.file_index(), second.file_index(), none), (0, 1, vec![]));
     assert!(Journal::open(&dir, 1 << 20).is_err(), "a third process finds both files locked");
-    assert!(second.orphan().unwrap().is_none(), "the first process still runs");
+    assert!(second.orphaned_journal().unwrap().is_none(), "the first process still runs");
     drop(first);
-    let orphan = second.orphan().unwrap().expect("the records of the first process");
+    let orphan = second.orphaned_journal().unwrap().expect("the records of the first process");
     assert_eq!(orphan.records, [taken(1)]);
-    orphan.clear().unwrap();
-    assert!(second.orphan().unwrap().is_none(), "taken over once");
+    orphan.truncate_and_release().unwrap();
+    assert!(second.orphaned_journal().unwrap().is_none(), "taken over once");
     let (third, left) = Journal::open(&dir, 1 << 20).unwrap();
-    assert_eq!((third.slot(), left), (0, vec![]));
+    assert_eq!((third.file_index(), left), (0, vec![]));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -190,11 +196,11 @@
 fn compaction_keeps_the_given_records_and_appends_after_them() {
     let dir = folder("compact");
     let (mut j, _) = Journal::open(&dir, 20_000).unwrap();
-    while !j.is_full() {
+    while !j.needs_compaction() {
         j.append(&taken(1)).unwrap();
     }
     let live = taken(9);
-    assert!(j.size() + live.size() < 20_000 && j.has_room(live.size()));
+    assert!(j.size() + live.size() < 20_000 && j.has_room_for_live_records(live.size()));
     j.compact([live.clone()].into_iter()).unwrap();
     assert_eq!(j.size(), live.size());
     j.append(&taken(10)).unwrap();
@@ -207,8 +213,8 @@
 /// records and must not take the file for truncated.
 #[test]
 fn kill_between_any_two_steps_of_a_compaction_loses_nothing_and_reports_no_truncation() {
-    let out = Some(Sent { at: 5.5, zone: "a".into() });
-    let begun = Record::State { no: 1, attempts: 1, ran: None, out };
+    let out = Some(AttemptSent { at: 5.5, zone: "a".into() });
+    let begun = Record::Attempts { no: 1, attempts: 1, may_have_run: None, in_progress: out };
     for steps in 0..=2 {
         let dir = folder(&format!("steps-{steps}"));
         let (mut j, _) = Journal::open(&dir, 1 << 20).unwrap();
@@ -240,17 +246,17 @@
     // A directory at the path of the compacted file makes every compaction fail.
     std::fs::create_dir(dir.join("journal.new")).unwrap();
     let mut no = 0;
-    while j.has_room(0) {
+    while j.has_room_for_live_records(0) {
         no += 1;
         j.append(&taken(no)).unwrap();
         assert!(j.size() < limit, "it grew beyond its limit");
     }
-    assert!(j.is_full() && j.compact([taken(1)].into_iter()).is_err());
-    assert!(!j.has_room(0), "unchanged by the failed compaction");
-    j.append(&Record::Ended { no: 1, ending: Ending::Delivered }).unwrap();
+    assert!(j.needs_compaction() && j.compact([taken(1)].into_iter()).is_err());
+    assert!(!j.has_room_for_live_records(0), "unchanged by the failed compaction");
+    j.append(&Record::FinalAnswer { no: 1, ending: Ending::Delivered }).unwrap();
     std::fs::remove_dir(dir.join("journal.new")).unwrap();
     j.compact([taken(no)].into_iter()).unwrap();
-    assert!(j.has_room(0) && !j.is_full());
+    assert!(j.has_room_for_live_records(0) && !j.needs_compaction());
     drop(j);
     assert_eq!(Journal::open(&dir, limit).unwrap().1, [taken(no)]);
     std::fs::remove_dir_all(dir).unwrap();
@@ -264,7 +270,7 @@
     let limit = 60_000;
     let (mut j, _) = Journal::open(&dir, limit).unwrap();
     let mut no = 0;
-    while j.has_room(0) {
+    while j.has_room_for_live_records(0) {
         no += 1;
         j.append(&taken(no)).unwrap();
     }
@@ -280,20 +286,26 @@
     let limit = 60_000;
     let (mut j, _) = Journal::open(&dir, limit).unwrap();
     let mut no = 0;
-    while !j.is_full() {
+    while !j.needs_compaction() {
         no += 1;
         j.append(&taken(no)).unwrap();
     }
     let alone = j.size();
     j.compact(std::iter::empty()).unwrap();
-    j.share(true);
-    while !j.is_full() {
+    j.set_shared(true);
+    while !j.needs_compaction() {
         no += 1;
         j.append(&taken(no)).unwrap();
     }
     assert!(j.size() <= alone / 2 + taken(no).size(), "{} shared, {alone} alone", j.size());
-    assert!(!j.has_room((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64), "live records are halved, too");
-    j.share(false);
-    assert!(!j.is_full() && j.has_room((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64));
+    assert!(
+        !j.has_room_for_live_records((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64),
+        "live records are halved, too"
+    );
+    j.set_shared(false);
+    assert!(
+        !j.needs_compaction()
+            && j.has_room_for_live_records((limit as f64 * LIVE_RECORDS_SHARE * 0.6) as u64)
+    );
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -5,9 +5,9 @@
 //! The cache carries its age. Its content is never taken for the current state: it only gives the endpoints
 //! and rates with which a start begins, until the registry answers.
 
-use crate::api::{Listing, Ms};
-use crate::config::{self, Names, Node, WorkerList};
-use crate::timeline::Reading;
+use crate::api::{Ms, ServiceState};
+use crate::config::{self, EndpointList, Names, Node};
+use crate::timeline::ClockReading;
 use lilacbank_limits::ramp::{Health, RememberedHealth};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 /// The content of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct CachedList {
     /// See [`FORMAT_VERSION`].
     form: u32,
     /// Identifies the writer: see [`installation`].
@@ -30,7 +30,7 @@
     /// The clock reading with which the writer's timeline begins; `None` in files of program versions without
     /// one.
     #[serde(default)]
-    clocks: Option<Reading>,
+    clocks: Option<ClockReading>,
     /// Revision of the endpoint list.
     rev: u64,
     targets: Vec<Target>,
@@ -52,27 +52,27 @@
 
 /// Why a file is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum RejectedCache {
     /// It is malformed, or its checksum does not match.
     Damaged,
     /// Another installation or another format version wrote it.
-    Foreign,
+    OtherInstallation,
 }
 
 /// The cached state that a start uses.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Hint {
+pub struct CachedState {
     /// The whole endpoint list.
-    pub list: WorkerList,
+    pub list: EndpointList,
     /// The remembered health of each destination.
-    pub former: BTreeMap<String, RememberedHealth>,
+    pub health: BTreeMap<String, RememberedHealth>,
     /// Age of the file; `None` if its time lies in the future, for example because the clock was set back.
     pub age: Option<Ms>,
 }
 
 /// Identifies the writer of a file by a hash of the dispatcher's name and of the zone and kind names used in
 /// its list.
-pub fn installation(name: &str, names: &Names) -> u32 {
+pub fn writer_id(name: &str, names: &Names) -> u32 {
     let mut hash = crc32fast::Hasher::new();
     for text in [name].into_iter().chain(names.zones.iter().chain(&names.kinds).map(String::as_str)) {
         hash.update(text.as_bytes());
@@ -81,37 +81,37 @@
     hash.finalize()
 }
 
-impl Kept {
+impl CachedList {
     /// Collects the state to be written at the time `now`.
     pub fn new(
         installation: u32,
-        (now, clocks): (Ms, Option<Reading>),
-        list: &WorkerList,
+        (now, clocks): (Ms, Option<ClockReading>),
+        list: &EndpointList,
         names: &Names,
         health: impl Iterator<Item = (String, Health)>,
-    ) -> Kept {
+    ) -> CachedList {
         let name_of = |names: &[String], n: usize| names.get(n).cloned().unwrap_or_default();
-        let state = |l: Listing| match l {
-            Listing::Ready => "in_service",
-            Listing::Draining => "terminating",
-            Listing::Gone => "terminated",
+        let state = |l: ServiceState| match l {
+            ServiceState::InService => "in_service",
+            ServiceState::Draining => "terminating",
+            ServiceState::Removed => "terminated",
         };
-        let target = |w: &config::Worker| Target {
+        let target = |w: &config::RegistryEndpoint| Target {
             uid: w.uid.clone(),
             endpoint: w.address.clone(),
             az: name_of(&names.zones, w.zone),
             model: name_of(&names.kinds, w.kind),
-            pod_group: w.dest,
-            state: state(w.listing).into(),
+            pod_group: w.destination,
+            state: state(w.state).into(),
             capacity_hint: w.weight,
         };
-        Kept {
+        CachedList {
             form: FORMAT_VERSION,
             installation,
             at: now,
             clocks,
-            rev: list.rev,
-            targets: list.workers.iter().map(target).collect(),
+            rev: list.revision,
+            targets: list.endpoints.iter().map(target).collect(),
             health: health.map(|(destination, h)| (destination, h.rate, h.unavailable_since)).collect(),
         }
     }
@@ -123,7 +123,7 @@
         format!("kept {} crc {:08x}\n{body}\n", body.len(), crc32fast::hash(body.as_bytes()))
     }
 
-    fn decode(bytes: &[u8]) -> Option<Kept> {
+    fn decode(bytes: &[u8]) -> Option<CachedList> {
         let end = bytes.iter().position(|b| *b == b'\n')?;
         let words: Vec<&str> = std::str::from_utf8(&bytes[..end]).ok()?.split(' ').collect();
         let ["kept", len, "crc", sum] = words.as_slice() else { return None };
@@ -141,11 +141,11 @@
     pub fn newest(
         files: &[Vec<u8>],
         installation: u32,
-        clocks: &Reading,
+        clocks: &ClockReading,
         names: &Names,
-    ) -> Result<Option<Hint>, Refused> {
-        let read: Vec<Result<(Ms, Hint), Refused>> =
-            files.iter().map(|f| Kept::read_file(f, installation, clocks, names)).collect();
+    ) -> Result<Option<CachedState>, RejectedCache> {
+        let read: Vec<Result<(Ms, CachedState), RejectedCache>> =
+            files.iter().map(|f| CachedList::read_file(f, installation, clocks, names)).collect();
         let newest = read.iter().filter_map(|r| r.as_ref().ok()).max_by(|a, b| a.0.total_cmp(&b.0));
         match (newest, read.first()) {
             (Some((_, cached)), _) => Ok(Some(cached.clone())),
@@ -163,16 +163,16 @@
     fn read_file(
         text: &[u8],
         installation: u32,
-        clocks: &Reading,
+        clocks: &ClockReading,
         names: &Names,
-    ) -> Result<(Ms, Hint), Refused> {
-        let kept = Kept::decode(text).ok_or(Refused::Damaged)?;
+    ) -> Result<(Ms, CachedState), RejectedCache> {
+        let kept = CachedList::decode(text).ok_or(RejectedCache::Damaged)?;
         if kept.installation != installation || kept.form != FORMAT_VERSION {
-            return Err(Refused::Foreign);
+            return Err(RejectedCache::OtherInstallation);
         }
         let list = serde_json::json!({ "rev": kept.rev, "all": true, "targets": kept.targets }).to_string();
-        let list =
-            config::json("kept", &list).and_then(|v| config::worker_list(&Node::root("kept", &v), names));
+        let list = config::parse_json("kept", &list)
+            .and_then(|v| config::parse_endpoint_list(&Node::root("kept", &v), names));
         let at = kept.clocks.map_or(kept.at, |from| clocks.translate(&from, kept.at));
         let age = Some(clocks.wall - at).filter(|age| *age >= -CLOCK_TOLERANCE_MS).map(|age| age.max(0.0));
         let is_valid = |h: &(String, f64, Option<Ms>)| h.1.is_finite() && h.1 >= 0.0;
@@ -180,7 +180,14 @@
         let former = former.map(|(destination, rate, away)| {
             (destination, RememberedHealth { health: Health { rate, unavailable_since: away }, age })
         });
-        Ok((at, Hint { list: list.map_err(|_| Refused::Foreign)?, former: former.collect(), age }))
+        Ok((
+            at,
+            CachedState {
+                list: list.map_err(|_| RejectedCache::OtherInstallation)?,
+                health: former.collect(),
+                age,
+            },
+        ))
     }
 }
 
@@ -192,55 +199,58 @@
         Names { zones: vec!["a".into(), "b".into()], kinds: vec!["m".into()], ..Names::default() }
     }
 
-    fn kept(now: Ms) -> Kept {
-        let worker = config::Worker {
+    fn kept(now: Ms) -> CachedList {
+        let worker = config::RegistryEndpoint {
             uid: "w1".into(),
             address: "127.0.0.1:7".into(),
             zone: 1,
             kind: 0,
-            dest: 4,
-            listing: Listing::Draining,
+            destination: 4,
+            state: ServiceState::Draining,
             weight: 2.0,
         };
-        let list = WorkerList { rev: 9, whole: true, workers: vec![worker] };
+        let list = EndpointList { revision: 9, is_complete: true, endpoints: vec![worker] };
         let health = [("w1".to_string(), Health { rate: 7.5, unavailable_since: Some(3.0) })];
-        Kept::new(installation("n0", &names()), (now, None), &list, &names(), health.into_iter())
+        CachedList::new(writer_id("n0", &names()), (now, None), &list, &names(), health.into_iter())
     }
 
     /// Guards against using a cached list of another installation or one with a flipped bit, and against
     /// giving an age to one from the future.
     #[test]
     fn cached_list_is_read_whole_with_its_age_or_rejected() {
-        let (me, text) = (installation("n0", &names()), kept(1_000.0).encode());
-        let at = |wall: Ms| Reading { wall, ..Reading::default() };
+        let (me, text) = (writer_id("n0", &names()), kept(1_000.0).encode());
+        let at = |wall: Ms| ClockReading { wall, ..ClockReading::default() };
         let read = |bytes: &[u8], installation: u32, now: Ms| {
-            Kept::read_file(bytes, installation, &at(now), &names()).map(|h| h.1)
+            CachedList::read_file(bytes, installation, &at(now), &names()).map(|h| h.1)
         };
         let cached = read(text.as_bytes(), me, 61_000.0).unwrap();
-        assert_eq!((cached.list.rev, cached.list.workers[0].zone, cached.age), (9, 1, Some(60_000.0)));
-        assert_eq!(cached.list.workers[0].listing, Listing::Draining);
-        assert_eq!(cached.former["w1"].health, Health { rate: 7.5, unavailable_since: Some(3.0) });
+        assert_eq!((cached.list.revision, cached.list.endpoints[0].zone, cached.age), (9, 1, Some(60_000.0)));
+        assert_eq!(cached.list.endpoints[0].state, ServiceState::Draining);
+        assert_eq!(cached.health["w1"].health, Health { rate: 7.5, unavailable_since: Some(3.0) });
         let future = read(text.as_bytes(), me, -5_000.0).unwrap();
-        assert_eq!((future.age, future.former["w1"].age), (None, None));
-        assert_eq!(read(text.as_bytes(), installation("n1", &names()), 0.0), Err(Refused::Foreign));
+        assert_eq!((future.age, future.health["w1"].age), (None, None));
+        assert_eq!(
+            read(text.as_bytes(), writer_id("n1", &names()), 0.0),
+            Err(RejectedCache::OtherInstallation)
+        );
         let longer = text.clone() + "left over from an earlier, longer content";
         assert_eq!(read(longer.as_bytes(), me, 61_000.0), Ok(cached.clone()));
         // The age is the elapsed time, whatever the wall clock was set to in between.
-        let from = Reading { boot: 3, since_boot: 100.0, wall: 1_000.0 };
-        let dated = Kept { clocks: Some(from), ..kept(1_500.0) }.encode();
+        let from = ClockReading { boot: 3, since_boot: 100.0, wall: 1_000.0 };
+        let dated = CachedList { clocks: Some(from), ..kept(1_500.0) }.encode();
         for wall in [-3_600_000.0, 3_600_000.0] {
-            let later = Reading { since_boot: 2_600.0, wall, ..from };
-            let cached = Kept::read_file(dated.as_bytes(), me, &later, &names()).unwrap().1;
+            let later = ClockReading { since_boot: 2_600.0, wall, ..from };
+            let cached = CachedList::read_file(dated.as_bytes(), me, &later, &names()).unwrap().1;
             assert_eq!(cached.age, Some(2_000.0));
         }
         // Of two valid files the newer one is used; of a valid and a torn one, the valid one.
         let (older, torn) = (kept(500.0).encode().into_bytes(), text.as_bytes()[..90].to_vec());
         let newest = |files: &[Vec<u8>]| {
-            Kept::newest(files, me, &at(61_000.0), &names()).map(|h| h.and_then(|h| h.age))
+            CachedList::newest(files, me, &at(61_000.0), &names()).map(|h| h.and_then(|h| h.age))
         };
         assert_eq!(newest(&[older.clone(), text.clone().into_bytes()]), Ok(Some(60_000.0)));
         assert_eq!(newest(&[older, torn.clone()]), Ok(Some(60_500.0)));
-        assert_eq!((newest(&[torn]), newest(&[])), (Err(Refused::Damaged), Ok(None)));
+        assert_eq!((newest(&[torn]), newest(&[])), (Err(RejectedCache::Damaged), Ok(None)));
         // Ten kinds of damage, and a flip of every single bit.
         let bytes = text.as_bytes();
         let mut damaged: Vec<Vec<u8>> = vec![
@@ -263,7 +273,11 @@
         for b in damaged {
             // A flip that only changes a hex digit of the checksum to upper case leaves its value the same.
             let is_same = b.eq_ignore_ascii_case(bytes);
-            assert!(is_same || read(&b, me, 0.0) == Err(Refused::Damaged), "{}", String::from_utf8_lossy(&b));
+            assert!(
+                is_same || read(&b, me, 0.0) == Err(RejectedCache::Damaged),
+                "{}",
+                String::from_utf8_lossy(&b)
+            );
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod wire;
 
 pub use api::{Action, Event, Settings};
-pub use brain::Brain;
+pub use brain::DecisionModule;
 
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -13,7 +13,7 @@
 const DEFAULT_LEVEL: &str = "info";
 
 /// Starts the log on standard error. `RUST_LOG` takes precedence over `level`.
-pub fn start(json: bool, level: &str) {
+pub fn init(json: bool, level: &str) {
     let level = if level.is_empty() { DEFAULT_LEVEL } else { level };
     let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level));
     if !io::stderr().is_terminal() {
@@ -153,15 +153,15 @@
 /// Limits the log records of a repeated failure: the first one is logged at once, later ones at growing
 /// intervals with a count.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Complaint {
+pub struct LogThrottle {
     /// When the failure may be logged again, and the interval that ends at that time.
     next: Option<(Ms, Ms)>,
     count: u64,
 }
 
-impl Complaint {
+impl LogThrottle {
     /// Counts a failure. If it is to be logged now, returns the number of failures since the last log record.
-    pub fn raise(&mut self, now: Ms) -> Option<u64> {
+    pub fn record(&mut self, now: Ms) -> Option<u64> {
         self.count += 1;
         let interval = match self.next {
             Some((at, _)) if now < at => return None,
@@ -173,8 +173,8 @@
     }
 
     /// Resets after a success: the next failure is logged at once.
-    pub fn settle(&mut self) {
-        *self = Complaint::default();
+    pub fn reset(&mut self) {
+        *self = LogThrottle::default();
     }
 }
 
@@ -185,12 +185,12 @@
     /// Guards against a log filled by one repeated failure, and against a failure that is never logged again.
     #[test]
     fn repeated_failure_is_logged_at_growing_intervals_with_a_count() {
-        let mut c = Complaint::default();
+        let mut c = LogThrottle::default();
         let logged: Vec<_> =
-            (0..400).map(|n| f64::from(n) * 100.0).filter_map(|t| Some((t, c.raise(t)?))).collect();
+            (0..400).map(|n| f64::from(n) * 100.0).filter_map(|t| Some((t, c.record(t)?))).collect();
         assert_eq!(logged[..4], [(0.0, 1), (1_000.0, 10), (3_000.0, 20), (7_000.0, 40)]);
         assert!(logged.len() <= 6, "{logged:?}");
-        c.settle();
-        assert_eq!(c.raise(40_000.0), Some(1));
+        c.reset();
+        assert_eq!(c.record(40_000.0), Some(1));
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,10 +3,10 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use lilacbank::config::{Config, ConfigError, Mqtt};
+use lilacbank::config::{Config, ConfigError, MqttSettings};
 use lilacbank::logging;
 use lilacbank::net::{check_sidecar, Server};
-use lilacbank::together::Together;
+use lilacbank::together::ResilienceSettings;
 use lilacbank::tool;
 use lilacbank::tool::cli::{Cli, Command, LogFormat, Serve};
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 fn serve(options: Serve) -> ExitCode {
     let environment = options.environment();
     let file = environment("ROUTER_CONFIG").unwrap_or_default();
-    let read = || -> Result<(Config, Mqtt, Together), Vec<String>> {
+    let read = || -> Result<(Config, MqttSettings, ResilienceSettings), Vec<String>> {
         let without_line = |e: ConfigError| vec![e.to_string()];
         let text = Config::text(&environment).map_err(without_line)?;
         let with_line = |e: ConfigError| match e.line_in(&text) {
@@ -33,16 +33,16 @@
         };
         let config = Config::from_json(&text, &environment).map_err(with_line)?;
         check_sidecar(&config, &text)?;
-        let mqtt = Mqtt::read(&environment, config.sidecar.as_ref()).map_err(without_line)?;
-        let together = Together::read(&environment).map_err(|e| vec![e])?;
-        let moves = config.sidecar.as_ref().is_some_and(|s| s.mesh.is_some());
-        together.fits(&config.name, moves).map_err(|e| vec![e])?;
+        let mqtt = MqttSettings::read(&environment, config.sidecar.as_ref()).map_err(without_line)?;
+        let together = ResilienceSettings::read(&environment).map_err(|e| vec![e])?;
+        let moves = config.sidecar.as_ref().is_some_and(|s| s.cell_map.is_some());
+        together.check(&config.name, moves).map_err(|e| vec![e])?;
         Ok((config, mqtt, together))
     };
     let read = read();
     let sidecar = read.as_ref().ok().and_then(|r| r.0.sidecar.as_ref());
     let json = options.log_format.map_or(sidecar.is_some_and(|s| s.log_json), |f| f == LogFormat::Json);
-    logging::start(json, sidecar.map_or("", |s| &s.log_level));
+    logging::init(json, sidecar.map_or("", |s| &s.log_level));
     let (config, mqtt, together) = match read {
         Ok(all) => all,
         Err(errors) => {
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -2,8 +2,8 @@
 //! advanced since.
 
 use crate::api::Ms;
-use crate::disk::may_pass;
-use crate::timeline::Reading;
+use crate::disk::is_transient;
+use crate::timeline::ClockReading;
 use rustix::time::{clock_gettime, ClockId};
 use std::io;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// A clock that steps of the wall clock do not affect while the process runs.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    start: Reading,
+    start: ClockReading,
 }
 
 fn milliseconds(clock: ClockId) -> Ms {
@@ -40,7 +40,7 @@
 fn read_boot_id(mut read: impl FnMut() -> io::Result<String>, mut wait: impl FnMut()) -> u64 {
     for _ in 0..BOOT_ID_READS_MAX {
         match read() {
-            Err(e) if may_pass(&e) => wait(),
+            Err(e) if is_transient(&e) => wait(),
             id => return id.map_or(0, |id| boot_number(&id)),
         }
     }
@@ -56,11 +56,11 @@
     /// Starts from the system time plus an offset, for machines whose clock is wrong (see [`OFFSET_VAR`]).
     pub fn start(offset: Ms) -> Clock {
         let (since_boot, wall) = (milliseconds(ClockId::Boottime), milliseconds(ClockId::Realtime));
-        Clock { start: Reading { boot: current_boot(), since_boot, wall: wall + offset } }
+        Clock { start: ClockReading { boot: current_boot(), since_boot, wall: wall + offset } }
     }
 
     /// The clock reading at the start.
-    pub fn reading(&self) -> Reading {
+    pub fn reading(&self) -> ClockReading {
         self.start
     }
 
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -3,14 +3,16 @@
 
 use crate::api::Ms;
 use crate::dispatch::End;
-use crate::guard::{confirmation, confirmed_behind, confirmed_by, Confirmation, EndedFirst};
+use crate::guard::{
+    confirmation_deadline, confirmation_kind, deadline_after_peer_close, ClosedFirst, Confirmation,
+};
 
 /// An attempt that has ended on this side.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Closing {
     end: End,
     /// Who ended the connection first.
-    pub(super) first: EndedFirst,
+    pub(super) first: ClosedFirst,
     since: Ms,
     /// From this time on the endpoint counts the attempt as ended, with or without a sign.
     pub(super) until: Ms,
@@ -22,20 +24,27 @@
 
 impl Closing {
     /// An attempt that ends at `now`.
-    pub(super) fn new(now: Ms, end: End, first: EndedFirst) -> Closing {
-        let endpoint_closed = first == EndedFirst::Endpoint;
-        Closing { end, first, since: now, until: confirmed_by(now), endpoint_closed, is_malformed: false }
+    pub(super) fn new(now: Ms, end: End, first: ClosedFirst) -> Closing {
+        let endpoint_closed = first == ClosedFirst::Endpoint;
+        Closing {
+            end,
+            first,
+            since: now,
+            until: confirmation_deadline(now),
+            endpoint_closed,
+            is_malformed: false,
+        }
     }
 
     /// An attempt that this side ends at `now` because its response is malformed.
     pub(super) fn of_malformed(now: Ms, end: End) -> Closing {
-        Closing { is_malformed: true, ..Closing::new(now, end, EndedFirst::Dispatcher) }
+        Closing { is_malformed: true, ..Closing::new(now, end, ClosedFirst::Dispatcher) }
     }
 
     /// Records that the endpoint closed its side after this one did.
     pub(super) fn endpoint_closes(&mut self, now: Ms) {
         self.endpoint_closed = true;
-        self.until = confirmed_behind(now, self.until);
+        self.until = deadline_after_peer_close(now, self.until);
     }
 
     /// The end as reported at once: the slot at the endpoint is free, but the endpoint may not know yet.
@@ -45,7 +54,7 @@
 
     /// How the endpoint knows of the end, once `until` has passed.
     pub(super) fn confirmation(&self) -> Confirmation {
-        confirmation(self.first, self.endpoint_closed)
+        confirmation_kind(self.first, self.endpoint_closed)
     }
 
     /// The end, confirmed.
--- a/src/net/finding.rs
+++ b/src/net/finding.rs
@@ -1,54 +1,54 @@
 //! What connections to endpoints report to the core, whichever protocol they use.
 
 use super::head::Head;
-use crate::api::{Ms, Outcome, RouteId};
+use crate::api::{EndpointId, Ms, Outcome};
 use crate::dispatch::End;
 use crate::guard::{Confirmation, Reason};
-use crate::journal::CallNo;
+use crate::journal::MessageNo;
 
 /// Milliseconds after which a probe without a response has failed.
 pub(super) const PROBE_TIMEOUT: Ms = 1_500.0;
 
 /// The work that a connection carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Task {
+pub enum RequestKind {
     /// An attempt: number of the message and of the attempt.
-    Delegation(CallNo, u32),
+    Delegation(MessageNo, u32),
     /// A probe of an endpoint.
-    Probe(RouteId),
+    Probe(EndpointId),
 }
 
 /// An event on a connection to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Finding {
+pub enum EndpointEvent {
     /// The last byte of the request has been written.
-    Written(Task),
+    Written(RequestKind),
     /// The task has ended.
     Ended {
         /// The task.
-        task: Task,
+        task: RequestKind,
         /// Milliseconds since its start.
-        took: Ms,
+        elapsed: Ms,
         /// How it ended.
-        end: End,
+        result: End,
     },
 }
 
 /// A task ended without a response; one that never ran counts as ended at its endpoint, too.
-pub(super) fn ended(task: Task, outcome: Outcome, took: Ms) -> Finding {
-    let confirmed = Some(Confirmation::NeverBegun).filter(|_| outcome.never_ran());
-    Finding::Ended { task, took, end: End { confirmed, ..End::of(outcome) } }
+pub(super) fn ended(task: RequestKind, outcome: Outcome, took: Ms) -> EndpointEvent {
+    let confirmed = Some(Confirmation::NotWritten).filter(|_| outcome.never_ran());
+    EndpointEvent::Ended { task, elapsed: took, result: End { confirmed, ..End::of(outcome) } }
 }
 
 /// A task was not written because of this rule.
-pub(super) fn refused(task: Task, reason: Reason, took: Ms) -> Finding {
-    let confirmed = Some(Confirmation::NeverBegun);
+pub(super) fn refused(task: RequestKind, reason: Reason, took: Ms) -> EndpointEvent {
+    let confirmed = Some(Confirmation::NotWritten);
     let end = End { refused: Some(reason), confirmed, ..End::of(Outcome::NotSent) };
-    Finding::Ended { task, took, end }
+    EndpointEvent::Ended { task, elapsed: took, result: end }
 }
 
 /// A task got a response.
-pub(super) fn answered(task: Task, h: &Head, took: Ms) -> Finding {
+pub(super) fn answered(task: RequestKind, h: &Head, took: Ms) -> EndpointEvent {
     let (outcome, over) = match h.code {
         200 => (Outcome::Delivered, false),
         503 if h.over_slots => (Outcome::NotSent, false),
@@ -63,5 +63,5 @@
     let wait = if outcome == Outcome::Refused { h.wait } else { 0.0 };
     let confirmed = Some(Confirmation::Answered);
     let end = End { wait, report: h.report, over, heard: true, confirmed, ..End::of(outcome) };
-    Finding::Ended { task, took, end }
+    EndpointEvent::Ended { task, elapsed: took, result: end }
 }
--- a/src/net/head.rs
+++ b/src/net/head.rs
@@ -1,6 +1,6 @@
 //! Parses the head of an HTTP response.
 
-use crate::api::Report;
+use crate::api::LimitReport;
 
 /// Maximum number of headers.
 const HEADERS_MAX: usize = 48;
@@ -25,7 +25,7 @@
     /// The retry-after wait in milliseconds; 0 if there is none.
     pub wait: f64,
     /// What the endpoint reports about its limit.
-    pub report: Report,
+    pub report: LimitReport,
     /// All slots of this dispatcher at the endpoint were taken.
     pub over_slots: bool,
 }
@@ -77,12 +77,12 @@
 }
 
 /// Parses a pressure report such as `x0=0.4,x1=25`; values that cannot be parsed are ignored.
-pub fn report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn report(text: &str) -> LimitReport {
+    let mut report = LimitReport::default();
     for (name, value) in text.split(',').filter_map(|p| p.split_once('=')) {
         let value = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         match name.trim() {
-            "x0" => report.left = value,
+            "x0" => report.remaining_share = value,
             "x1" => report.limit = value,
             _ => {}
         }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,14 +1,14 @@
 //! HTTP connections to endpoints: one request at a time on each, kept open while they are useful.
 
 use super::closing::Closing;
-use super::finding::{answered, ended, refused, Finding, Task, PROBE_TIMEOUT};
+use super::finding::{answered, ended, refused, EndpointEvent, RequestKind, PROBE_TIMEOUT};
 use super::head::{head, status, Head, HEAD_MAX};
 use super::reactor::Reactor;
 use super::stream::{Fill, Stream};
 use super::{token, SourceKind};
 use crate::api::*;
 use crate::dispatch::{Delegation, End};
-use crate::guard::{self, Confirmation, EndedFirst, Reason};
+use crate::guard::{self, ClosedFirst, Confirmation, Reason};
 use slab::Slab;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -35,10 +35,10 @@
     stream: Stream,
     /// Destination and endpoint. The connection belongs to the endpoint's id, not to its address, because
     /// another endpoint may get that address later.
-    target: (DestId, RouteId),
+    target: (DestId, EndpointId),
     up: bool,
     opened: Ms,
-    task: Option<(Task, Ms)>,
+    task: Option<(RequestKind, Ms)>,
     /// The request is not written after this time.
     write_by: Ms,
     /// Id of the message, for the log.
@@ -67,7 +67,7 @@
 
 /// A request to write, with its task.
 struct Request<'a> {
-    task: Task,
+    task: RequestKind,
     /// Id of the message.
     id: &'a str,
     bytes: &'a [u8],
@@ -77,19 +77,19 @@
 
 /// All HTTP connections to endpoints.
 #[derive(Debug)]
-pub struct Workers {
+pub struct HttpEndpoints {
     conns: Slab<Conn>,
-    idle: HashMap<RouteId, Vec<usize>>,
-    busy: HashMap<Task, usize>,
+    idle: HashMap<EndpointId, Vec<usize>>,
+    busy: HashMap<RequestKind, usize>,
     max: usize,
     connect_timeout: Ms,
     keep_idle: Ms,
 }
 
-impl Workers {
+impl HttpEndpoints {
     /// Creates the set without connections; `max` bounds their number.
-    pub fn new(settings: &Settings, max: usize) -> Workers {
-        let mut workers = Workers {
+    pub fn new(settings: &Settings, max: usize) -> HttpEndpoints {
+        let mut workers = HttpEndpoints {
             conns: Slab::new(),
             idle: HashMap::new(),
             busy: HashMap::new(),
@@ -105,12 +105,18 @@
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.connect_timeout =
             if settings.connect_timeout > 0.0 { settings.connect_timeout } else { 1_000.0 };
-        let keep = settings.keep_idle;
+        let keep = settings.idle_timeout;
         self.keep_idle = if keep > 0.0 { (keep - IDLE_MARGIN).max(keep / 2.0) } else { f64::MAX };
     }
 
     /// Starts an attempt.
-    pub fn delegate(&mut self, now: Ms, d: &Delegation, reactor: &Rc<Reactor>, findings: &mut Vec<Finding>) {
+    pub fn start_attempt(
+        &mut self,
+        now: Ms,
+        d: &Delegation,
+        reactor: &Rc<Reactor>,
+        findings: &mut Vec<EndpointEvent>,
+    ) {
         let mut text = format!("POST /inbox HTTP/1.1\r\nHost: {}\r\nX-Txn: {}\r\n", d.address, d.id);
         if !d.idempotency.is_empty() {
             let _ = write!(text, "Idempotency-Key: {}\r\n", d.idempotency);
@@ -119,7 +125,7 @@
         let _ = write!(text, "X-Remaining-Ms: {patience}\r\nContent-Length: {}\r\n\r\n", d.body.len());
         let mut bytes = text.into_bytes();
         bytes.extend_from_slice(&d.body);
-        let task = Task::Delegation(d.no, d.attempt);
+        let task = RequestKind::Delegation(d.no, d.attempt);
         let request = Request { task, id: &d.id, bytes: &bytes, write_by: d.write_by };
         self.start(now, request, &d.address, (d.dest, d.route), reactor, findings);
     }
@@ -128,13 +134,13 @@
     pub fn probe(
         &mut self,
         now: Ms,
-        target: (DestId, RouteId),
+        target: (DestId, EndpointId),
         address: &str,
         reactor: &Rc<Reactor>,
-        findings: &mut Vec<Finding>,
+        findings: &mut Vec<EndpointEvent>,
     ) {
         let text = format!("GET /health HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        let task = Task::Probe(target.1);
+        let task = RequestKind::Probe(target.1);
         if !self.busy.contains_key(&task) {
             let request = Request { task, id: "", bytes: text.as_bytes(), write_by: f64::MAX };
             self.start(now, request, address, target, reactor, findings);
@@ -146,9 +152,9 @@
         now: Ms,
         request: Request,
         address: &str,
-        target: (DestId, RouteId),
+        target: (DestId, EndpointId),
         reactor: &Rc<Reactor>,
-        findings: &mut Vec<Finding>,
+        findings: &mut Vec<EndpointEvent>,
     ) {
         let Request { task, id, bytes, write_by } = request;
         let index = match self.take_idle(target.1) {
@@ -171,7 +177,7 @@
 
     /// Takes an idle connection to an endpoint. Skips connections that were closed meanwhile or hold
     /// unsolicited data, which would be taken for the response to the next request.
-    fn take_idle(&mut self, route: RouteId) -> Option<usize> {
+    fn take_idle(&mut self, route: EndpointId) -> Option<usize> {
         loop {
             let index = self.idle.get_mut(&route)?.pop()?;
             let Some(c) = self.conns.get_mut(index) else { continue };
@@ -191,7 +197,7 @@
         &mut self,
         now: Ms,
         address: &str,
-        target: (DestId, RouteId),
+        target: (DestId, EndpointId),
         reactor: &Rc<Reactor>,
     ) -> Result<usize, Outcome> {
         if self.conns.len() >= self.max {
@@ -243,7 +249,13 @@
 
     /// Abandons a task by ending this side of its connection. The end is reported once the endpoint knows of
     /// it, or at once if the request was not fully written; a response that arrives meanwhile counts.
-    pub fn abandon(&mut self, now: Ms, task: Task, outcome: Outcome, findings: &mut Vec<Finding>) {
+    pub fn abandon(
+        &mut self,
+        now: Ms,
+        task: RequestKind,
+        outcome: Outcome,
+        findings: &mut Vec<EndpointEvent>,
+    ) {
         let Some(index) = self.busy.get(&task).copied() else { return };
         let Some(c) = self.conns.get_mut(index) else { return };
         if !c.up || !c.written {
@@ -251,7 +263,7 @@
         }
         if c.closing.is_none() {
             c.stream.finish();
-            self.await_confirmation(index, Closing::new(now, End::of(outcome), EndedFirst::Dispatcher));
+            self.await_confirmation(index, Closing::new(now, End::of(outcome), ClosedFirst::Dispatcher));
         }
     }
 
@@ -266,15 +278,19 @@
 
     /// Reports the end of an attempt as pending: its slot at the endpoint is free, but the endpoint may not
     /// know yet.
-    fn report_pending(&self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+    fn report_pending(&self, now: Ms, index: usize, findings: &mut Vec<EndpointEvent>) {
         let Some(c) = self.conns.get(index) else { return };
         if let (Some(closing), Some((task, started))) = (&c.closing, c.task) {
-            findings.push(Finding::Ended { task, took: now - started, end: closing.pending(now) });
+            findings.push(EndpointEvent::Ended {
+                task,
+                elapsed: now - started,
+                result: closing.pending(now),
+            });
         }
     }
 
     /// Reports that the endpoint, too, counts the attempt as ended.
-    fn confirm(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+    fn confirm(&mut self, now: Ms, index: usize, findings: &mut Vec<EndpointEvent>) {
         let Some(c) = self.conns.get_mut(index) else { return };
         if let (Some(closing), Some((task, started))) = (&c.closing, c.task) {
             log::debug!(id = c.id.as_str(), conn = index, ended_by = closing.first.name(), confirmed = closing.confirmation().name();
@@ -283,7 +299,7 @@
                 // Data that the system still holds for this connection is no longer wanted.
                 c.stream.reset_on_close();
             }
-            findings.push(Finding::Ended { task, took: now - started, end: closing.confirmed() });
+            findings.push(EndpointEvent::Ended { task, elapsed: now - started, result: closing.confirmed() });
         }
         self.close(index);
     }
@@ -294,8 +310,8 @@
         &mut self,
         now: Ms,
         dest: DestId,
-        route: Option<RouteId>,
-        findings: &mut Vec<Finding>,
+        route: Option<EndpointId>,
+        findings: &mut Vec<EndpointEvent>,
     ) {
         let cancelled = |c: &Conn| {
             !c.written && c.task.is_some() && c.target.0 == dest && route.is_none_or(|r| r == c.target.1)
@@ -306,7 +322,7 @@
     }
 
     /// Closes idle connections to an endpoint.
-    pub fn close_idle(&mut self, route: RouteId) {
+    pub fn close_idle(&mut self, route: EndpointId) {
         for index in self.idle.remove(&route).unwrap_or_default() {
             log::debug!(route = route, conn = index; "a connection to an endpoint is closed");
             self.conns.try_remove(index);
@@ -314,7 +330,7 @@
     }
 
     /// Handles an event on a connection.
-    pub fn ready(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+    pub fn ready(&mut self, now: Ms, index: usize, findings: &mut Vec<EndpointEvent>) {
         let Some(c) = self.conns.get_mut(index) else { return };
         if !c.up {
             match c.stream.is_up() {
@@ -327,7 +343,7 @@
     }
 
     /// Writes and reads as much as the connection allows.
-    fn transfer(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+    fn transfer(&mut self, now: Ms, index: usize, findings: &mut Vec<EndpointEvent>) {
         let Some(c) = self.conns.get_mut(index) else { return };
         if c.task.is_some() && !c.written {
             if let Err(reason) = guard::may_write(now, c.write_by) {
@@ -337,7 +353,7 @@
         let flushed = c.stream.flush();
         if let (Ok(true), Some((task, _)), false) = (&flushed, c.task, c.written) {
             c.written = true;
-            findings.push(Finding::Written(task));
+            findings.push(EndpointEvent::Written(task));
         }
         if c.closing.as_ref().is_some_and(|closing| closing.endpoint_closed) {
             return;
@@ -387,7 +403,7 @@
     }
 
     /// Handles the body after the head; the response counts once the body has the announced length.
-    fn read_body(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<Finding>) {
+    fn read_body(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<EndpointEvent>) {
         let open = fill == Fill::Blocked;
         let Some(c) = self.conns.get_mut(index) else { return };
         let Some(h) = &c.head else { return };
@@ -418,7 +434,7 @@
 
     /// Handles a broken connection; the outcome depends on what was written and received. After a malformed
     /// response the message may have run whatever the status was, but the wait that it asked for is kept.
-    fn handle_broken(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<Finding>) {
+    fn handle_broken(&mut self, now: Ms, index: usize, fill: Fill, findings: &mut Vec<EndpointEvent>) {
         let Some(c) = self.conns.get_mut(index) else { return };
         let Some((task, started)) = c.task else { return self.close(index) };
         let (outcome, wait) = match (&c.head, status(&c.stream.read_buf)) {
@@ -427,18 +443,18 @@
             (_, _) => (Outcome::NoConnection, 0.0),
         };
         let (route, stale) = (c.target.1, c.is_stale(now, started));
-        if outcome == Outcome::Reset && matches!(task, Task::Delegation(..)) {
+        if outcome == Outcome::Reset && matches!(task, RequestKind::Delegation(..)) {
             let end = End { wait, heard: c.first_byte_at.is_some(), ..End::of(outcome) };
             self.end_unanswered(now, index, fill, end, findings);
         } else {
-            let confirmation = if c.written { Confirmation::Answered } else { Confirmation::NeverBegun };
+            let confirmation = if c.written { Confirmation::Answered } else { Confirmation::NotWritten };
             let end = End {
                 wait,
                 heard: c.first_byte_at.is_some(),
                 confirmed: Some(confirmation),
                 ..End::of(outcome)
             };
-            findings.push(Finding::Ended { task, took: now - started, end });
+            findings.push(EndpointEvent::Ended { task, elapsed: now - started, result: end });
             self.close(index);
         }
         if stale {
@@ -448,14 +464,21 @@
 
     /// Ends an attempt that was written and not answered: its endpoint closed the connection, or this side
     /// closes it because the response is malformed.
-    fn end_unanswered(&mut self, now: Ms, index: usize, fill: Fill, end: End, findings: &mut Vec<Finding>) {
+    fn end_unanswered(
+        &mut self,
+        now: Ms,
+        index: usize,
+        fill: Fill,
+        end: End,
+        findings: &mut Vec<EndpointEvent>,
+    ) {
         let Some(c) = self.conns.get_mut(index) else { return };
         match &mut c.closing {
             Some(_) if fill == Fill::Ended => self.handle_endpoint_close(now, index, findings),
             Some(closing) => closing.is_malformed = true,
             None if fill == Fill::Ended => {
                 c.stream.finish();
-                self.await_confirmation(index, Closing::new(now, end, EndedFirst::Endpoint));
+                self.await_confirmation(index, Closing::new(now, end, ClosedFirst::Endpoint));
                 self.report_pending(now, index, findings);
             }
             None => {
@@ -466,7 +489,7 @@
     }
 
     /// Handles the endpoint closing its side after this side ended the attempt: its slot there is free.
-    fn handle_endpoint_close(&mut self, now: Ms, index: usize, findings: &mut Vec<Finding>) {
+    fn handle_endpoint_close(&mut self, now: Ms, index: usize, findings: &mut Vec<EndpointEvent>) {
         if let Some(closing) = self.conns.get_mut(index).and_then(|c| c.closing.as_mut()) {
             closing.endpoint_closes(now);
             self.report_pending(now, index, findings);
@@ -474,7 +497,7 @@
     }
 
     /// Ends a task whose request the guard no longer allows to be written.
-    fn refuse(&mut self, now: Ms, index: usize, reason: Reason, findings: &mut Vec<Finding>) {
+    fn refuse(&mut self, now: Ms, index: usize, reason: Reason, findings: &mut Vec<EndpointEvent>) {
         self.end_at_once(
             index,
             reason.name(),
@@ -483,7 +506,7 @@
         );
     }
 
-    fn end(&mut self, now: Ms, index: usize, outcome: Outcome, findings: &mut Vec<Finding>) {
+    fn end(&mut self, now: Ms, index: usize, outcome: Outcome, findings: &mut Vec<EndpointEvent>) {
         self.end_at_once(index, "given_up", |task, started| ended(task, outcome, now - started), findings);
     }
 
@@ -493,8 +516,8 @@
         &mut self,
         index: usize,
         cause: &str,
-        end: impl Fn(Task, Ms) -> Finding,
-        findings: &mut Vec<Finding>,
+        end: impl Fn(RequestKind, Ms) -> EndpointEvent,
+        findings: &mut Vec<EndpointEvent>,
     ) {
         let Some(c) = self.conns.get(index) else { return };
         if let Some((task, started)) = c.task {
@@ -518,10 +541,10 @@
         let timeout = c.first_byte_at.map(|t| t + RESPONSE_TIMEOUT);
         match c.task {
             Some(_) if !c.up => Some((c.opened + self.connect_timeout).min(c.write_by)),
-            Some((Task::Delegation(..), _)) if !c.written => {
+            Some((RequestKind::Delegation(..), _)) if !c.written => {
                 Some(c.write_by.min(timeout.unwrap_or(f64::MAX))).filter(|t| *t < f64::MAX)
             }
-            Some((Task::Probe(_), started)) => {
+            Some((RequestKind::Probe(_), started)) => {
                 Some((started + PROBE_TIMEOUT).min(timeout.unwrap_or(f64::MAX)))
             }
             Some(_) => timeout,
@@ -531,7 +554,7 @@
 
     /// Ends connections that were not established in time, probes without a response and incomplete
     /// responses; closes connections that were idle too long.
-    pub fn tick(&mut self, now: Ms, findings: &mut Vec<Finding>) {
+    pub fn tick(&mut self, now: Ms, findings: &mut Vec<EndpointEvent>) {
         let due = |c: &Conn| self.due(c).is_some_and(|t| t <= now);
         let due: Vec<usize> = self.conns.iter().filter(|(_, c)| due(c)).map(|(index, _)| index).collect();
         for index in due {
--- a/src/net/mates.rs
+++ b/src/net/mates.rs
@@ -10,7 +10,7 @@
 use super::{token, SourceKind};
 use crate::api::Ms;
 use crate::dispatch::Core;
-use crate::logging::Complaint;
+use crate::logging::LogThrottle;
 use lilacbank_replica::wire::{Envelope, FrameDecoder, MAX_FRAME_BYTES};
 use mio::net::TcpStream;
 use slab::Slab;
@@ -35,7 +35,7 @@
     inbound_max: usize,
     outbound: OutboundConnections,
     /// Limits the log about invalid frames.
-    invalid_frame_log: Complaint,
+    invalid_frame_log: LogThrottle,
     /// Number of connections closed because of an invalid frame.
     pub invalid_frames: u64,
 }
@@ -48,7 +48,7 @@
             inbound: Slab::new(),
             inbound_max: 2 * named + INBOUND_EXTRA,
             outbound: OutboundConnections::new(SourceKind::ReplicaOut, UNSENT_MAX),
-            invalid_frame_log: Complaint::default(),
+            invalid_frame_log: LogThrottle::default(),
             invalid_frames: 0,
         }
     }
@@ -106,7 +106,7 @@
             };
             if let Some(why) = why {
                 self.invalid_frames += 1;
-                if let Some(count) = self.invalid_frame_log.raise(now) {
+                if let Some(count) = self.invalid_frame_log.record(now) {
                     log::warn!(cause = why, count = count; "a peer connection is closed because of an invalid frame: {why}");
                 }
             }
