--- a/src/net/peer.rs
+++ b/src/net/peer.rs
@@ -9,7 +9,7 @@
 use super::stream::{Fill, Stream};
 use super::{token, SourceKind};
 use crate::api::Ms;
-use crate::dispatch::{Core, MeshSpec};
+use crate::dispatch::{CellMapView, Core};
 use lilacbank_cells::wire::{Envelope, FrameDecoder, MAX_FRAME_BYTES};
 use mio::net::TcpStream;
 use slab::Slab;
@@ -37,7 +37,7 @@
 
 impl Peers {
     /// Creates the set without connections.
-    pub fn new(spec: Option<&MeshSpec>) -> Peers {
+    pub fn new(spec: Option<&CellMapView>) -> Peers {
         let mut peers = Peers {
             inbound: Slab::new(),
             outbound: OutboundConnections::new(SourceKind::PeerOut, UNSENT_MAX),
@@ -49,12 +49,12 @@
     }
 
     /// Applies a changed cell map; connections to peers with unchanged addresses are kept.
-    pub fn redirect(&mut self, spec: &MeshSpec) {
+    pub fn redirect(&mut self, spec: &CellMapView) {
         for name in self.outbound.names() {
-            self.outbound.set(&name, spec.peer(&name).map(|p| p.peer));
+            self.outbound.set(&name, spec.peer(&name).map(|p| p.peer_address));
         }
-        for p in spec.peers.iter().filter(|p| p.name != spec.me).take(OUTBOUND_MAX) {
-            self.outbound.set(&p.name, Some(p.peer));
+        for p in spec.peers.iter().filter(|p| p.name != spec.own_name).take(OUTBOUND_MAX) {
+            self.outbound.set(&p.name, Some(p.peer_address));
         }
     }
 
@@ -85,7 +85,7 @@
     /// Handles an event on an outbound connection.
     pub fn outbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
         if let Change::Up(name) = self.outbound.ready(now, index) {
-            core.peer_up(name);
+            core.peer_connected(name);
         }
     }
 
@@ -99,7 +99,7 @@
             i.stream.read_buf.clear();
             loop {
                 match i.frames.next_envelope() {
-                    Ok(Some(e)) => core.hear(now, index, e),
+                    Ok(Some(e)) => core.receive_ownership_message(now, index, e),
                     Ok(None) => break,
                     Err(e) => {
                         log::warn!(cause:% = e; "a peer connection is closed because of an invalid frame: {e}");
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -5,7 +5,7 @@
 use super::{token, SourceKind};
 use crate::api::Ms;
 use crate::config;
-use crate::dispatch::{Core, Submission, Ticket, Verdict};
+use crate::dispatch::{ClientTicket, Core, Submission, Verdict};
 use crate::guard::{self, CloseReason};
 use mio::net::TcpStream;
 use slab::Slab;
@@ -48,7 +48,7 @@
 struct Conn {
     stream: Stream,
     /// Ticket of the command that waits for its answer.
-    awaiting: Option<Ticket>,
+    awaiting: Option<ClientTicket>,
     /// The connection is closed once everything is written.
     closing: bool,
     /// The input was malformed, and the client may still be sending.
@@ -117,8 +117,8 @@
 #[derive(Debug)]
 pub struct RespClients {
     conns: Slab<Conn>,
-    awaiting: HashMap<Ticket, usize>,
-    next_ticket: Ticket,
+    awaiting: HashMap<ClientTicket, usize>,
+    next_ticket: ClientTicket,
     /// Connections with commands left for the next turn.
     unfinished: Vec<usize>,
     max: usize,
@@ -200,11 +200,11 @@
         class: given.get("c").ok_or("c is missing")?.to_string(),
         tenant: given.get("t").unwrap_or(&"").to_string(),
         key: Some(key).filter(|k| *k != 0),
-        idempotency: given.get("k").unwrap_or(&"").to_string(),
+        idempotency_key: given.get("k").unwrap_or(&"").to_string(),
         dest: number("dest")?.ok_or("dest is missing")?,
-        left: number("d")?.map(|d| d as Ms),
-        again: mark("r") || mark("again"),
-        reply: Vec::new(),
+        time_left: number("d")?.map(|d| d as Ms),
+        resubmitted: mark("r") || mark("again"),
+        reply_to: Vec::new(),
         body,
     })
 }
@@ -481,18 +481,20 @@
     }
 
     /// Sends a verdict to the client that waits for it.
-    pub fn answer(&mut self, now: Ms, ticket: Ticket, verdict: &Verdict, core: &mut Core) {
+    pub fn answer(&mut self, now: Ms, ticket: ClientTicket, verdict: &Verdict, core: &mut Core) {
         let Some(index) = self.awaiting.remove(&ticket) else { return };
         let Some(c) = self.conns.get_mut(index) else { return };
         let text = match verdict {
-            Verdict::Taken => "+OK\r\n".to_string(),
+            Verdict::Accepted => "+OK\r\n".to_string(),
             Verdict::Busy(ms) if *ms >= 1.0 => format!("-BUSY {}\r\n", ms.ceil() as u64),
             Verdict::Busy(_) => "-BUSY\r\n".to_string(),
             Verdict::Failed(why) => format!("-ERR {why}\r\n"),
-            Verdict::Elsewhere { wait, name, resp: Some(address), .. } => {
+            Verdict::ServedElsewhere { retry_after: wait, name, resp: Some(address), .. } => {
                 format!("-BUSY {} MOVED {name} {address}\r\n", wait.ceil() as u64)
             }
-            Verdict::Elsewhere { wait, name, .. } => format!("-BUSY {} MOVED {name}\r\n", wait.ceil() as u64),
+            Verdict::ServedElsewhere { retry_after: wait, name, .. } => {
+                format!("-BUSY {} MOVED {name}\r\n", wait.ceil() as u64)
+            }
         };
         c.stream.queue(text.as_bytes());
         (c.awaiting, c.stalled_since) = (None, None);
--- a/src/net/start.rs
+++ b/src/net/start.rs
@@ -2,8 +2,8 @@
 //! opens the listeners.
 
 use super::*;
-use crate::dispatch::figures::Start;
-use crate::dispatch::{Parts, Past};
+use crate::dispatch::figures::StartProgress;
+use crate::dispatch::{CoreParts, StartupHistory};
 use crate::journal::{Journal, Record};
 use crate::kept::{CachedState, RejectedCache};
 use crate::recovery::{FolderState, IncarnationRecord};
@@ -97,10 +97,15 @@
         let peers = Peers::new(mesh);
         let listeners = open_other_listeners(&reactor, &clock, &config, &mqtt)?;
         let blocks_seen = control::blocks_version(&config.state_folder);
-        core.take_bans(now, &control::read_blocks(&config.state_folder));
-        log::info!("{} listens on {} and holds {} calls", config.name, listener.local_addr()?, core.holds());
+        core.replace_operator_blocks(now, &control::read_blocks(&config.state_folder));
+        log::info!(
+            "{} listens on {} and holds {} calls",
+            config.name,
+            listener.local_addr()?,
+            core.held_messages()
+        );
         log::debug!("settings in force: {:?}", core.settings());
-        log::debug!("endpoints known at the start: {:?}", core.workers_known());
+        log::debug!("endpoints known at the start: {:?}", core.listed_endpoints());
         let copies = &together.replication;
         let mut server = Server {
             clock,
@@ -152,7 +157,7 @@
         // Must precede any client request: whether a sibling process serves on the folder decides which
         // messages are accepted.
         server.take_over(now);
-        if server.core.has_company() {
+        if server.core.has_sibling() {
             log::info!("serves beside another process on the same folder");
         }
         Ok(server)
@@ -208,29 +213,42 @@
     let sidecar = config.sidecar.clone().unwrap_or_default();
     let (promises, once, cells, mesh) =
         (sidecar.limits, sidecar.at_most_once_classes, sidecar.cells, sidecar.cell_map);
-    let mut core = Core::new(Parts { settings, names, journal, promises, once, cells, mesh });
+    let mut core = Core::new(CoreParts {
+        settings,
+        names,
+        journal,
+        limits: promises,
+        at_most_once_classes: once,
+        cells,
+        cell_map: mesh,
+    });
     let unproven = !matches!(folder_state, FolderState::NextIncarnation(_));
     let crashing = life.is_crash_loop();
-    core.begin_from(
+    core.set_startup_history(
         now,
-        Past { recovery: together.recovery.clone(), former: cached.health, unproven, crashing },
+        StartupHistory {
+            recovery: together.recovery.clone(),
+            destination_health: cached.health,
+            unproven,
+            crashing,
+        },
     );
     // Must precede the restore, so that restored messages are replicated too.
     let replica_listener = listen_for_replicas((reactor, clock), config, together, &mut core, (random, now))?;
-    core.figures.start = Start {
+    core.metrics.start = StartProgress {
         stage: if config.registry.is_none() { "serving" } else { "recovering" },
         folder: folder_state.name(),
         life: life.incarnation,
         kept_age_ms: cached.age.map(|a| a as u64),
         older_lists: 0,
     };
-    core.number_from(recovery::first_message_no(life.incarnation, seen));
-    core.list(now, known, true);
-    let restored = core.restore_both(now, records, left_records);
+    core.set_first_message_no(recovery::first_message_no(life.incarnation, seen));
+    core.apply_endpoint_list(now, known, true);
+    let restored = core.restore_journals(now, records, left_records);
     if left.is_some() {
         log::info!(calls = restored; "took over {restored} calls from the journal of a process that has ended");
     }
-    log::info!(records = read, calls = core.holds(); "stage recovering: {read} records read, {} calls taken up", core.holds());
+    log::info!(records = read, calls = core.held_messages(); "stage recovering: {read} records read, {} calls taken up", core.held_messages());
     Ok(RecoveredCore { core, left, replica_listener })
 }
 
@@ -264,7 +282,7 @@
     if let Some(l) = &listener {
         let (at, peers) = (l.local_addr()?, copies.peers.len());
         log::info!("replication with {peers} peers is enabled; they connect on {at}");
-        core.copy_with(
+        core.enable_replication(
             Replicator::new(now as u64, keeper_spec(config, copies, at, random, now)),
             copies.clone(),
         );
@@ -279,7 +297,7 @@
     mqtt: &MqttSettings,
 ) -> io::Result<OtherListeners> {
     let mesh = config.sidecar.as_ref().and_then(|s| s.cell_map.as_ref());
-    let peer = mesh.and_then(|m| m.peer(&m.me)).map(|p| p.peer);
+    let peer = mesh.and_then(|m| m.peer(&m.own_name)).map(|p| p.peer_address);
     let listen = |address: Option<SocketAddr>, number: usize, what: &str| {
         let listener = address.map(|a| listen_on(reactor, clock, a, number)).transpose()?;
         if let Some(l) = &listener {
--- a/src/tool/cli.rs
+++ b/src/tool/cli.rs
@@ -38,7 +38,7 @@
 
 impl Serve {
     /// Returns a lookup of environment variables in which command line options take precedence.
-    pub fn environment(&self) -> impl Fn(&str) -> Option<String> + use<> {
+    pub fn environment_lookup(&self) -> impl Fn(&str) -> Option<String> + use<> {
         let config = self.config.as_ref().map(|c| c.display().to_string());
         move |name| match name {
             "ROUTER_CONFIG" => config.clone().or_else(|| env_var(name)),
--- a/src/tool/haproxy.rs
+++ b/src/tool/haproxy.rs
@@ -2,7 +2,7 @@
 //! destinations, their servers become endpoints, and timeouts, connection limits, retries and health checks
 //! become settings. Every other directive is reported with its line; none is ignored silently.
 
-use lilacbank_settings::served::{ListedEndpoint, Served};
+use lilacbank_settings::served::{DispatcherConfig, ListedEndpoint};
 
 /// A directive that was not mapped.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -110,7 +110,7 @@
 }
 
 /// Converts an HAProxy configuration; also returns the directives that were not mapped.
-pub fn import(text: &str) -> (Served, Vec<SkippedDirective>) {
+pub fn import(text: &str) -> (DispatcherConfig, Vec<SkippedDirective>) {
     let mut skipped = Vec::new();
     let mut i = Import::default();
     let mut section = Section::None;
@@ -281,7 +281,7 @@
         limit
     }
 
-    fn finish(self) -> Served {
+    fn finish(self) -> DispatcherConfig {
         let mut served = super::default_config();
         served.known.targets = self.endpoints;
         served.listen = self.listen.or(served.listen);
--- a/src/tool/mod.rs
+++ b/src/tool/mod.rs
@@ -12,10 +12,10 @@
 use crate::config::{self, MqttSettings};
 use crate::disk::Disk;
 use cli::{App, Cli, Command, Config, ConfigOverrides, Format, NewApplicationArgs, Record, ReportOptions};
-use lilacbank_settings::check::{check, AssumeUsable, Folders};
+use lilacbank_settings::check::{check, AssumeUsable, FolderInspector};
 use lilacbank_settings::compose::{compose, NewApplication};
-use lilacbank_settings::finding::{refused, render_findings, Finding};
-use lilacbank_settings::served::{Class, EndpointList, Limits, Served, Tenant};
+use lilacbank_settings::finding::{has_errors, render_findings, Finding};
+use lilacbank_settings::served::{Class, DispatcherConfig, EndpointList, Limits, Tenant};
 use lilacbank_settings::set::{resolve_path, ApplicationFile, FileSet};
 use lilacbank_settings::{explain, render, schema};
 use std::collections::BTreeMap;
@@ -129,7 +129,7 @@
             findings.iter().for_each(|f| println!("{}", serde_json::to_string(f).unwrap_or_default()))
         }
     }
-    if refused(findings) {
+    if has_errors(findings) {
         Err(ToolError::ErrorsFound)
     } else {
         Ok(())
@@ -137,7 +137,7 @@
 }
 
 /// The folders to check: those of this machine, or none.
-fn folders(options: ReportOptions) -> &'static dyn Folders {
+fn folders(options: ReportOptions) -> &'static dyn FolderInspector {
     if options.elsewhere {
         &AssumeUsable
     } else {
@@ -253,9 +253,9 @@
 
 /// Checks a dispatcher's JSON configuration: first with all checks, then by parsing it as a dispatcher does
 /// at startup.
-fn check_served(name: &str, text: &str, options: ReportOptions) -> Result<Served, ToolError> {
+fn check_served(name: &str, text: &str, options: ReportOptions) -> Result<DispatcherConfig, ToolError> {
     let mut findings = Vec::new();
-    let (_, served) = Served::read(name, text, folders(options), &mut findings);
+    let (_, served) = DispatcherConfig::read_and_check(name, text, folders(options), &mut findings);
     report(&findings, &BTreeMap::from([(name.to_string(), text.to_string())]), options)?;
     config::Config::from_json(text, &|_| None)?;
     Ok(served)
@@ -289,15 +289,15 @@
 }
 
 /// The configuration that `config write` and imports start from.
-pub(crate) fn default_config() -> Served {
-    let mut s = Served {
+pub(crate) fn default_config() -> DispatcherConfig {
+    let mut s = DispatcherConfig {
         name: "lilacbank".into(),
         listen: Some("127.0.0.1:6379".into()),
         discovery: Some("127.0.0.1:8500".into()),
         state: Some("state".into()),
         limits: Limits::default(),
         known: EndpointList { all: true, ..EndpointList::default() },
-        ..Served::default()
+        ..DispatcherConfig::default()
     };
     s.settings.classes = vec![Class {
         name: "message".into(),
@@ -312,7 +312,7 @@
 
 impl ConfigOverrides {
     /// Overrides values of a configuration by those given on the command line.
-    fn apply_to(&self, s: &mut Served) {
+    fn apply_to(&self, s: &mut DispatcherConfig) {
         let set = &mut s.settings;
         self.name.iter().for_each(|n| s.name.clone_from(n));
         s.listen = self.listen.clone().or(s.listen.take());
@@ -340,7 +340,7 @@
     }
 
     /// Applies the overrides, checks the configuration, and writes it if it is free of errors.
-    fn write_checked(&self, mut served: Served) -> ToolResult {
+    fn write_checked(&self, mut served: DispatcherConfig) -> ToolResult {
         self.apply_to(&mut served);
         let text = served.to_json();
         check_served(
--- a/tests/attempt_ends.rs
+++ b/tests/attempt_ends.rs
@@ -3,13 +3,13 @@
 
 mod stand;
 use lilacbank::api::{Ms, Outcome, ServiceState};
-use lilacbank::dispatch::{Core, Delegation, End, Order, Submission};
+use lilacbank::dispatch::{Attempt, AttemptResult, Core, Order, Submission};
 use lilacbank::guard::{Confirmation, CONFIRM_TIMEOUT, CROSSED_CLOSE_DELAY};
 use lilacbank::net::finding::{EndpointEvent, RequestKind};
 use lilacbank::net::http::HttpEndpoints;
 use lilacbank::net::reactor::Reactor;
 use stand::in_process::*;
-use stand::{until, PATIENCE};
+use stand::{wait_until, TEST_TIMEOUT};
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -17,13 +17,13 @@
 /// A core with two endpoints of one destination.
 fn core_with_two_endpoints() -> Core {
     let mut core = new_core();
-    tell(&mut core, 0.0, &["w0", "w1"], ServiceState::InService, true);
+    apply_endpoint_list(&mut core, 0.0, &["w0", "w1"], ServiceState::InService, true);
     core
 }
 
 /// The first delegation when the core runs once per millisecond from `from` until before `until`.
-fn next_delegation_between(core: &mut Core, from: u32, until: u32) -> Option<Delegation> {
-    (from..until).find_map(|now| delegated(core.turn(Ms::from(now))))
+fn next_delegation_between(core: &mut Core, from: u32, until: u32) -> Option<Attempt> {
+    (from..until).find_map(|now| first_attempt(core.turn(Ms::from(now))))
 }
 
 /// Guards against a next attempt in the same run of the core that cancels the previous one. The request of
@@ -34,26 +34,31 @@
     submit(&mut core, 10.0, "a", "safe");
     let first = next_delegation_between(&mut core, 10, 500).unwrap();
     let (mut now, mut orders) = (500, Vec::new());
-    while !orders.iter().any(|o| matches!(o, Order::Abandon { .. })) {
-        core.written(Ms::from(now), first.no, first.attempt);
+    while !orders.iter().any(|o| matches!(o, Order::CancelAttempt { .. })) {
+        core.attempt_written(Ms::from(now), first.message_no, first.attempt);
         orders = core.turn(Ms::from(now));
         now += 1;
         assert!(now < 5_000, "the attempt is cancelled in time");
     }
-    assert!(delegated(orders).is_none(), "no next attempt in the same run");
+    assert!(first_attempt(orders).is_none(), "no next attempt in the same run");
     assert!(
         next_delegation_between(&mut core, now, now + 900).is_none(),
         "no next attempt before the outcome is reported"
     );
-    core.outcome(Ms::from(now + 900), first.no, first.attempt, End::of(Outcome::Cancelled));
+    core.attempt_ended(
+        Ms::from(now + 900),
+        first.message_no,
+        first.attempt,
+        AttemptResult::new(Outcome::Cancelled),
+    );
     let next = next_delegation_between(&mut core, now + 900, now + 1_400)
         .expect("the next attempt follows the reported outcome");
-    assert_eq!((next.no, next.attempt), (first.no, 1));
+    assert_eq!((next.message_no, next.attempt), (first.message_no, 1));
 }
 
 /// Submits a message of an ordered class with a fixed ordering key and `left` ms until its deadline.
 fn submit_keyed(core: &mut Core, now: Ms, id: &str, left: Ms) {
-    core.submit(now, 2, Submission { key: Some(7), left: Some(left), ..submission(id, "order") });
+    core.submit(now, 2, Submission { key: Some(7), time_left: Some(left), ..submission(id, "order") });
 }
 
 /// Guards against an attempt of the next message of an ordering key while one of the previous message may
@@ -66,22 +71,23 @@
     submit_keyed(&mut core, 11.0, "b", 9_000.0);
     let first = next_delegation_between(&mut core, 11, 400).unwrap();
     assert_eq!(first.id, "a");
-    core.written(300.0, first.no, first.attempt);
+    core.attempt_written(300.0, first.message_no, first.attempt);
     // Whether the attempt is cancelled or not, the deadline passes at 610 and the final answer is sent
     // immediately.
     let mut answered = false;
     for now in 400..620 {
         let orders = core.turn(Ms::from(now));
-        assert!(!orders.iter().any(|o| matches!(o, Order::Delegate(_))), "at {now}: {orders:?}");
-        answered |= orders.iter().any(|o| matches!(o, Order::Tell(t) if t.no == first.no));
+        assert!(!orders.iter().any(|o| matches!(o, Order::StartAttempt(_))), "at {now}: {orders:?}");
+        answered |=
+            orders.iter().any(|o| matches!(o, Order::SendFinalAnswer(t) if t.message_no == first.message_no));
     }
     assert!(answered, "the client gets the final answer in time");
-    core.confirmed(620.0, first.no);
+    core.final_answer_confirmed(620.0, first.message_no);
     assert!(
         next_delegation_between(&mut core, 620, 1_300).is_none(),
         "the endpoint has not confirmed the end yet"
     );
-    core.outcome(1_300.0, first.no, first.attempt, End::of(Outcome::Late));
+    core.attempt_ended(1_300.0, first.message_no, first.attempt, AttemptResult::new(Outcome::Late));
     assert!(
         next_delegation_between(&mut core, 1_300, 1_399).is_none(),
         "the ordering key is in its quiet period"
@@ -96,14 +102,19 @@
     let mut core = core_with_two_endpoints();
     submit(&mut core, 10.0, "a", "safe");
     let first = next_delegation_between(&mut core, 10, 500).unwrap();
-    core.written(500.0, first.no, first.attempt);
-    core.outcome(500.0, first.no, first.attempt, End { pending: Some(300.0), ..End::of(Outcome::Reset) });
-    assert_eq!(core.out(), 0);
+    core.attempt_written(500.0, first.message_no, first.attempt);
+    core.attempt_ended(
+        500.0,
+        first.message_no,
+        first.attempt,
+        AttemptResult { confirmed_within: Some(300.0), ..AttemptResult::new(Outcome::Reset) },
+    );
+    assert_eq!(core.outstanding_attempts(), 0);
     assert!(
         next_delegation_between(&mut core, 500, 1_500).is_none(),
         "the message waits longer than the announced 300 ms while the end is not reported"
     );
-    core.outcome(1_500.0, first.no, first.attempt, End::of(Outcome::Reset));
+    core.attempt_ended(1_500.0, first.message_no, first.attempt, AttemptResult::new(Outcome::Reset));
     let next =
         next_delegation_between(&mut core, 1_500, 2_000).expect("the next attempt follows the confirmed end");
     assert_eq!((next.id.as_str(), next.attempt), ("a", 1));
@@ -112,10 +123,21 @@
 }
 
 /// An attempt for the endpoint at this address.
-fn delegation(address: String) -> Delegation {
+fn delegation(address: String) -> Attempt {
     let (id, idempotency, body) = ("a".to_string(), String::new(), b"x".to_vec());
     let (patience, write_by) = (5_000.0, 5_000.0);
-    Delegation { no: 1, attempt: 0, route: 0, address, dest: 1, id, idempotency, body, patience, write_by }
+    Attempt {
+        message_no: 1,
+        attempt: 0,
+        endpoint: 0,
+        address,
+        dest: 1,
+        id,
+        idempotency_key: idempotency,
+        body,
+        timeout: patience,
+        latest_write: write_by,
+    }
 }
 
 /// A connection with one attempt that is written and then cancelled at 100 ms, and the endpoint's end of it.
@@ -162,7 +184,7 @@
     /// Waits for an event on the connection and handles it.
     fn look(&mut self, now: Ms) {
         let mut events = mio::Events::with_capacity(8);
-        self.reactor.wait(&mut events, PATIENCE).unwrap();
+        self.reactor.wait(&mut events, TEST_TIMEOUT).unwrap();
         self.workers.ready(now, 0, &mut self.found);
     }
 
@@ -171,7 +193,9 @@
     fn ends(&mut self) -> Vec<(Outcome, Option<Confirmation>, Option<Ms>)> {
         let reported = std::mem::take(&mut self.found);
         let end = |f| match f {
-            EndpointEvent::Ended { result: end, .. } => Some((end.outcome, end.confirmed, end.pending)),
+            EndpointEvent::Ended { result: end, .. } => {
+                Some((end.outcome, end.confirmed, end.confirmed_within))
+            }
             EndpointEvent::Written(_) => None,
         };
         reported.into_iter().filter_map(end).collect()
@@ -201,7 +225,7 @@
     assert!(silent.ends().is_empty());
     silent.workers.tick(100.0 + CONFIRM_TIMEOUT, &mut silent.found);
     assert_eq!(silent.ends(), [(Outcome::Late, Some(Confirmation::TimedOut), None)]);
-    until("the connection is reset", || silent.endpoint.peer_addr().is_err());
+    wait_until("the connection is reset", || silent.endpoint.peer_addr().is_err());
 }
 
 /// The same for an attempt that was not written: no endpoint knows of it, so its end is reported immediately.
@@ -252,21 +276,21 @@
     let mut outstanding = Vec::new();
     for now in 10..300 {
         let orders = core.turn(Ms::from(now));
-        outstanding.extend(orders.into_iter().filter_map(|o| delegated(vec![o])));
+        outstanding.extend(orders.into_iter().filter_map(|o| first_attempt(vec![o])));
     }
     assert!(
         !outstanding.is_empty() && outstanding.len() < submitted,
         "all slots are in use, and some messages wait"
     );
-    outstanding.iter().for_each(|d| core.written(300.0, d.no, d.attempt));
+    outstanding.iter().for_each(|d| core.attempt_written(300.0, d.message_no, d.attempt));
     let mut abandoned = None;
     for now in 300..3_000 {
         for order in core.turn(Ms::from(now)) {
             match order {
-                Order::Abandon { no, attempt, outcome } => {
+                Order::CancelAttempt { no, attempt, outcome } => {
                     abandoned = abandoned.or(Some((no, attempt, outcome)))
                 }
-                Order::Delegate(d) => {
+                Order::StartAttempt(d) => {
                     panic!("{} is sent at {now} although all slots are in use: {abandoned:?}", d.id)
                 }
                 _ => {}
@@ -274,7 +298,7 @@
         }
     }
     let (no, attempt, outcome) = abandoned.expect("an attempt is cancelled");
-    assert_eq!(core.out(), outstanding.len());
-    core.outcome(3_000.0, no, attempt, End::of(outcome));
-    assert_eq!(core.out(), outstanding.len() - 1, "the slot is free");
+    assert_eq!(core.outstanding_attempts(), outstanding.len());
+    core.attempt_ended(3_000.0, no, attempt, AttemptResult::new(outcome));
+    assert_eq!(core.outstanding_attempts(), outstanding.len() - 1, "the slot is free");
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -3,10 +3,10 @@
 
 mod stand;
 
-use lilacbank_load::arrivals::{poisson, Stream};
-use lilacbank_load::client::{drive, Habits};
-use lilacbank_load::member::{Endpoint, Manner, Notices};
-use lilacbank_load::report::{join, Report};
+use lilacbank_load::arrivals::{poisson_arrivals, Stream};
+use lilacbank_load::client::{run_open_loop, ClientConfig};
+use lilacbank_load::member::{Endpoint, EndpointConfig, NoticeReceiver};
+use lilacbank_load::report::{build_report, Report};
 use stand::Dispatcher;
 use std::path::PathBuf;
 use std::process::Command;
@@ -54,10 +54,16 @@
     let dir = TempDir(std::env::temp_dir().join(format!("lilacbank-cells-{}-{n}", std::process::id())));
     let _ = std::fs::remove_dir_all(&dir.0);
     std::fs::create_dir_all(&dir.0).unwrap();
-    let notices = Notices::start().unwrap();
+    let notices = NoticeReceiver::start().unwrap();
     let manner = match case.limit {
-        None => Manner { service: Duration::from_millis(80), at_once: 6 * case.dispatchers, queue: 20 },
-        Some(_) => Manner { service: Duration::from_millis(20), at_once: 64, queue: 20 },
+        None => EndpointConfig {
+            service_time: Duration::from_millis(80),
+            concurrency: 6 * case.dispatchers,
+            queue_capacity: 20,
+        },
+        Some(_) => {
+            EndpointConfig { service_time: Duration::from_millis(20), concurrency: 64, queue_capacity: 20 }
+        }
     };
     let endpoints: Vec<Endpoint> =
         (0..TENANTS + FLOOD_DESTINATIONS).map(|_| Endpoint::start(manner.clone()).unwrap()).collect();
@@ -77,11 +83,11 @@
     let stream = |tenant: usize, dest: usize, rate: f64| Stream {
         tenant: format!("t{tenant}"),
         class: "status".into(),
-        dest: destination(dest) as u64,
-        rate: rate * case.dispatchers as f64,
+        destination: destination(dest) as u64,
+        messages_per_second: rate * case.dispatchers as f64,
         from: Duration::ZERO,
         until: end,
-        wanted: Duration::from_millis(300),
+        full_worth_within: Duration::from_millis(300),
         deadline: Duration::from_secs(4),
     };
     let mut streams: Vec<Stream> = (1..TENANTS).map(|t| stream(t, t, RATE)).collect();
@@ -89,20 +95,20 @@
         let flood = stream(0, if f == 0 { 0 } else { TENANTS + f - 1 }, RATE * case.flood);
         streams.push(Stream { from: FLOOD_FROM, ..flood });
     }
-    let messages = poisson(case.seed, &streams);
+    let messages = poisson_arrivals(case.seed, &streams);
     let addresses: Vec<_> = running.iter().map(|d| d.address()).collect();
     let route = Arc::new(move |_: &Stream, number: usize| addresses[number % addresses.len()]);
     let start = Instant::now() + Duration::from_millis(200);
-    let habits = Habits { connections: 400, ..Habits::default() };
-    let handed = drive(start, &streams, &messages, route, &habits);
+    let habits = ClientConfig { connections: 400, ..ClientConfig::default() };
+    let handed = run_open_loop(start, &streams, &messages, route, &habits);
     std::thread::sleep(Duration::from_millis(4_200).saturating_sub(start.elapsed().saturating_sub(end)));
     let effects: Vec<_> = endpoints.iter().flat_map(|e| e.effects()).collect();
     drop(running);
-    join(start, FLOOD_FROM, &streams, &handed, &effects)
+    build_report(start, FLOOD_FROM, &streams, &handed, &effects)
 }
 
 /// Renders the configuration of dispatcher `d` and starts it.
-fn start_dispatcher(dir: &TempDir, case: Case, d: usize, notices: &Notices) -> Dispatcher {
+fn start_dispatcher(dir: &TempDir, case: Case, d: usize, notices: &NoticeReceiver) -> Dispatcher {
     let (toml, json) = (dir.0.join(format!("d{d}.toml")), dir.0.join(format!("d{d}.json")));
     let mut text = format!(
         "application = \"d{d}\"\nstate = \"{}\"\nbuilding = \"a\"\nnotices = \"{}\"\n[listen]\nresp = \"127.0.0.1:0\"\n\
@@ -142,8 +148,8 @@
     let all: Vec<_> = (1..TENANTS).filter(|t| t % cells != 0).map(|t| &r.tenants[&format!("t{t}")]).collect();
     let mut delay = all[0].delay.clone();
     all[1..].iter().for_each(|t| delay.add(&t.delay).unwrap());
-    let submitted: usize = all.iter().map(|t| t.asked).sum();
-    let worth: f64 = all.iter().map(|t| t.worth * t.asked as f64).sum();
+    let submitted: usize = all.iter().map(|t| t.submitted).sum();
+    let worth: f64 = all.iter().map(|t| t.worth_share * t.submitted as f64).sum();
     (worth / submitted as f64, delay.value_at_percentile(99.0) as f64 / 1_000.0)
 }
 
@@ -162,7 +168,7 @@
     assert!(b.0 > a.0 - 0.05, "usual rate {a:?}, flood {b:?}, flood without cells {c:?}");
     let own = &flooded.tenants["t0"];
     println!("usual rate {a:?}, flood {b:?}, flood without cells {c:?}");
-    let (submitted, delivered) = (own.asked, own.delivered);
+    let (submitted, delivered) = (own.submitted, own.delivered);
     assert!(
         delivered > 20 && delivered < submitted,
         "the flood is limited to the share of its cell: {delivered} of {submitted} delivered"
@@ -178,8 +184,8 @@
     println!("with cells {a:?}, without {b:?}");
     assert!(a.0 > 0.95, "with cells {a:?}, without {b:?}");
     let flood = &divided.tenants["t0"];
-    assert!(flood.delivered < flood.asked, "the limit did not bound the flood");
-    assert!(flood.turned_away > 0, "no message of the flood was rejected");
+    assert!(flood.delivered < flood.submitted, "the limit did not bound the flood");
+    assert!(flood.rejected > 0, "no message of the flood was rejected");
 }
 
 /// Measures the figures of `docs/design/cells.md`: cargo test --release --test cells -- --ignored --nocapture
@@ -213,8 +219,8 @@
             println!(
                 "cells {cells} seed {seed}: worth of other tenants {:.4} usual, {:.4} flooded ({:+.2}%); p99 {:.0} ms usual, {:.0} ms flooded; \
                  flood: {} submitted, {} delivered, {} rejected; driver late {:?} and {:?}, valid {} {}",
-                a.0, b.0, 100.0 * (b.0 / a.0 - 1.0), a.1, b.1, own.asked, own.delivered, own.turned_away,
-                usual.late, flooded.late, usual.is_valid(), flooded.is_valid()
+                a.0, b.0, 100.0 * (b.0 / a.0 - 1.0), a.1, b.1, own.submitted, own.delivered, own.rejected,
+                usual.late_submissions, flooded.late_submissions, usual.is_valid(), flooded.is_valid()
             );
         }
     }
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -16,8 +16,8 @@
 
 /// 60 messages that a dispatcher accepted while their endpoint was silent, before it was killed.
 struct Accepted {
-    site: Site,
-    worker: Worker,
+    site: TestInstallation,
+    worker: EndpointStandIn,
     answers: Arc<AtomicBool>,
     at: Instant,
     /// The id and class of each message, and the number of its calls before the kill.
@@ -27,14 +27,14 @@
 /// Submits messages with `left_ms` until their deadline to a dispatcher that runs under a schedule of faults,
 /// and kills it.
 fn accept_and_kill(left_ms: u64, schedule: &str) -> Accepted {
-    let (worker, answers) = silent_until_told();
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
-    let d = site.start_under(schedule, &[]);
+    let (worker, answers) = silent_until_enabled();
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let d = site.start_with_faults(schedule, &[]);
     let mut client = d.client();
     let at = Instant::now();
-    let ids = hand_in_each_class(&mut client, MESSAGES, left_ms);
+    let ids = submit_each_class(&mut client, MESSAGES, left_ms);
     d.kill();
-    let calls_before = ids.into_iter().map(|(id, class)| (id.clone(), class, worker.of(&id))).collect();
+    let calls_before = ids.into_iter().map(|(id, class)| (id.clone(), class, worker.calls_of(&id))).collect();
     Accepted { site, worker, answers, at, calls_before }
 }
 
@@ -42,14 +42,14 @@
     /// Checks that each message has a notice by its deadline when the next process runs under the schedule
     /// `next`.
     fn check_all_end_in_time(&self, left_ms: u64, next: &str) {
-        let _d = self.site.start_under(next, &[]);
+        let _d = self.site.start_with_faults(next, &[]);
         let until = self.at + Duration::from_millis(left_ms) + LATEST_ANSWER;
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
         let unanswered: Vec<&String> = self
             .calls_before
             .iter()
             .map(|t| &t.0)
-            .filter(|id| self.site.platform.noticed(id).is_empty())
+            .filter(|id| self.site.platform.notices_for(id).is_empty())
             .collect();
         assert!(
             unanswered.is_empty(),
@@ -61,16 +61,16 @@
     /// Checks that the next process delivers all messages without an attempt and all that may be repeated.
     fn check_all_are_delivered(&self, next: &str) {
         self.answers.store(true, Ordering::SeqCst);
-        let _d = self.site.start_under(next, &[]);
+        let _d = self.site.start_with_faults(next, &[]);
         for (id, class, calls) in &self.calls_before {
             if *class == "pay" && *calls > 0 {
-                until("the message may have run and is given up", || {
-                    !self.site.platform.noticed(id).is_empty()
+                wait_until("the message may have run and is given up", || {
+                    !self.site.platform.notices_for(id).is_empty()
                 });
-                assert_eq!(self.worker.of(id), *calls, "{id} is not sent again");
+                assert_eq!(self.worker.calls_of(id), *calls, "{id} is not sent again");
             } else {
-                until(&format!("{id} of {class} is delivered"), || self.worker.of(id) > *calls);
-                assert!(self.site.platform.noticed(id).is_empty(), "{id} of {class}");
+                wait_until(&format!("{id} of {class} is delivered"), || self.worker.calls_of(id) > *calls);
+                assert!(self.site.platform.notices_for(id).is_empty(), "{id} of {class}");
             }
         }
     }
@@ -104,37 +104,37 @@
 /// looks more recent than it is.
 #[test]
 fn the_deduplication_window_is_elapsed_time_across_a_step_back() {
-    let worker = Worker::start(|_, nth| if nth == 0 { Reply::Silence } else { OK });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
-    let config = site.changed("\"window\":20000", "\"window\":1500");
+    let worker = EndpointStandIn::start(|_, nth| if nth == 0 { Reply::NoAnswer } else { OK });
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let config = site.write_changed_config("\"window\":20000", "\"window\":1500");
     let more = [("ROUTER_CONFIG", config.as_str())];
-    let d = site.start_under("", &more);
-    assert_eq!(d.client().keyed("5", "a", "c=order,k=ka,d=15000,dest=1"), "+OK");
-    until("the first attempt has reached the endpoint", || worker.of("a") == 1);
+    let d = site.start_with_faults("", &more);
+    assert_eq!(d.client().submit_with_key("5", "a", "c=order,k=ka,d=15000,dest=1"), "+OK");
+    wait_until("the first attempt has reached the endpoint", || worker.calls_of("a") == 1);
     let sent = worker.calls.lock().unwrap()[0].at;
     d.kill();
     std::thread::sleep(Duration::from_millis(1_501).saturating_sub(sent.elapsed()));
     // The step is so small that the attempt does not appear to be in the future; 800 ms of the window would
     // seem to remain.
-    let _d = site.start_under("clock 0 1e12 -800", &more);
-    until("the message has a notice", || !site.platform.noticed("a").is_empty());
-    assert_eq!(worker.of("a"), 1, "the message is sent again after its window");
+    let _d = site.start_with_faults("clock 0 1e12 -800", &more);
+    wait_until("the message has a notice", || !site.platform.notices_for("a").is_empty());
+    assert_eq!(worker.calls_of("a"), 1, "the message is sent again after its window");
 }
 
 /// Guards against remembered ids that expire immediately, or never, after a clock step: a delivered message
 /// that is submitted again under its id is answered as accepted and not sent a second time.
 #[test]
 fn a_delivered_id_stays_known_across_a_step_forward() {
-    let worker = Worker::start(|_, _| OK);
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = EndpointStandIn::start(|_, _| OK);
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let d = site.start();
     assert_eq!(d.client().submit("a", "c=pay,t=acme,d=4000,dest=1"), "+OK");
-    until("the message is delivered", || worker.of("a") == 1);
+    wait_until("the message is delivered", || worker.calls_of("a") == 1);
     d.kill();
-    let d = site.start_under(&format!("clock 0 1e12 {HOUR_MS}"), &[]);
+    let d = site.start_with_faults(&format!("clock 0 1e12 {HOUR_MS}"), &[]);
     assert_eq!(d.client().submit("a", "c=pay,t=acme,d=4000,dest=1"), "+OK");
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(worker.of("a"), 1, "the message is sent again");
+    assert_eq!(worker.calls_of("a"), 1, "the message is sent again");
 }
 
 /// Guards against wrong deadlines of messages that one process takes over from another if the clock has
@@ -143,22 +143,23 @@
 #[test]
 fn messages_taken_over_between_processes_keep_their_deadline_across_a_step() {
     for step in [-HOUR_MS, HOUR_MS] {
-        let (worker, open, delivered) = gate();
-        let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+        let (worker, open, delivered) = refusing_until_opened();
+        let site =
+            TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
         let old = site.start();
         assert_eq!(old.client().submit("kept", "c=pay,t=acme,d=15000,dest=1"), "+OK");
         assert_eq!(old.client().submit("late", "c=pay,t=acme,d=4000,dest=1"), "+OK");
         let at = Instant::now();
-        until("the endpoint has refused an attempt", || worker.count() >= 1);
-        let mut new = site.start_under(&format!("clock 0 1e12 {step}"), &[]);
+        wait_until("the endpoint has refused an attempt", || worker.call_count() >= 1);
+        let mut new = site.start_with_faults(&format!("clock 0 1e12 {step}"), &[]);
         old.kill();
-        new.logged("took over ");
-        until("the message with the short deadline has a notice", || {
-            !site.platform.noticed("late").is_empty()
+        new.wait_for_log("took over ");
+        wait_until("the message with the short deadline has a notice", || {
+            !site.platform.notices_for("late").is_empty()
         });
         assert!(at.elapsed() < Duration::from_millis(4_000) + LATEST_ANSWER, "{:?}", at.elapsed());
         open.store(true, Ordering::SeqCst);
-        until("the message with the long deadline is delivered", || {
+        wait_until("the message with the long deadline is delivered", || {
             delivered.lock().unwrap().contains(&"kept".to_string())
         });
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -56,47 +56,47 @@
     }
 }
 
-pub fn row(route: EndpointId, dest: DestId, zone: usize, kind: usize) -> EndpointEntry {
+pub fn endpoint_row(route: EndpointId, dest: DestId, zone: usize, kind: usize) -> EndpointEntry {
     EndpointEntry { endpoint: route, zone, kind, dest, state: ServiceState::InService, weight: 1.0 }
 }
 
 /// An attempt as the checker sees it.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    pub n: u32,
+    pub number: u32,
     pub route: EndpointId,
     pub sent: Ms,
     /// Timeout that the module set for the attempt, if any.
-    pub cap: Option<Ms>,
+    pub timeout: Option<Ms>,
     /// Whether the attempt is still outstanding.
-    pub out: bool,
+    pub outstanding: bool,
     pub may_have_run: bool,
 }
 
 /// What the checker knows of a message.
 #[derive(Debug, Clone)]
 pub struct ObservedMessage {
-    pub m: Message,
+    pub message: Message,
     pub attempts: Vec<Attempt>,
     /// Number of final answers; exactly one is right.
-    pub finals: usize,
+    pub final_answers: usize,
     pub ended_at: Ms,
     /// Retry interval with which the message was returned, if it was.
-    pub advice: Option<Ms>,
-    pub failed: bool,
+    pub retry_in: Option<Ms>,
+    pub given_up: bool,
 }
 
 /// Passes events to a decision module and checks each action against the rules at once.
-pub struct Watched {
+pub struct CheckedModule {
     pub brain: DecisionModule,
-    pub s: Settings,
+    pub settings: Settings,
     pub now: Ms,
     pub seen: BTreeMap<MessageId, ObservedMessage>,
-    pub rows: BTreeMap<EndpointId, EndpointEntry>,
+    pub endpoints: BTreeMap<EndpointId, EndpointEntry>,
     pub actions: Vec<Action>,
     pub timers: Vec<(Ms, u64)>,
     /// Violations of the rules.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// When each endpoint was first listed as draining or gone.
     draining_since: BTreeMap<EndpointId, Ms>,
     /// End of the retry-after of each unit: an endpoint, or a destination whose endpoints share one limit.
@@ -106,31 +106,31 @@
     next_id: MessageId,
 }
 
-impl Watched {
-    pub fn new(s: Settings, rows: Vec<EndpointEntry>) -> Watched {
-        let mut w = Watched {
+impl CheckedModule {
+    pub fn new(s: Settings, rows: Vec<EndpointEntry>) -> CheckedModule {
+        let mut w = CheckedModule {
             brain: DecisionModule::new(s.clone()),
-            s,
+            settings: s,
             now: 1_000.0,
             seen: BTreeMap::new(),
-            rows: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             actions: Vec::new(),
             timers: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             draining_since: BTreeMap::new(),
             retry_after_until: BTreeMap::new(),
             keys: BTreeMap::new(),
             next_id: 1,
         };
-        w.give(vec![Event::EndpointList { rows, complete: true, cached: true }]);
+        w.process(vec![Event::EndpointList { rows, complete: true, cached: true }]);
         w
     }
 
     /// Passes in a new message of a class for a destination, as the only event of its batch.
-    pub fn arrive(&mut self, class: usize, dest: DestId, key: Option<u64>) -> MessageId {
+    pub fn submit(&mut self, class: usize, dest: DestId, key: Option<u64>) -> MessageId {
         let id = self.next_id;
         self.next_id += 1;
-        let valid_until = self.now + self.s.classes[class].deadline;
+        let valid_until = self.now + self.settings.classes[class].deadline;
         let m = Message {
             id,
             class,
@@ -141,31 +141,31 @@
             resubmitted: false,
             estimated_work: 0.0,
         };
-        self.give(vec![Event::MessageArrived(m)]);
+        self.process(vec![Event::MessageArrived(m)]);
         id
     }
 
     /// The outstanding attempt of a message.
-    pub fn out(&self, id: MessageId) -> Option<Attempt> {
-        self.seen[&id].attempts.iter().rfind(|a| a.out).cloned()
+    pub fn outstanding_attempt(&self, id: MessageId) -> Option<Attempt> {
+        self.seen[&id].attempts.iter().rfind(|a| a.outstanding).cloned()
     }
 
     /// Ends the outstanding attempt of a message with this outcome and retry-after.
-    pub fn end(&mut self, id: MessageId, outcome: Outcome, wait: Ms) {
-        let a = self.out(id).expect("no attempt is outstanding");
-        let over = outcome == Outcome::Delivered || self.seen[&id].finals > 0;
+    pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome, wait: Ms) {
+        let a = self.outstanding_attempt(id).expect("no attempt is outstanding");
+        let over = outcome == Outcome::Delivered || self.seen[&id].final_answers > 0;
         let took = self.now - a.sent;
         let e = AttemptEnd {
             took,
             message_ended: over,
             retry_after: wait,
-            ..AttemptEnd::new(id, a.n, a.route, outcome)
+            ..AttemptEnd::new(id, a.number, a.route, outcome)
         };
-        self.give(vec![Event::AttemptEnded(e)]);
+        self.process(vec![Event::AttemptEnded(e)]);
     }
 
     /// Passes a batch of events to the module, and checks and returns its actions.
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn process(&mut self, events: Vec<Event>) -> Vec<Action> {
         for e in &events {
             self.record_event(e);
         }
@@ -189,14 +189,14 @@
     }
 
     /// Advances the clock by `span` and fires the timers that fall due.
-    pub fn pass(&mut self, span: Ms) {
+    pub fn advance(&mut self, span: Ms) {
         let until = self.now + span;
         while let Some(at) = self.timers.iter().map(|t| t.0).filter(|t| *t <= until).min_by(f64::total_cmp) {
             self.now = self.now.max(at);
             let now = self.now;
             let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
-            self.give(due.into_iter().map(Event::Timer).collect());
+            self.process(due.into_iter().map(Event::Timer).collect());
         }
         self.now = until;
     }
@@ -204,8 +204,8 @@
     /// The unit that a retry-after of this endpoint binds: the endpoint, or its destination if its endpoints
     /// share one limit.
     fn limit_unit(&self, route: EndpointId) -> (DestId, Option<EndpointId>) {
-        let r = &self.rows[&route];
-        (r.dest, self.s.kind(r.kind).per_endpoint_limit.then_some(route))
+        let r = &self.endpoints[&route];
+        (r.dest, self.settings.kind(r.kind).per_endpoint_limit.then_some(route))
     }
 
     /// Updates the checker's state with an event, before the module sees it.
@@ -213,23 +213,23 @@
         match e {
             Event::EndpointList { rows, .. } => {
                 for r in rows {
-                    self.rows.insert(r.endpoint, r.clone());
+                    self.endpoints.insert(r.endpoint, r.clone());
                     if r.state != ServiceState::InService {
                         self.draining_since.entry(r.endpoint).or_insert(self.now);
                     }
                 }
             }
             Event::MessageArrived(m) => {
-                if let Some(k) = m.key.filter(|_| self.s.classes[m.class].in_order) {
+                if let Some(k) = m.key.filter(|_| self.settings.classes[m.class].in_order) {
                     self.keys.entry(k).or_default().0.push_back(m.id);
                 }
                 let fresh = ObservedMessage {
-                    m: m.clone(),
+                    message: m.clone(),
                     attempts: vec![],
-                    finals: 0,
+                    final_answers: 0,
                     ended_at: 0.0,
-                    advice: None,
-                    failed: false,
+                    retry_in: None,
+                    given_up: false,
                 };
                 self.seen.insert(m.id, fresh);
             }
@@ -237,16 +237,16 @@
                 let now = self.now;
                 let Some(seen) = self.seen.get_mut(&e.id) else { return };
                 if let Some(a) = seen.attempts.get_mut(e.attempt as usize) {
-                    a.out = false;
+                    a.outstanding = false;
                     a.may_have_run = !e.outcome.never_ran();
                 }
-                if e.outcome == Outcome::Delivered && seen.finals == 0 {
-                    seen.finals = 1;
+                if e.outcome == Outcome::Delivered && seen.final_answers == 0 {
+                    seen.final_answers = 1;
                     seen.ended_at = now;
                 }
-                if let Some((_, quiet)) = seen.m.key.and_then(|k| self.keys.get_mut(&k)) {
+                if let Some((_, quiet)) = seen.message.key.and_then(|k| self.keys.get_mut(&k)) {
                     if matches!(e.outcome, Outcome::Late | Outcome::Reset | Outcome::Cancelled) {
-                        *quiet = now + self.s.key_quiet_period;
+                        *quiet = now + self.settings.key_quiet_period;
                     }
                 }
             }
@@ -255,7 +255,7 @@
     }
 
     fn add_violation(&mut self, what: String) {
-        self.broken.push(format!("{:.0}: {what}", self.now));
+        self.violations.push(format!("{:.0}: {what}", self.now));
     }
 
     fn check(&mut self, a: &Action) {
@@ -263,8 +263,8 @@
             Action::Send { id, endpoint: route, timeout: cap } => self.check_send(*id, *route, *cap),
             Action::Return { id, retry_after: retry_in } => {
                 let s = self.seen[id].clone();
-                let ran = s.attempts.iter().any(|a| a.may_have_run || a.out);
-                let effect = self.s.classes[s.m.class].effect;
+                let ran = s.attempts.iter().any(|a| a.may_have_run || a.outstanding);
+                let effect = self.settings.classes[s.message.class].effect;
                 if ran
                     && effect != Effect::Idempotent
                     && effect != (Effect::Deduplicated { same_zone_only: false })
@@ -272,11 +272,11 @@
                     self.add_violation(format!("message {id} returned although it may have run"));
                 }
                 self.record_final_answer(*id);
-                self.seen.get_mut(id).unwrap().advice = Some(*retry_in);
+                self.seen.get_mut(id).unwrap().retry_in = Some(*retry_in);
             }
             Action::GiveUp(id) => {
                 self.record_final_answer(*id);
-                self.seen.get_mut(id).unwrap().failed = true;
+                self.seen.get_mut(id).unwrap().given_up = true;
             }
             Action::Timer { at, token } => self.timers.push((*at, *token)),
             Action::Probe(r) => {
@@ -292,9 +292,9 @@
     fn record_final_answer(&mut self, id: MessageId) {
         let now = self.now;
         let s = self.seen.get_mut(&id).expect("final answer for an unknown message");
-        s.finals += 1;
+        s.final_answers += 1;
         s.ended_at = now;
-        let (finals, due) = (s.finals, s.m.valid_until + ANSWER_SLACK);
+        let (finals, due) = (s.final_answers, s.message.valid_until + ANSWER_SLACK);
         if finals > 1 {
             self.add_violation(format!("message {id} ended twice"));
         }
@@ -307,22 +307,22 @@
     fn check_send(&mut self, id: MessageId, route: EndpointId, cap: Option<Ms>) {
         let now = self.now;
         let s = self.seen[&id].clone();
-        let row = self.rows[&route].clone();
-        let c = self.s.classes[s.m.class].clone();
-        if s.finals > 0 {
+        let row = self.endpoints[&route].clone();
+        let c = self.settings.classes[s.message.class].clone();
+        if s.final_answers > 0 {
             self.add_violation(format!("message {id} sent after its final answer"));
         }
-        if row.dest != s.m.dest {
+        if row.dest != s.message.dest {
             self.add_violation(format!("message {id} sent to a destination other than its own"));
         }
-        if s.attempts.iter().any(|a| a.out) {
+        if s.attempts.iter().any(|a| a.outstanding) {
             self.add_violation(format!("message {id} has two outstanding attempts"));
         }
-        if s.attempts.len() >= self.s.max_attempts as usize {
+        if s.attempts.len() >= self.settings.max_attempts as usize {
             self.add_violation(format!("message {id} has too many attempts"));
         }
         if let Some(first) = s.attempts.iter().find(|a| a.may_have_run) {
-            let same_zone = self.rows[&first.route].zone == row.zone;
+            let same_zone = self.endpoints[&first.route].zone == row.zone;
             let allowed = match c.effect {
                 Effect::Idempotent => true,
                 Effect::Deduplicated { same_zone_only: by_zone } => {
@@ -334,16 +334,17 @@
                 self.add_violation(format!("message {id} could take effect twice"));
             }
         }
-        if self.draining_since.get(&route).is_some_and(|d| now > d + self.s.drain_grace) {
+        if self.draining_since.get(&route).is_some_and(|d| now > d + self.settings.drain_grace) {
             self.add_violation(format!("endpoint {route} sent to after its drain grace"));
         }
         if self.retry_after_until.get(&self.limit_unit(route)).is_some_and(|w| *w > now) {
             self.add_violation(format!("endpoint {route} sent to before its retry-after is over"));
         }
-        if let Some(k) = s.m.key.filter(|_| c.in_order) {
+        if let Some(k) = s.message.key.filter(|_| c.in_order) {
             let (queue, quiet) = self.keys[&k].clone();
-            let open =
-                |m: &MessageId| self.seen[m].finals == 0 || self.seen[m].attempts.iter().any(|a| a.out);
+            let open = |m: &MessageId| {
+                self.seen[m].final_answers == 0 || self.seen[m].attempts.iter().any(|a| a.outstanding)
+            };
             if queue.iter().take_while(|m| **m != id).any(open) {
                 self.add_violation(format!("message {id} overtakes an earlier one of its key"));
             }
@@ -352,28 +353,32 @@
             }
         }
         let n = s.attempts.len() as u32;
-        let attempt = Attempt { n, route, sent: now, cap, out: true, may_have_run: false };
+        let attempt =
+            Attempt { number: n, route, sent: now, timeout: cap, outstanding: true, may_have_run: false };
         self.seen.get_mut(&id).unwrap().attempts.push(attempt);
         let outstanding = |dest: Option<DestId>| {
-            let all = self.seen.values().filter(|s| dest.is_none_or(|d| s.m.dest == d));
-            let single = |a: &&Attempt| a.out && self.s.kind(self.rows[&a.route].kind).max_batch == 1;
+            let all = self.seen.values().filter(|s| dest.is_none_or(|d| s.message.dest == d));
+            let single = |a: &&Attempt| {
+                a.outstanding && self.settings.kind(self.endpoints[&a.route].kind).max_batch == 1
+            };
             all.flat_map(|s| &s.attempts).filter(single).count()
         };
-        if self.s.kind(row.kind).max_batch == 1 {
+        if self.settings.kind(row.kind).max_batch == 1 {
             let (all, here) = (outstanding(None), outstanding(Some(row.dest)));
-            if all > self.s.slots {
-                self.add_violation(format!("{all} attempts outstanding with {} slots", self.s.slots));
+            if all > self.settings.slots {
+                self.add_violation(format!("{all} attempts outstanding with {} slots", self.settings.slots));
             }
-            if here > 1 && here * 4 >= self.s.slots * 3 {
+            if here > 1 && here * 4 >= self.settings.slots * 3 {
                 self.add_violation(format!("{here} attempts outstanding at one destination"));
             }
         }
     }
 
     /// Asserts that every message has exactly one final answer and that no rule was broken.
-    pub fn all_well(&mut self) {
-        let lost: Vec<_> = self.seen.iter().filter(|(_, s)| s.finals != 1).map(|(id, _)| *id).collect();
-        assert!(self.broken.is_empty(), "rules broken: {:?}", self.broken);
+    pub fn assert_rules_kept(&mut self) {
+        let lost: Vec<_> =
+            self.seen.iter().filter(|(_, s)| s.final_answers != 1).map(|(id, _)| *id).collect();
+        assert!(self.violations.is_empty(), "rules broken: {:?}", self.violations);
         assert!(lost.is_empty(), "messages without exactly one final answer: {lost:?}");
     }
 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -10,13 +10,13 @@
 /// machine.
 const LATEST_ANSWER: Duration = Duration::from_millis(1_000);
 
-fn site_of(worker: &Worker) -> Site {
-    Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
+fn site_of(worker: &EndpointStandIn) -> TestInstallation {
+    TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
 }
 
 /// The notices of a message at all of these registries.
 fn all_notices(platforms: &[&Platform], id: &str) -> Vec<String> {
-    platforms.iter().flat_map(|p| p.noticed(id)).collect()
+    platforms.iter().flat_map(|p| p.notices_for(id)).collect()
 }
 
 /// Guards against final answers that are lost when a reload replaces the address that notices go to. While
@@ -24,9 +24,10 @@
 /// row, and the deadlines of some messages fall in between.
 #[test]
 fn final_answers_survive_reloads_during_a_shutdown_with_a_hanging_endpoint() {
-    let worker = Worker::start(|_, _| Reply::Silence);
+    let worker = EndpointStandIn::start(|_, _| Reply::NoAnswer);
     let site = site_of(&worker);
-    let second = Platform::start(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]).unwrap();
+    let second =
+        Platform::start(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]).unwrap();
     let mut d = site.start();
     let mut client = d.client();
     let begun = Instant::now();
@@ -35,13 +36,13 @@
         let left = 700 + 100 * n;
         let class = ["safe", "order", "pay"][n % 3];
         let options = format!("c={class},d={left},k=k{n},dest=1");
-        assert_eq!(client.keyed(&format!("{:x}", n + 1), id, &options), "+OK");
+        assert_eq!(client.submit_with_key(&format!("{:x}", n + 1), id, &options), "+OK");
     }
-    until("some attempts have reached the endpoint", || worker.count() >= 2);
+    wait_until("some attempts have reached the endpoint", || worker.call_count() >= 2);
     d.signal("-TERM");
     let addresses = [second.address, site.platform.address];
     for round in 0..8 {
-        site.configure(&format!("\"{}\"", addresses[round % 2]));
+        site.write_config(&format!("\"{}\"", addresses[round % 2]));
         d.signal("-HUP");
         std::thread::sleep(Duration::from_millis(if round % 3 == 0 { 20 } else { 300 }));
     }
@@ -50,18 +51,18 @@
     let due = |n: usize| Duration::from_millis(700 + 100 * n as u64);
     let early = (0..24).filter(|n| due(*n) + LATEST_ANSWER < Duration::from_millis(3_000));
     for n in early {
-        until("the message has its final answer", || !all_notices(&platforms, &ids[n]).is_empty());
+        wait_until("the message has its final answer", || !all_notices(&platforms, &ids[n]).is_empty());
         assert!(begun.elapsed() < Duration::from_millis(4_500), "the final answer of {} is late", ids[n]);
     }
-    assert!(d.ended() < Duration::from_millis(3_700));
+    assert!(d.wait_for_success() < Duration::from_millis(3_700));
     let _next = site.start();
     for id in &ids {
-        until("each message has its final answer after the next start", || {
+        wait_until("each message has its final answer after the next start", || {
             !all_notices(&platforms, id).is_empty()
         });
     }
     for (n, id) in ids.iter().enumerate().filter(|(n, _)| n % 3 == 2) {
-        assert!(worker.of(id) <= 1, "{n}: an at-most-once message was sent twice");
+        assert!(worker.calls_of(id) <= 1, "{n}: an at-most-once message was sent twice");
     }
 }
 
@@ -70,11 +71,11 @@
 #[test]
 fn a_message_refused_shortly_before_its_deadline_ends_once_and_in_time() {
     let refused = "429 Too Many Requests\r\nRetry-After: 0.002";
-    let worker = Worker::start(move |_, nth| match nth % 12 {
+    let worker = EndpointStandIn::start(move |_, nth| match nth % 12 {
         3 => Reply::Answer(refused),
-        6 => Reply::Break,
-        9 => Reply::After(Duration::from_millis(15), refused),
-        _ => Reply::After(Duration::from_millis(3), "200 OK"),
+        6 => Reply::CloseConnection,
+        9 => Reply::DelayedAnswer(Duration::from_millis(15), refused),
+        _ => Reply::DelayedAnswer(Duration::from_millis(3), "200 OK"),
     });
     let site = site_of(&worker);
     let d = site.start();
@@ -89,13 +90,13 @@
             let (id, left) = (format!("m{n:04}"), 1 + n % 60);
             let class = ["safe", "order", "pay"][n % 3];
             let options = format!("c={class},d={left},k=k{n},dest=1");
-            if client.keyed(&format!("{:x}", n + 1), &id, &options) == "+OK" {
+            if client.submit_with_key(&format!("{:x}", n + 1), &id, &options) == "+OK" {
                 accepted.push((id, Instant::now() + Duration::from_millis(left as u64)));
             }
         }
         for (id, due) in &accepted[first..] {
-            until("the message has its final answer", || {
-                worker.of(id) > 0 || !site.platform.noticed(id).is_empty()
+            wait_until("the message has its final answer", || {
+                worker.calls_of(id) > 0 || !site.platform.notices_for(id).is_empty()
             });
             assert!(
                 Instant::now() < *due + Duration::from_millis(400) + LATEST_ANSWER,
@@ -107,7 +108,7 @@
     assert!(accepted.len() > 60, "{}", accepted.len());
     std::thread::sleep(Duration::from_millis(300));
     for (id, due) in &accepted {
-        let mut notices = site.platform.noticed(id);
+        let mut notices = site.platform.notices_for(id);
         notices.dedup();
         assert!(notices.len() <= 1, "{id}: {notices:?}");
         let calls = worker.calls.lock().unwrap();
@@ -124,7 +125,7 @@
 /// compactions hit one. Then the dispatcher is killed, and the next process ends the remaining messages. The
 /// periods use the given faults in turn.
 fn check_failing_folder(faults: &[&str]) {
-    let worker = Worker::start(|_, nth| if nth % 5 == 4 { Reply::Break } else { OK });
+    let worker = EndpointStandIn::start(|_, nth| if nth % 5 == 4 { Reply::CloseConnection } else { OK });
     let mut site = site_of(&worker);
     site.disk_mb = 0.1;
     let span = |n: usize| {
@@ -135,7 +136,7 @@
         }
     };
     let schedule: Vec<String> = (0..12).map(span).collect();
-    let d = site.start_under(&schedule.join("; "), &[]);
+    let d = site.start_with_faults(&schedule.join("; "), &[]);
     let mut client = d.client();
     let begun = Instant::now();
     let mut accepted = Vec::new();
@@ -156,10 +157,14 @@
     assert!(accepted.len() > 400, "{faults:?}: {}", accepted.len());
     d.kill();
     let _next = site.start();
-    let ended = |id: &String| worker.of(id) > 0 || !site.platform.noticed(id).is_empty();
-    until("each message has its final answer", || accepted.iter().all(ended));
-    let twice: Vec<&String> =
-        accepted.iter().enumerate().filter(|(n, id)| n % 2 == 1 && worker.of(id) > 1).map(|t| t.1).collect();
+    let ended = |id: &String| worker.calls_of(id) > 0 || !site.platform.notices_for(id).is_empty();
+    wait_until("each message has its final answer", || accepted.iter().all(ended));
+    let twice: Vec<&String> = accepted
+        .iter()
+        .enumerate()
+        .filter(|(n, id)| n % 2 == 1 && worker.calls_of(id) > 1)
+        .map(|t| t.1)
+        .collect();
     assert!(twice.is_empty(), "{faults:?}: sent twice: {twice:?}");
 }
 
@@ -196,11 +201,12 @@
 #[test]
 fn a_restart_with_very_many_endpoints_serves_within_seconds() {
     const ENDPOINTS: usize = 3_200;
-    let worker = Worker::start(|_, _| OK);
+    let worker = EndpointStandIn::start(|_, _| OK);
     let address = worker.address.to_string();
-    let entries: Vec<String> =
-        (0..ENDPOINTS).map(|n| entry(&format!("w{n}"), &address, "a", n as u64 / 4, "in_service")).collect();
-    let site = Site::new(&entries);
+    let entries: Vec<String> = (0..ENDPOINTS)
+        .map(|n| list_entry(&format!("w{n}"), &address, "a", n as u64 / 4, "in_service"))
+        .collect();
+    let site = TestInstallation::new(&entries);
     for incarnation in 0..3 {
         let begun = Instant::now();
         let d = site.start();
@@ -213,7 +219,7 @@
                 std::thread::sleep(Duration::from_millis(20));
             }
         }
-        until("all messages are delivered", || ids.iter().all(|id| worker.of(id) > 0));
+        wait_until("all messages are delivered", || ids.iter().all(|id| worker.calls_of(id) > 0));
         assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
         d.kill();
     }
@@ -232,10 +238,10 @@
 }
 
 fn check_notices_after_outage(up_ms: u64) {
-    let worker = Worker::start(|_, _| Reply::Silence);
+    let worker = EndpointStandIn::start(|_, _| Reply::NoAnswer);
     let site = site_of(&worker);
     let begun = Instant::now();
-    let d = site.start_under(&format!("connect 700 {up_ms}"), &[]);
+    let d = site.start_with_faults(&format!("connect 700 {up_ms}"), &[]);
     let started = Instant::now();
     let mut client = d.client();
     std::thread::sleep(Duration::from_millis(800).saturating_sub(begun.elapsed()));
@@ -253,7 +259,7 @@
     std::thread::sleep((up + Duration::from_millis(700)).saturating_duration_since(Instant::now()));
     let unanswered: Vec<&String> = accepted
         .iter()
-        .filter(|(id, due)| *due < Instant::now() && site.platform.noticed(id).is_empty())
+        .filter(|(id, due)| *due < Instant::now() && site.platform.notices_for(id).is_empty())
         .map(|t| &t.0)
         .collect();
     assert!(
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -10,8 +10,8 @@
 /// killed. The new process serves from its start and takes over the messages that the old one still held;
 /// each is delivered once.
 fn upgrade_takes_over_messages(kill: bool) {
-    let (worker, open, received) = gate();
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let (worker, open, received) = refusing_until_opened();
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let mut old = site.start();
     let address = old.address().to_string();
     let ids: Vec<String> = (0..5).map(|n| format!("up-{n}")).collect();
@@ -19,7 +19,7 @@
     for id in &ids {
         assert_eq!(c.submit(id, "c=pay,t=acme,d=15000,dest=1"), "+OK");
     }
-    until("the endpoint has refused all messages", || worker.count() >= 5);
+    wait_until("the endpoint has refused all messages", || worker.call_count() >= 5);
     let mut new = site.start_with(&address, &[]);
     assert_eq!(new.address().to_string(), address, "both listen on one address");
     drop(c);
@@ -29,18 +29,18 @@
         old.signal("-TERM");
         // With a sibling process, the old one starts no new attempt and exits once none is outstanding:
         // within 3.7 s.
-        let took = old.ended();
+        let took = old.wait_for_success();
         assert!(took < std::time::Duration::from_millis(3_700), "{took:?}");
     }
     open.store(true, Ordering::SeqCst);
-    let took = new.logged("took over ");
+    let took = new.wait_for_log("took over ");
     assert!(took.starts_with("5 calls"), "{took}");
     // An attempt that was outstanding at the kill may have run. An at-most-once message is then given up with
     // a notice.
     let ended = |id: &String| {
-        received.lock().unwrap().contains(id) || (kill && !site.platform.noticed(id).is_empty())
+        received.lock().unwrap().contains(id) || (kill && !site.platform.notices_for(id).is_empty())
     };
-    until("each message is delivered, or given up with a notice after a kill", || ids.iter().all(ended));
+    wait_until("each message is delivered, or given up with a notice after a kill", || ids.iter().all(ended));
     std::thread::sleep(std::time::Duration::from_millis(300));
     let received = received.lock().unwrap();
     for id in &ids {
@@ -48,7 +48,7 @@
         assert!(times == 1 || (kill && times == 0), "{id} is delivered once: {received:?}");
     }
     assert!(kill || received.len() == ids.len(), "after SIGTERM all messages are delivered: {received:?}");
-    assert_eq!(new.client().ask(&[b"PING"]), "+PONG");
+    assert_eq!(new.client().command(&[b"PING"]), "+PONG");
 }
 
 #[test]
@@ -65,7 +65,7 @@
 /// journal with one of them.
 #[test]
 fn a_third_process_on_a_state_folder_fails_to_start() {
-    let site = Site::new(&[]);
+    let site = TestInstallation::new(&[]);
     let (_a, _b) = (site.start(), site.start());
     let third = run_until_exit(&site, &[]);
     assert!(!third.status.success());
@@ -74,7 +74,7 @@
 
 /// Runs the program on the site's state folder until it exits, with additional environment variables. For
 /// starts that are expected to fail.
-fn run_until_exit(site: &Site, more: &[(&str, &str)]) -> std::process::Output {
+fn run_until_exit(site: &TestInstallation, more: &[(&str, &str)]) -> std::process::Output {
     std::process::Command::new(env!("CARGO_BIN_EXE_lilacbank"))
         .env("ROUTER_CONFIG", site.dir.join("config.json"))
         .env("ROUTER_LISTEN", "127.0.0.1:0")
@@ -87,16 +87,18 @@
 
 /// Two endpoints of destination 1 that accept every attempt, and a site whose endpoint list names them `wa`
 /// and `wb`.
-fn two_endpoint_site() -> ([Worker; 2], Site) {
-    let [a, b] = [0, 1].map(|_| Worker::start(|_, _| Reply::Answer("200 OK")));
+fn two_endpoint_site() -> ([EndpointStandIn; 2], TestInstallation) {
+    let [a, b] = [0, 1].map(|_| EndpointStandIn::start(|_, _| Reply::Answer("200 OK")));
     let list = [("wa", &a), ("wb", &b)];
-    let site = Site::new(&list.map(|(uid, w)| entry(uid, &w.address.to_string(), "a", 1, "in_service")));
+    let site = TestInstallation::new(
+        &list.map(|(uid, w)| list_entry(uid, &w.address.to_string(), "a", 1, "in_service")),
+    );
     ([a, b], site)
 }
 
 /// Starts a dispatcher with this client address and a control interface; returns the address of the control
 /// interface, too.
-fn start_with_control(site: &Site, listen: &str) -> (Dispatcher, std::net::SocketAddr) {
+fn start_with_control(site: &TestInstallation, listen: &str) -> (Dispatcher, std::net::SocketAddr) {
     let mut d = site.start_with(listen, &[("ROUTER_CONTROL", "127.0.0.1:0")]);
     let at = control_address(&mut d);
     (d, at)
@@ -106,7 +108,7 @@
 fn send_command(at: std::net::SocketAddr, line: &[u8]) -> String {
     use std::io::{Read, Write};
     let mut s = std::net::TcpStream::connect(at).unwrap();
-    s.set_read_timeout(Some(PATIENCE)).unwrap();
+    s.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     s.write_all(line).unwrap();
     let _ = s.shutdown(std::net::Shutdown::Write);
     let mut text = String::new();
@@ -132,14 +134,14 @@
 /// failed messages, requests that were written, and pending messages.
 #[test]
 fn the_metrics_agree_with_what_endpoint_and_client_observed() {
-    let worker = Worker::start(|r, _| match r.header("x-txn") {
-        id if id.starts_with("hold") => Reply::Silence,
+    let worker = EndpointStandIn::start(|r, _| match r.header("x-txn") {
+        id if id.starts_with("hold") => Reply::NoAnswer,
         _ => Reply::Answer("200 OK"),
     });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let (d, at) = start_with_control(&site, "127.0.0.1:0");
     // Before the first endpoint list, every destination is accepted because the list may name it.
-    until("the endpoint list is known", || vars(at)["members"] == 1);
+    wait_until("the endpoint list is known", || vars(at)["members"] == 1);
     let mut c = d.client();
     for n in 0..6 {
         assert_eq!(c.submit(&format!("ok-{n}"), "c=safe,t=acme,dest=1"), "+OK");
@@ -151,7 +153,7 @@
     // counts.
     assert!(c.submit("nowhere", "c=safe,dest=9").starts_with("-BUSY"));
     assert!(c.submit("odd", "c=nonsense,dest=1").starts_with("-ERR"));
-    until("all attempts have reached the endpoint", || worker.count() == 8);
+    wait_until("all attempts have reached the endpoint", || worker.call_count() == 8);
     let v = vars(at);
     assert_eq!(v["completed"]["safe"], 6, "{v}");
     assert_eq!(v["rejected"]["safe"], 1, "{v}");
@@ -166,7 +168,7 @@
 /// or is accepted as a command.
 #[test]
 fn the_control_interface_answers_invalid_input_with_400_and_keeps_serving() {
-    let site = Site::new(&[]);
+    let site = TestInstallation::new(&[]);
     let (mut d, at) = start_with_control(&site, "127.0.0.1:0");
     let silent: Vec<_> = (0..8).map(|_| std::net::TcpStream::connect(at).unwrap()).collect();
     let start = std::time::Instant::now();
@@ -182,30 +184,30 @@
         "a line that ends with the stream instead of a newline is read"
     );
     drop(silent);
-    assert!(d.running());
+    assert!(d.is_running());
 }
 
 /// Guards against a drain during which `check` still answers yes, idle client connections stay open or the
 /// process exits.
 #[test]
 fn a_drain_closes_client_connections_until_drain_off() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let (mut d, at) = start_with_control(&site, "127.0.0.1:0");
     let mut idle = d.client();
-    assert_eq!(idle.ask(&[b"PING"]), "+PONG");
+    assert_eq!(idle.command(&[b"PING"]), "+PONG");
     assert_eq!(send_command(at, b"drain-on\n"), "200 draining\n");
     assert_eq!(send_command(at, b"check\n"), "400 not taking clients\n");
-    assert_eq!(idle.line(), "", "an idle connection is closed");
+    assert_eq!(idle.read_line(), "", "an idle connection is closed");
     let mut late = d.client();
     assert_eq!(late.submit("late", "c=safe,t=acme,dest=1"), "+OK", "a new client is still served");
-    assert_eq!(late.line(), "", "its connection is closed after the answer");
-    until("the message is delivered", || worker.count() == 1);
-    assert_eq!(d.client().ask(&[b"PING"]), "-ERR draining");
+    assert_eq!(late.read_line(), "", "its connection is closed after the answer");
+    wait_until("the message is delivered", || worker.call_count() == 1);
+    assert_eq!(d.client().command(&[b"PING"]), "-ERR draining");
     assert_eq!(send_command(at, b"drain-off\n"), "200 taking clients\n");
     assert_eq!(send_command(at, b"check\n"), "200 yes\n");
-    assert_eq!(d.client().ask(&[b"PING"]), "+PONG");
-    assert!(d.running());
+    assert_eq!(d.client().command(&[b"PING"]), "+PONG");
+    assert!(d.is_running());
 }
 
 /// Guards against an operator block that is lost when the endpoint list changes or the process restarts: a
@@ -215,21 +217,22 @@
 fn an_operator_block_holds_until_it_is_lifted_also_after_a_restart() {
     let ([a, b], site) = two_endpoint_site();
     let (d, at) = start_with_control(&site, "127.0.0.1:0");
-    until("both endpoints are listed", || vars(at)["members"] == 2);
+    wait_until("both endpoints are listed", || vars(at)["members"] == 2);
     assert_eq!(send_command(at, b"set-down wa\n"), "200 wa is out\n");
     assert_eq!(send_command(at, b"set-down wa\n"), "200 wa is out\n", "a second block changes nothing");
     assert!(send_command(at, b"set-down never\n").starts_with("400 "));
     // A new endpoint list that names the endpoint as in service does not unblock it.
-    site.platform.push(&entry("wa", &a.address.to_string(), "a", 1, "in_service"));
+    site.platform.publish_change(&list_entry("wa", &a.address.to_string(), "a", 1, "in_service"));
     std::thread::sleep(std::time::Duration::from_millis(100));
-    let delivered =
-        |from: u32, to: u32| (from..to).all(|n| b.of(&format!("m-{n}")) + a.of(&format!("m-{n}")) > 0);
+    let delivered = |from: u32, to: u32| {
+        (from..to).all(|n| b.calls_of(&format!("m-{n}")) + a.calls_of(&format!("m-{n}")) > 0)
+    };
     let mut c = d.client();
     for n in 0..10 {
         assert_eq!(c.submit(&format!("m-{n}"), "c=safe,t=acme,dest=1"), "+OK");
     }
-    until("the first ten messages are delivered", || delivered(0, 10));
-    assert_eq!(a.count(), 0);
+    wait_until("the first ten messages are delivered", || delivered(0, 10));
+    assert_eq!(a.call_count(), 0);
     assert_eq!(vars(at)["members_unavailable"], 1);
     d.kill();
     let (d, at) = start_with_control(&site, "127.0.0.1:0");
@@ -237,14 +240,14 @@
     for n in 10..16 {
         assert_eq!(c.submit(&format!("m-{n}"), "c=safe,t=acme,dest=1"), "+OK");
     }
-    until("six more messages are delivered after the restart", || delivered(10, 16));
-    assert_eq!(a.count(), 0, "the block outlasts the process");
+    wait_until("six more messages are delivered after the restart", || delivered(10, 16));
+    assert_eq!(a.call_count(), 0, "the block outlasts the process");
     assert_eq!(send_command(at, b"set-up wa\n"), "200 wa is in use\n");
     for n in 16..40 {
         assert_eq!(c.submit(&format!("m-{n}"), "c=safe,t=acme,dest=1"), "+OK");
     }
-    until("all messages are delivered", || delivered(16, 40));
-    assert!(a.count() > 0, "the unblocked endpoint is in use again");
+    wait_until("all messages are delivered", || delivered(16, 40));
+    assert!(a.call_count() > 0, "the unblocked endpoint is in use again");
 }
 
 /// Guards against an upgrade that loses or repeats messages under load. Clients submit without pause while a
@@ -255,11 +258,11 @@
     use std::sync::atomic::AtomicUsize;
     let received = Arc::new(Mutex::new(Vec::<String>::new()));
     let t = received.clone();
-    let worker = Worker::start(move |r, _| {
+    let worker = EndpointStandIn::start(move |r, _| {
         t.lock().unwrap().push(r.header("x-txn").to_string());
-        Reply::After(std::time::Duration::from_millis(5), "200 OK")
+        Reply::DelayedAnswer(std::time::Duration::from_millis(5), "200 OK")
     });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let mut old = site.start();
     let address = old.address();
     let (stop, answered, unanswered) =
@@ -292,7 +295,7 @@
     let _new = site.start_with(&address.to_string(), &[]);
     std::thread::sleep(std::time::Duration::from_millis(400));
     old.signal("-TERM");
-    old.ended();
+    old.wait_for_success();
     std::thread::sleep(std::time::Duration::from_millis(400));
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
@@ -303,12 +306,12 @@
     let missing = || {
         let t = received.lock().unwrap();
         ok.iter()
-            .filter(|id| !t.contains(id) && site.platform.noticed(id).is_empty())
+            .filter(|id| !t.contains(id) && site.platform.notices_for(id).is_empty())
             .cloned()
             .cloned()
             .collect::<Vec<String>>()
     };
-    while !missing().is_empty() && start.elapsed() < PATIENCE {
+    while !missing().is_empty() && start.elapsed() < TEST_TIMEOUT {
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     assert_eq!(missing(), Vec::<String>::new(), "each accepted message is delivered or has a notice");
@@ -332,8 +335,8 @@
 /// and a remedy.
 #[test]
 fn a_bad_control_address_fails_the_start_with_key_and_remedy() {
-    let site = Site::new(&[]);
-    site.configure("null");
+    let site = TestInstallation::new(&[]);
+    site.write_config("null");
     let out = run_until_exit(&site, &[("ROUTER_CONTROL", "control-7")]);
     assert_eq!(out.status.code(), Some(2));
     let text = String::from_utf8_lossy(&out.stderr);
@@ -358,7 +361,7 @@
 /// a positive answer, 1 for a negative one and 2 if the control interface cannot be reached.
 #[test]
 fn the_exit_status_of_the_control_command_reflects_the_answer() {
-    let site = Site::new(&[]);
+    let site = TestInstallation::new(&[]);
     let mut d = site.start_with("127.0.0.1:0", &[("ROUTER_CONTROL", "127.0.0.1:0")]);
     let at = control_address(&mut d).to_string();
     let tool = |args: &[&str]| {
@@ -384,7 +387,7 @@
     let mut old = site.start_with("127.0.0.1:0", &[("ROUTER_CONTROL", "127.0.0.1:0")]);
     let (address, old_control) = (old.address().to_string(), control_address(&mut old));
     let (new, new_control) = start_with_control(&site, &address);
-    until("both processes know both endpoints", || {
+    wait_until("both processes know both endpoints", || {
         vars(old_control)["members"] == 2 && vars(new_control)["members"] == 2
     });
     assert_eq!(send_command(old_control, b"set-down wa\n"), "200 wa is out\n");
@@ -393,15 +396,15 @@
         "200 yes\n",
         "the new process accepts clients while the old one runs"
     );
-    until("the new process has the block, too", || vars(new_control)["members_unavailable"] == 1);
+    wait_until("the new process has the block, too", || vars(new_control)["members_unavailable"] == 1);
     old.signal("-TERM");
-    old.ended();
+    old.wait_for_success();
     let mut c = new.client();
     for n in 0..10 {
         assert_eq!(c.submit(&format!("u-{n}"), "c=safe,t=acme,dest=1"), "+OK");
     }
-    until("all messages are delivered", || (0..10).all(|n| b.of(&format!("u-{n}")) > 0));
-    assert_eq!(a.count(), 0);
+    wait_until("all messages are delivered", || (0..10).all(|n| b.calls_of(&format!("u-{n}")) > 0));
+    assert_eq!(a.call_count(), 0);
 }
 
 /// Guards against two processes of one dispatcher that send messages of one ordering key out of order during
@@ -411,36 +414,36 @@
 fn the_order_of_a_key_holds_between_the_old_and_the_new_process() {
     let (open, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::<String>::new())));
     let (o, t) = (open.clone(), seen.clone());
-    let worker = Worker::start(move |r, _| {
+    let worker = EndpointStandIn::start(move |r, _| {
         t.lock().unwrap().push(r.header("x-txn").to_string());
         match o.load(Ordering::SeqCst) {
             false => Reply::Answer("429 Too Many Requests\r\nRetry-After: 1"),
             true => Reply::Answer("200 OK"),
         }
     });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let mut old = site.start();
     let key = "000000000000000a";
-    assert_eq!(old.client().keyed(key, "k-old", "c=order,k=1,dest=1"), "+OK");
-    until("the message of the old process is refused once", || {
+    assert_eq!(old.client().submit_with_key(key, "k-old", "c=order,k=1,dest=1"), "+OK");
+    wait_until("the message of the old process is refused once", || {
         seen.lock().unwrap().contains(&"k-old".to_string())
     });
     // The same state folder, but another client address, so that each client reaches a known process.
     let new = site.start();
     assert!(
-        new.client().keyed(key, "k-early", "c=order,k=2,dest=1").starts_with("-BUSY"),
+        new.client().submit_with_key(key, "k-early", "c=order,k=2,dest=1").starts_with("-BUSY"),
         "the old process has not detected it"
     );
     std::thread::sleep(std::time::Duration::from_millis(400));
     // Guards against a held message whose acceptance is never sent to the client, because no run of the core
     // followed.
-    assert_eq!(new.client().keyed(key, "k-new", "c=order,k=3,dest=1"), "+OK");
+    assert_eq!(new.client().submit_with_key(key, "k-new", "c=order,k=3,dest=1"), "+OK");
     assert!(
-        old.client().keyed(key, "k-late", "c=order,k=4,dest=1").starts_with("-BUSY"),
+        old.client().submit_with_key(key, "k-late", "c=order,k=4,dest=1").starts_with("-BUSY"),
         "the old process has detected the new one"
     );
     open.store(true, Ordering::SeqCst);
-    until("the message of the old process is delivered", || {
+    wait_until("the message of the old process is delivered", || {
         seen.lock().unwrap().iter().filter(|i| *i == "k-old").count() >= 2
     });
     std::thread::sleep(std::time::Duration::from_millis(500));
@@ -449,8 +452,8 @@
         "the message is held while the old process runs"
     );
     old.signal("-TERM");
-    old.ended();
-    until("the message of the new process is sent once the old one has exited", || {
+    old.wait_for_success();
+    wait_until("the message of the new process is sent once the old one has exited", || {
         seen.lock().unwrap().contains(&"k-new".to_string())
     });
     let seen = seen.lock().unwrap();
@@ -469,25 +472,25 @@
 fn check_order_over_three_processes(killed: bool) {
     let (open, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::<String>::new())));
     let (o, t) = (open.clone(), seen.clone());
-    let worker = Worker::start(move |r, _| match o.load(Ordering::SeqCst) {
+    let worker = EndpointStandIn::start(move |r, _| match o.load(Ordering::SeqCst) {
         false => Reply::Answer("429 Too Many Requests\r\nRetry-After: 1"),
         true => {
             t.lock().unwrap().push(r.header("x-txn").to_string());
             Reply::Answer("200 OK")
         }
     });
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let key = "000000000000000b";
     let mut zeroth = site.start();
     // This process uses the second journal file, so the next one gets the first.
     let mut first = site.start();
     zeroth.signal("-TERM");
-    zeroth.ended();
+    zeroth.wait_for_success();
     std::thread::sleep(std::time::Duration::from_millis(400));
-    assert_eq!(first.client().keyed(key, "k-1", "c=order,k=1,dest=1"), "+OK");
+    assert_eq!(first.client().submit_with_key(key, "k-1", "c=order,k=1,dest=1"), "+OK");
     let mut second = site.start();
     std::thread::sleep(std::time::Duration::from_millis(400));
-    assert_eq!(second.client().keyed(key, "k-2", "c=order,k=2,dest=1"), "+OK");
+    assert_eq!(second.client().submit_with_key(key, "k-2", "c=order,k=2,dest=1"), "+OK");
     let third;
     if killed {
         first.kill();
@@ -495,14 +498,14 @@
         third = site.start();
     } else {
         first.signal("-TERM");
-        first.ended();
-        second.logged("took over ");
+        first.wait_for_success();
+        second.wait_for_log("took over ");
         third = site.start();
         second.signal("-TERM");
-        second.ended();
+        second.wait_for_success();
     }
     open.store(true, Ordering::SeqCst);
-    until("both messages are delivered", || seen.lock().unwrap().len() >= 2);
+    wait_until("both messages are delivered", || seen.lock().unwrap().len() >= 2);
     assert_eq!(*seen.lock().unwrap(), ["k-1", "k-2"]);
     drop(third);
 }
--- a/tests/failing_calls.rs
+++ b/tests/failing_calls.rs
@@ -12,8 +12,8 @@
 /// The longest time within which a client must get its answer.
 const ANSWER_LIMIT: Duration = Duration::from_millis(400);
 
-fn site_of(worker: &Worker) -> Site {
-    Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
+fn site_of(worker: &EndpointStandIn) -> TestInstallation {
+    TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")])
 }
 
 /// A schedule with four periods of a fault, in milliseconds; the first begins 1 s after the process.
@@ -27,9 +27,9 @@
 /// Submits messages while one system call fails in periods. Each must be answered on its connection, each
 /// accepted message must reach the endpoint or have a notice, and none may be given up.
 fn every_message_is_answered_under(fault: &str, on_new_connections: bool) -> Result<(), String> {
-    let worker = Worker::start(|_, _| OK);
+    let worker = EndpointStandIn::start(|_, _| OK);
     let site = site_of(&worker);
-    let d = site.start_under(&fault_schedule(fault), &[]);
+    let d = site.start_with_faults(&fault_schedule(fault), &[]);
     let begun = Instant::now();
     let mut client = d.client();
     let (mut accepted, mut late) = (Vec::new(), Vec::new());
@@ -58,11 +58,13 @@
     if accepted.len() < 80 {
         return Err(format!("{fault}: {} accepted", accepted.len()));
     }
-    until("each message is sent or has a notice", || {
-        accepted.iter().all(|id| worker.of(id) > 0 || !site.platform.noticed(id).is_empty())
+    wait_until("each message is sent or has a notice", || {
+        accepted.iter().all(|id| worker.calls_of(id) > 0 || !site.platform.notices_for(id).is_empty())
     });
-    let given_up =
-        accepted.iter().filter(|id| site.platform.noticed(id).iter().any(|n| n.contains("given_up"))).count();
+    let given_up = accepted
+        .iter()
+        .filter(|id| site.platform.notices_for(id).iter().any(|n| n.contains("given_up")))
+        .count();
     if given_up > 0 {
         return Err(format!("{fault}: {given_up} of {} given up", accepted.len()));
     }
@@ -79,8 +81,8 @@
 }
 
 fn starts_under(fault: &str) -> Result<(), String> {
-    let worker = Worker::start(|_, _| OK);
-    let d = site_of(&worker).start_under(&format!("fail 0 700 {fault}"), &[]);
+    let worker = EndpointStandIn::start(|_, _| OK);
+    let d = site_of(&worker).start_with_faults(&format!("fail 0 700 {fault}"), &[]);
     match d.client().submit("m0", "c=safe,t=acme,d=6000,dest=1").as_str() {
         "+OK" => Ok(()),
         answer => Err(format!("{fault}: answered {answer:?}")),
@@ -169,7 +171,7 @@
 /// stops or is gone, or the disk is full. The test lets the reader stop.
 #[test]
 fn an_unread_log_does_not_block_the_process() {
-    let worker = Worker::start(|_, _| OK);
+    let worker = EndpointStandIn::start(|_, _| OK);
     let site = site_of(&worker);
     let mut d = site.start_with("127.0.0.1:0", &[("RUST_LOG", "lilacbank=debug")]);
     d.stop_reading_log();
@@ -180,11 +182,11 @@
         let answer = client.try_submit(&id, "c=safe,t=acme,d=6000,dest=1");
         assert!(!answer.is_empty(), "{id} gets no answer while the log is not read");
     }
-    until("all messages are delivered", || worker.count() >= 600);
-    d.read_log_again();
+    wait_until("all messages are delivered", || worker.call_count() >= 600);
+    d.resume_reading_log();
     d.signal("-TERM");
-    d.logged(" records of the log were dropped: nobody took them");
-    d.logged("leaves with 0 calls");
+    d.wait_for_log(" records of the log were dropped: nobody took them");
+    d.wait_for_log("leaves with 0 calls");
 }
 
 /// Guards against a process that uses a whole core while a system call fails permanently: each failed
@@ -204,21 +206,22 @@
         "recv ENOMEM",
     ];
     fn uses_little_cpu_under(fault: &str) -> Result<(), String> {
-        let worker = Worker::start(|_, _| Reply::Silence);
-        let d = site_of(&worker).start_under(&format!("fail 700 1e12 {fault}"), &[]);
+        let worker = EndpointStandIn::start(|_, _| Reply::NoAnswer);
+        let d = site_of(&worker).start_with_faults(&format!("fail 700 1e12 {fault}"), &[]);
         let mut client = d.client();
         for n in 0..20 {
             client.try_submit(&format!("m{n}"), "c=safe,t=acme,d=20000,dest=1");
         }
         std::thread::sleep(Duration::from_millis(900));
         // Some requests meet the fault, on old and new connections.
-        let begin = |mut client: Client| client.0.get_mut().write_all(&command(&[b"PING"])).map(|()| client);
+        let begin =
+            |mut client: Client| client.0.get_mut().write_all(&encode_command(&[b"PING"])).map(|()| client);
         let clients: Vec<_> =
             (0..20).filter_map(|_| Client::try_connect(d.address()).and_then(begin).ok()).collect();
-        let _ = client.0.get_mut().write_all(&command(&[b"PING"]));
-        let before = d.used();
+        let _ = client.0.get_mut().write_all(&encode_command(&[b"PING"]));
+        let before = d.cpu_time();
         std::thread::sleep(Duration::from_secs(3));
-        let used = d.used() - before;
+        let used = d.cpu_time() - before;
         drop(clients);
         if used < Duration::from_millis(450) {
             Ok(())
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -8,7 +8,7 @@
 fn run_under(schedule: &str, folder: &str) -> Output {
     Command::new(env!("CARGO_BIN_EXE_lilacbank"))
         .arg("--version")
-        .env("LD_PRELOAD", stand::faults::library())
+        .env("LD_PRELOAD", stand::faults::fault_library())
         .env("LILACBANK_FAULTS", schedule)
         .env("LILACBANK_FAULTS_FOLDER", folder)
         .output()
@@ -54,13 +54,19 @@
 #[test]
 fn connections_are_delayed_as_the_schedule_specifies() {
     const DELAY: Duration = Duration::from_millis(400);
-    let worker = stand::Worker::start(|_, _| stand::Reply::Answer("200 OK"));
-    let site = stand::Site::new(&[stand::entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = stand::EndpointStandIn::start(|_, _| stand::Reply::Answer("200 OK"));
+    let site = stand::TestInstallation::new(&[stand::list_entry(
+        "w1",
+        &worker.address.to_string(),
+        "a",
+        1,
+        "in_service",
+    )]);
     let start = Instant::now();
-    let dispatcher = site.start_under(&format!("late 0 60000 {}", DELAY.as_millis()), &[]);
+    let dispatcher = site.start_with_faults(&format!("late 0 60000 {}", DELAY.as_millis()), &[]);
     let mut client = dispatcher.client();
     assert_eq!(client.submit("m", "c=safe,d=5000,dest=1"), "+OK");
-    stand::until("the message is delivered", || worker.of("m") == 1);
+    stand::wait_until("the message is delivered", || worker.calls_of("m") == 1);
     let called = worker.calls.lock().unwrap()[0].at;
     assert!(called.duration_since(start) >= 2 * DELAY, "{:?}", called.duration_since(start));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! harmless for all together.
 
 mod common;
-use common::{row, settings, Watched};
+use common::{endpoint_row, settings, CheckedModule};
 use lilacbank::api::*;
 use lilacbank::DecisionModule;
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
             accepted: vec![0; 64],
             refused: vec![0; 64],
         };
-        fleet.list(vec![row(0, 1, 0, 0)]);
+        fleet.list(vec![endpoint_row(0, 1, 0, 0)]);
         fleet
     }
 
@@ -238,7 +238,7 @@
         let mut fleet = Simulation::new(100, 40.0, seed);
         fleet.list(Vec::new());
         fleet.run(150.0, 1_900.0);
-        fleet.list(vec![row(1, 1, 0, 0)]);
+        fleet.list(vec![endpoint_row(1, 1, 0, 0)]);
         fleet.run(20.0, 8_000.0);
         let (accepted, refused) = fleet.calls_between(1, 8);
         assert!(
@@ -255,13 +255,13 @@
 fn a_destination_that_refused_connections_is_tested_by_a_message_and_a_silent_one_by_a_probe() {
     for (outcome, probed) in [(Outcome::NoConnection, false), (Outcome::Late, true)] {
         let s = Settings { dispatchers: 100, can_probe: true, ..settings() };
-        let mut w = Watched::new(s, vec![row(0, 1, 0, 0)]);
+        let mut w = CheckedModule::new(s, vec![endpoint_row(0, 1, 0, 0)]);
         for _ in 0..4 {
-            let id = w.arrive(0, 1, None);
-            w.out(id).into_iter().for_each(|_| w.end(id, outcome, 0.0));
+            let id = w.submit(0, 1, None);
+            w.outstanding_attempt(id).into_iter().for_each(|_| w.end_attempt(id, outcome, 0.0));
         }
         w.actions.clear();
-        w.pass(12_000.0);
+        w.advance(12_000.0);
         let first = w.actions.iter().find(|a| matches!(a, Action::Probe(_) | Action::Send { .. }));
         assert_eq!(first.map(|a| matches!(a, Action::Probe(_))), Some(probed), "{outcome:?}");
     }
@@ -273,22 +273,22 @@
 fn a_watchdog_needs_more_than_a_few_attempts_at_its_endpoint() {
     let mut s = settings();
     (s.classes[0].target_time, s.classes[0].deadline, s.classes[0].late_worth) = (250.0, 600.0, 0.0);
-    let mut w = Watched::new(s, vec![row(0, 1, 0, 0), row(1, 1, 0, 0)]);
+    let mut w = CheckedModule::new(s, vec![endpoint_row(0, 1, 0, 0), endpoint_row(1, 1, 0, 0)]);
     let mut own = [0, 0];
     let mut cuts = 0;
     for n in 0..80 {
-        let id = w.arrive(0, 1, None);
-        let Some(a) = w.out(id) else { continue };
+        let id = w.submit(0, 1, None);
+        let Some(a) = w.outstanding_attempt(id) else { continue };
         let route = a.route as usize;
-        assert!(a.cap.is_none() || own[route] >= 8, "a timeout was set after {own:?} answered attempts");
-        cuts += usize::from(a.cap.is_some());
+        assert!(a.timeout.is_none() || own[route] >= 8, "a timeout was set after {own:?} answered attempts");
+        cuts += usize::from(a.timeout.is_some());
         let slow = n % 3 == 0;
-        w.pass(if slow { 450.0 } else { 100.0 });
-        if w.out(id).is_some() {
-            w.end(id, Outcome::Delivered, 0.0);
+        w.advance(if slow { 450.0 } else { 100.0 });
+        if w.outstanding_attempt(id).is_some() {
+            w.end_attempt(id, Outcome::Delivered, 0.0);
             own[route] += 1;
         }
-        w.pass(100.0);
+        w.advance(100.0);
     }
     assert!(cuts > 0, "no timeout was ever set: {own:?}");
 }
@@ -298,17 +298,17 @@
 #[test]
 fn impossible_reports_change_no_share() {
     for (left, limit) in [(-1.0, -25.0), (1e9, 1e300), (f64::NAN, f64::NAN)] {
-        let mut w = Watched::new(
+        let mut w = CheckedModule::new(
             Settings { dispatchers: 100, reports_limits: true, ..settings() },
-            vec![row(0, 1, 0, 0)],
+            vec![endpoint_row(0, 1, 0, 0)],
         );
-        let end_with_report = |w: &mut Watched, outcome: Outcome, left: f64, limit: f64| {
-            let id = w.arrive(0, 1, None);
-            let Some(a) = w.out(id) else { return false };
+        let end_with_report = |w: &mut CheckedModule, outcome: Outcome, left: f64, limit: f64| {
+            let id = w.submit(0, 1, None);
+            let Some(a) = w.outstanding_attempt(id) else { return false };
             let report = LimitReport { remaining_share: Some(left), limit: Some(limit) };
             let (wait, over) =
                 (if outcome == Outcome::Refused { 300.0 } else { 0.0 }, outcome == Outcome::Delivered);
-            let ended = AttemptEnd::new(id, a.n, 0, outcome);
+            let ended = AttemptEnd::new(id, a.number, 0, outcome);
             let e = AttemptEnd {
                 took: 100.0,
                 message_ended: over,
@@ -317,13 +317,13 @@
                 answer_begun: true,
                 ..ended
             };
-            w.give(vec![Event::AttemptEnded(e)]);
+            w.process(vec![Event::AttemptEnded(e)]);
             true
         };
         assert!(end_with_report(&mut w, Outcome::Delivered, 0.9, 25.0));
         assert!(end_with_report(&mut w, Outcome::Delivered, left, limit));
         assert!(end_with_report(&mut w, Outcome::Refused, left, limit), "{limit}");
-        w.pass(400.0);
+        w.advance(400.0);
         assert!(
             !end_with_report(&mut w, Outcome::Delivered, 0.9, 25.0),
             "a dispatcher with a share of a limit of 25 sent within the wait after a refusal: {limit}"
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -34,11 +34,11 @@
 /// Runs the scenario with one schedule of failing system calls for all dispatchers and one deadline for all
 /// messages, and checks the audit.
 fn run(scenario: Scenario, deadline_ms: u64, schedule: &str) -> Report {
-    let library = stand::faults::library().into();
+    let library = stand::faults::fault_library().into();
     let faults = Some(Faults { library, schedules: vec![schedule.to_string(); scenario.dispatchers] });
     let scenario = Scenario { deadline_ms: Some(deadline_ms), faults, ..scenario };
     let program = Path::new(env!("CARGO_BIN_EXE_lilacbank"));
-    let report = lilacbank_rig::run::play(&scenario, program, &std::env::temp_dir(), false).unwrap();
+    let report = lilacbank_rig::run::run_scenario(&scenario, program, &std::env::temp_dir(), false).unwrap();
     let findings = (&report.lost, &report.late, &report.doubled, &report.overlapping, &report.told_twice);
     assert!(report.clean(), "{findings:?} {:?} {:?}", report.violations, report.panics);
     report
--- a/tests/following.rs
+++ b/tests/following.rs
@@ -9,17 +9,18 @@
 /// Guards against a step in the processing of a message that is not logged, or is logged without the id.
 #[test]
 fn the_log_traces_a_message_by_its_id_from_acceptance_to_final_answer() {
-    let endpoint = Worker::start(|_, nth| match nth {
+    let endpoint = EndpointStandIn::start(|_, nth| match nth {
         0 => Reply::Answer("429 Too Many Requests\r\nRetry-After: 0.2"),
-        1 => Reply::Break,
+        1 => Reply::CloseConnection,
         _ => Reply::Answer("200 OK"),
     });
-    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
+    let site =
+        TestInstallation::new(&[list_entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let mut d = site.start_with("127.0.0.1:0", &[DEBUG]);
     assert_eq!(d.client().submit("m1", "c=safe,t=acme,d=6000,dest=1"), "+OK");
     let mut expect_step = |text: &str, fields: &[&str]| {
         let rest = loop {
-            let rest = d.logged(text);
+            let rest = d.wait_for_log(text);
             if rest.contains("id=m1") {
                 break rest;
             }
@@ -39,44 +40,47 @@
 /// Guards against a rejected message or a closed connection without its reason in the log.
 #[test]
 fn the_log_gives_the_reason_of_a_rejection_and_of_a_close() {
-    let site = Site::new(&[]);
-    site.platform.push(&entry("w1", "127.0.0.1:9", "a", 1, "in_service"));
+    let site = TestInstallation::new(&[]);
+    site.platform.publish_change(&list_entry("w1", "127.0.0.1:9", "a", 1, "in_service"));
     let mut d = site.start_with("127.0.0.1:0", &[DEBUG]);
-    d.logged("the registry told news");
+    d.wait_for_log("the registry told news");
     let mut client = d.client();
     assert!(
         client.submit("m1", "c=safe,t=acme,d=900,dest=7").starts_with("-BUSY"),
         "a destination that is not listed"
     );
-    let rejected = d.logged("a call is not taken on");
+    let rejected = d.wait_for_log("a call is not taken on");
     assert!(["id=m1", "outcome=busy", "why=not_listed"].iter().all(|t| rejected.contains(t)), "{rejected}");
     client.send(b"nonsense\r\n");
-    assert!(client.line().starts_with("-ERR"));
+    assert!(client.read_line().starts_with("-ERR"));
     drop(client);
-    assert!(d.logged("a client's connection is closed").contains("cause="));
+    assert!(d.wait_for_log("a client's connection is closed").contains("cause="));
     drop(d.client());
-    assert!(d.logged("a client's connection is closed").contains("cause=by_client"));
+    assert!(d.wait_for_log("a client's connection is closed").contains("cause=by_client"));
 }
 
 /// Guards against decisions of the rules that are missing in the metrics.
 #[test]
 fn the_metrics_count_what_the_rules_did_not_permit() {
-    let endpoint =
-        Worker::start(|_, nth| Reply::Answer(if nth == 0 { "429 No\r\nRetry-After: 1" } else { "200 OK" }));
-    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
-    let config = site.changed("\"discovery\":null", "\"discovery\":null,\"control\":\"127.0.0.1:0\"");
+    let endpoint = EndpointStandIn::start(|_, nth| {
+        Reply::Answer(if nth == 0 { "429 No\r\nRetry-After: 1" } else { "200 OK" })
+    });
+    let site =
+        TestInstallation::new(&[list_entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
+    let config =
+        site.write_changed_config("\"discovery\":null", "\"discovery\":null,\"control\":\"127.0.0.1:0\"");
     let mut d = site.start_with("127.0.0.1:0", &[("ROUTER_CONFIG", &config), DEBUG]);
     // Until the first endpoint list has arrived, every destination is accepted, the unlisted one of m3 too.
-    d.logged("the registry told news");
+    d.wait_for_log("the registry told news");
     assert_eq!(d.client().submit("m1", "c=safe,t=acme,d=6000,dest=1"), "+OK");
     assert!(d.client().submit("m2", "c=none,t=acme,d=6000,dest=1").starts_with("-ERR"));
     assert!(d.client().submit("m3", "c=safe,t=acme,d=6000,dest=9").starts_with("-BUSY"));
-    until("it is delivered", || endpoint.count() >= 2);
-    assert_eq!(vars(&d)["not_taken"], serde_json::json!({ "not_listed": 1, "unreadable": 1 }));
-    let guard = &vars(&d)["guard"];
+    wait_until("it is delivered", || endpoint.call_count() >= 2);
+    assert_eq!(metrics(&d)["not_taken"], serde_json::json!({ "not_listed": 1, "unreadable": 1 }));
+    let guard = &metrics(&d)["guard"];
     assert_eq!(guard["violations"], serde_json::json!({}), "{guard}");
     assert!(guard["closed"]["by_client"].as_u64() >= Some(1), "{guard}");
     assert!(guard["refused"].is_object(), "{guard}");
     d.signal("-USR1");
-    assert!(d.logged("rules: ").contains("\"violations\":{}"));
+    assert!(d.wait_for_log("rules: ").contains("\"violations\":{}"));
 }
--- a/tests/full_folder.rs
+++ b/tests/full_folder.rs
@@ -12,29 +12,31 @@
 /// under a schedule of faults while the endpoint answers. All messages are delivered, except at-most-once
 /// messages that may have run: these are given up.
 fn check_start_under(schedule: &str) {
-    let (worker, answers) = silent_until_told();
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let (worker, answers) = silent_until_enabled();
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let d = site.start();
     let mut client = d.client();
-    let ids = hand_in_each_class(&mut client, MESSAGES, 12_000);
+    let ids = submit_each_class(&mut client, MESSAGES, 12_000);
     d.kill();
-    let attempts: Vec<usize> = ids.iter().map(|(id, _)| worker.of(id)).collect();
+    let attempts: Vec<usize> = ids.iter().map(|(id, _)| worker.calls_of(id)).collect();
     answers.store(true, Ordering::SeqCst);
-    let _d = site.start_under(schedule, &[]);
+    let _d = site.start_with_faults(schedule, &[]);
     for ((id, class), attempts) in ids.iter().zip(attempts) {
         if *class == "pay" && attempts > 0 {
-            until(&format!("{id} may have run and is given up"), || !site.platform.noticed(id).is_empty());
-            assert_eq!(worker.of(id), attempts, "{id} is not sent again");
+            wait_until(&format!("{id} may have run and is given up"), || {
+                !site.platform.notices_for(id).is_empty()
+            });
+            assert_eq!(worker.calls_of(id), attempts, "{id} is not sent again");
         } else {
-            until(&format!("{id} of {class} is delivered"), || {
-                worker.of(id) > attempts || !site.platform.noticed(id).is_empty()
+            wait_until(&format!("{id} of {class} is delivered"), || {
+                worker.calls_of(id) > attempts || !site.platform.notices_for(id).is_empty()
             });
-            assert_eq!(site.platform.noticed(id), Vec::<String>::new(), "{id} of {class}");
+            assert_eq!(site.platform.notices_for(id), Vec::<String>::new(), "{id} of {class}");
         }
     }
     std::thread::sleep(Duration::from_millis(100));
     let twice: Vec<&String> =
-        ids.iter().filter(|(id, class)| *class == "pay" && worker.of(id) > 1).map(|i| &i.0).collect();
+        ids.iter().filter(|(id, class)| *class == "pay" && worker.calls_of(id) > 1).map(|i| &i.0).collect();
     assert!(twice.is_empty(), "{twice:?}");
 }
 
@@ -91,10 +93,10 @@
 /// may have run.
 #[test]
 fn a_partial_record_at_the_end_does_not_give_up_unattempted_messages() {
-    let (worker, answers) = silent_until_told();
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let (worker, answers) = silent_until_enabled();
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
-    let d = site.start_under("eio 3000 1e12 1", &[]);
+    let d = site.start_with_faults("eio 3000 1e12 1", &[]);
     let started = std::time::Instant::now();
     let mut client = d.client();
     let ids: Vec<String> = (0..40).map(|n| format!("m{n:02}")).collect();
@@ -108,19 +110,21 @@
     assert!(client.submit("late", "c=pay,t=acme,d=15000,dest=1").starts_with("-BUSY"));
     assert!(std::fs::metadata(&journal).unwrap().len() > whole, "the journal ends with a partial record");
     d.kill();
-    let attempts: Vec<usize> = ids.iter().map(|id| worker.of(id)).collect();
+    let attempts: Vec<usize> = ids.iter().map(|id| worker.calls_of(id)).collect();
     assert!(attempts.iter().filter(|t| **t == 0).count() > 20);
     answers.store(true, Ordering::SeqCst);
     let _next = site.start();
     for (id, attempts) in ids.iter().zip(attempts) {
         if attempts == 0 {
-            until(&format!("{id} is delivered or has a notice"), || {
-                worker.of(id) > 0 || !site.platform.noticed(id).is_empty()
+            wait_until(&format!("{id} is delivered or has a notice"), || {
+                worker.calls_of(id) > 0 || !site.platform.notices_for(id).is_empty()
             });
-            assert_eq!(worker.of(id), 1, "{id} is delivered: {:?}", site.platform.noticed(id));
+            assert_eq!(worker.calls_of(id), 1, "{id} is delivered: {:?}", site.platform.notices_for(id));
         } else {
-            until(&format!("{id} may have run and is given up"), || !site.platform.noticed(id).is_empty());
-            assert_eq!(worker.of(id), attempts);
+            wait_until(&format!("{id} may have run and is given up"), || {
+                !site.platform.notices_for(id).is_empty()
+            });
+            assert_eq!(worker.calls_of(id), attempts);
         }
     }
 }
@@ -129,23 +133,23 @@
 /// arrived: the next start would treat delivered messages as ones that may have run.
 #[test]
 fn final_answers_during_a_full_folder_are_known_to_the_next_start() {
-    let worker = Worker::start(|_, _| Reply::After(Duration::from_millis(2_500), "200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = EndpointStandIn::start(|_, _| Reply::DelayedAnswer(Duration::from_millis(2_500), "200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
-    let d = site.start_under("enospc 2000 3500", &[]);
+    let d = site.start_with_faults("enospc 2000 3500", &[]);
     let mut client = d.client();
     let ids: Vec<String> = (0..2).map(|n| format!("m{n}")).collect();
     for id in &ids {
         assert_eq!(client.submit(id, "c=pay,t=acme,d=15000,dest=1"), "+OK");
     }
-    until("both attempts have reached the endpoint", || worker.count() == 2);
+    wait_until("both attempts have reached the endpoint", || worker.call_count() == 2);
     assert!(begun.elapsed() < Duration::from_millis(900), "the machine is too slow for this test");
     std::thread::sleep(Duration::from_millis(4_500).saturating_sub(begun.elapsed()));
     d.kill();
     let _next = site.start();
     std::thread::sleep(Duration::from_millis(500));
     for id in &ids {
-        assert_eq!(site.platform.noticed(id), Vec::<String>::new(), "{id} was delivered");
+        assert_eq!(site.platform.notices_for(id), Vec::<String>::new(), "{id} was delivered");
     }
 }
 
@@ -153,20 +157,20 @@
 /// can be written again before that.
 #[test]
 fn final_answers_during_a_full_folder_are_written_before_the_exit() {
-    let worker = Worker::start(|_, _| Reply::After(Duration::from_millis(2_500), "200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = EndpointStandIn::start(|_, _| Reply::DelayedAnswer(Duration::from_millis(2_500), "200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     let begun = std::time::Instant::now();
-    let mut d = site.start_under("enospc 2000 4000", &[]);
+    let mut d = site.start_with_faults("enospc 2000 4000", &[]);
     assert_eq!(d.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"), "+OK");
-    until("the attempt has reached the endpoint", || worker.count() == 1);
+    wait_until("the attempt has reached the endpoint", || worker.call_count() == 1);
     assert!(begun.elapsed() < Duration::from_millis(900), "the machine is too slow for this test");
     std::thread::sleep(Duration::from_millis(2_200).saturating_sub(begun.elapsed()));
     d.signal("-TERM");
-    d.ended();
+    d.wait_for_success();
     assert!(begun.elapsed() < Duration::from_millis(2_200 + 3_700));
     let _next = site.start();
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!((worker.of("m1"), site.platform.noticed("m1")), (1, vec![]), "m1 was delivered");
+    assert_eq!((worker.calls_of("m1"), site.platform.notices_for("m1")), (1, vec![]), "m1 was delivered");
 }
 
 /// Guards against an attempt that is sent although the journal length that covers its record cannot be stored
@@ -174,9 +178,9 @@
 /// sent once.
 #[test]
 fn an_attempt_waits_for_the_stored_journal_length_and_is_sent_once() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
-    let d = site.start_under("eio 1000 3000 2", &[]);
+    let worker = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let d = site.start_with_faults("eio 1000 3000 2", &[]);
     let started = std::time::Instant::now();
     std::thread::sleep(Duration::from_millis(1_100));
     assert_eq!(
@@ -185,10 +189,10 @@
         "the journal records the message"
     );
     std::thread::sleep(Duration::from_millis(2_500).saturating_sub(started.elapsed()));
-    assert_eq!(worker.count(), 0, "the attempt is sent before the journal length is stored");
-    until("the message is sent", || worker.of("m1") == 1);
+    assert_eq!(worker.call_count(), 0, "the attempt is sent before the journal length is stored");
+    wait_until("the message is sent", || worker.calls_of("m1") == 1);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!((worker.of("m1"), site.platform.noticed("m1")), (1, vec![]));
+    assert_eq!((worker.calls_of("m1"), site.platform.notices_for("m1")), (1, vec![]));
 }
 
 /// Guards against a journal that cannot grow to its configured size, because the disk is smaller or the
@@ -196,12 +200,12 @@
 /// for an exceeded file size limit does not end the process.
 #[test]
 fn a_journal_that_cannot_grow_is_compacted_and_stays_usable() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let worker = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
     // The limit of 200 blocks of 512 bytes is 100 KB, while the settings allow 3 MB. The messages
     // write 145 KB, of which 40 KB remain needed.
     const MESSAGES: usize = 700;
-    let d = site.start_limited("-f 200", &[]);
+    let d = site.start_with_ulimit("-f 200", &[]);
     let mut client = d.client();
     let begun = std::time::Instant::now();
     let mut accepted = 0;
@@ -213,23 +217,23 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(accepted, MESSAGES, "the dispatcher accepts no more messages");
-    until("all messages are delivered", || worker.count() >= MESSAGES);
+    wait_until("all messages are delivered", || worker.call_count() >= MESSAGES);
 }
 
 /// Guards against a log that grows by one record for each message that is rejected because the state folder
 /// is full.
 #[test]
 fn a_full_folder_is_logged_at_growing_intervals() {
-    let worker = Worker::start(|_, _| Reply::Answer("200 OK"));
-    let site = Site::new(&[entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
-    let mut d = site.start_under("enospc 700 1e12", &[]);
+    let worker = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
+    let site = TestInstallation::new(&[list_entry("w1", &worker.address.to_string(), "a", 1, "in_service")]);
+    let mut d = site.start_with_faults("enospc 700 1e12", &[]);
     std::thread::sleep(Duration::from_millis(900));
     let mut client = d.client();
     for n in 0..200 {
         assert!(client.submit(&format!("m{n}"), "c=safe,t=acme,d=6000,dest=1").starts_with("-BUSY"));
     }
     d.signal("-USR1");
-    d.logged("rules: ");
+    d.wait_for_log("rules: ");
     let warnings = d.seen().lines().filter(|line| line.contains("takes nothing more")).count();
     assert!((1..=3).contains(&warnings), "{warnings} lines for 200 messages");
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -13,9 +13,9 @@
 /// Two processes on one state folder. The first has accepted messages that the endpoint refused, and was
 /// killed while the second was stopped.
 struct Takeover {
-    site: Site,
+    site: TestInstallation,
     second: Dispatcher,
-    endpoint: Worker,
+    endpoint: EndpointStandIn,
     /// The endpoint accepts messages once this is set.
     open: Arc<AtomicBool>,
     delivered: Arc<Mutex<Vec<String>>>,
@@ -27,19 +27,20 @@
 
 /// Brings two processes to this state; the second one runs under this schedule of faults.
 fn prepare_takeover(schedule: &str) -> Takeover {
-    let (endpoint, open, delivered) = gate();
-    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
+    let (endpoint, open, delivered) = refusing_until_opened();
+    let site =
+        TestInstallation::new(&[list_entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let first = site.start();
     let ids: Vec<String> = (0..MESSAGES).map(|n| format!("m{n:02}")).collect();
     let mut client = first.client();
     for (n, id) in ids.iter().enumerate() {
         let class = ["pay", "order"][n % 2];
         let options = format!("c={class},t=acme,d=15000,k=k{n},dest=1");
-        assert_eq!(client.keyed(&format!("{:x}", n + 1), id, &options), "+OK");
+        assert_eq!(client.submit_with_key(&format!("{:x}", n + 1), id, &options), "+OK");
     }
-    until("the endpoint has refused a message", || endpoint.count() >= 1);
-    let second = site.start_under(schedule, &[]);
-    second.halt();
+    wait_until("the endpoint has refused a message", || endpoint.call_count() >= 1);
+    let second = site.start_with_faults(schedule, &[]);
+    second.pause();
     first.kill();
     let file = site.dir.join("state").join("journal");
     let copy = std::fs::read(&file).unwrap();
@@ -51,12 +52,12 @@
     /// that may have been outstanding at the kill.
     fn resume_and_deliver(&mut self) {
         self.second.signal("-CONT");
-        self.second.logged("took over ");
+        self.second.wait_for_log("took over ");
         self.open.store(true, Ordering::SeqCst);
         let ended = |id: &String| {
-            self.delivered.lock().unwrap().contains(id) || !self.site.platform.noticed(id).is_empty()
+            self.delivered.lock().unwrap().contains(id) || !self.site.platform.notices_for(id).is_empty()
         };
-        until("every message has ended", || self.ids.iter().all(ended));
+        wait_until("every message has ended", || self.ids.iter().all(ended));
         std::thread::sleep(Duration::from_millis(200));
         assert!(
             self.delivered.lock().unwrap().len() + 1 >= MESSAGES,
@@ -102,14 +103,14 @@
 fn a_takeover_on_a_full_folder_that_is_killed_is_completed_by_the_next_process() {
     let mut takeover = prepare_takeover("enospc 0 1e12");
     takeover.second.signal("-CONT");
-    takeover.second.logged("took over ");
+    takeover.second.wait_for_log("took over ");
     takeover.second.signal("-KILL");
     takeover.second = takeover.site.start();
     takeover.open.store(true, Ordering::SeqCst);
     let ended = |id: &String| {
-        takeover.delivered.lock().unwrap().contains(id) || !takeover.site.platform.noticed(id).is_empty()
+        takeover.delivered.lock().unwrap().contains(id) || !takeover.site.platform.notices_for(id).is_empty()
     };
-    until("every message has ended", || takeover.ids.iter().all(ended));
+    wait_until("every message has ended", || takeover.ids.iter().all(ended));
     takeover.assert_no_repeats();
 }
 
@@ -121,7 +122,7 @@
         let mut takeover = prepare_takeover("");
         takeover.resume_and_deliver();
         takeover.second.signal("-KILL");
-        let _ = takeover.second.ended_somehow();
+        let _ = takeover.second.wait_for_exit();
         std::fs::write(&takeover.file, &takeover.copy).unwrap();
         if swapped {
             let other = takeover.file.with_file_name("journal.1");
@@ -129,7 +130,7 @@
             std::fs::write(&takeover.file, newer).unwrap();
             std::fs::write(&other, &takeover.copy).unwrap();
         }
-        let calls = takeover.endpoint.count();
+        let calls = takeover.endpoint.call_count();
         // journal.1 is restored before each start, in case the previous one emptied it.
         let other = takeover.file.with_file_name("journal.1");
         let content = std::fs::read(&other).unwrap();
@@ -155,7 +156,7 @@
     for swapped in [false, true] {
         let mut takeover = prepare_takeover("");
         takeover.second.signal("-KILL");
-        let _ = takeover.second.ended_somehow();
+        let _ = takeover.second.wait_for_exit();
         let other = takeover.file.with_file_name("journal.1");
         let own_records = std::fs::read(&other).unwrap();
         let (whole, partial) = (
@@ -168,9 +169,10 @@
         takeover.open.store(true, Ordering::SeqCst);
         takeover.second = takeover.site.start();
         let ended = |id: &String| {
-            takeover.delivered.lock().unwrap().contains(id) || !takeover.site.platform.noticed(id).is_empty()
+            takeover.delivered.lock().unwrap().contains(id)
+                || !takeover.site.platform.notices_for(id).is_empty()
         };
-        until("every message has ended", || takeover.ids.iter().all(ended));
+        wait_until("every message has ended", || takeover.ids.iter().all(ended));
         std::thread::sleep(Duration::from_millis(300));
         takeover.assert_no_repeats();
     }
@@ -180,16 +182,17 @@
 /// has received SIGTERM, and may take up to 3.7 s to exit.
 #[test]
 fn a_third_process_waits_for_the_one_that_exits() {
-    let endpoint = Worker::start(|_, _| Reply::Silence);
-    let site = Site::new(&[entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
+    let endpoint = EndpointStandIn::start(|_, _| Reply::NoAnswer);
+    let site =
+        TestInstallation::new(&[list_entry("w1", &endpoint.address.to_string(), "a", 1, "in_service")]);
     let first = site.start();
     assert_eq!(first.client().submit("m1", "c=pay,t=acme,d=15000,dest=1"), "+OK");
-    until("the attempt is outstanding", || endpoint.count() == 1);
+    wait_until("the attempt is outstanding", || endpoint.call_count() == 1);
     let mut second = site.start();
-    second.logged("serves beside another process");
+    second.wait_for_log("serves beside another process");
     first.signal("-TERM");
     let third = site.start();
     assert_eq!(third.client().submit("m2", "c=safe,t=acme,d=15000,dest=1"), "+OK");
-    until("the third process sends", || endpoint.of("m2") > 0);
-    assert_eq!(endpoint.of("m1"), 1, "an at-most-once message was sent twice");
+    wait_until("the third process sends", || endpoint.calls_of("m2") > 0);
+    assert_eq!(endpoint.calls_of("m1"), 1, "an at-most-once message was sent twice");
 }
--- a/tests/incidents.rs
+++ b/tests/incidents.rs
@@ -4,46 +4,51 @@
 use common::*;
 use lilacbank::api::*;
 
-fn deliver_all_outstanding(w: &mut Watched) {
-    let outstanding: Vec<_> = w.seen.keys().copied().filter(|id| w.out(*id).is_some()).collect();
-    outstanding.into_iter().for_each(|id| w.end(id, Outcome::Delivered, 0.0));
+fn deliver_all_outstanding(w: &mut CheckedModule) {
+    let outstanding: Vec<_> =
+        w.seen.keys().copied().filter(|id| w.outstanding_attempt(*id).is_some()).collect();
+    outstanding.into_iter().for_each(|id| w.end_attempt(id, Outcome::Delivered, 0.0));
 }
 
 /// Guards against calls without an answer that hold every slot until the deadline (incident ifb9196).
 #[test]
 fn hung_calls_release_their_slots_for_other_destinations() {
     let s = Settings { slots: 4, ..settings() };
-    let mut w = Watched::new(s, vec![row(0, 1, 0, 0), row(1, 2, 0, 0), row(2, 3, 0, 0)]);
-    let hung: Vec<_> = [1, 1, 2, 2].into_iter().map(|dest| w.arrive(2, dest, None)).collect();
-    assert!(hung.iter().all(|id| w.out(*id).is_some()));
-    let waiting = w.arrive(0, 3, None);
-    assert!(w.out(waiting).is_none(), "no slot is free");
+    let mut w = CheckedModule::new(
+        s,
+        vec![endpoint_row(0, 1, 0, 0), endpoint_row(1, 2, 0, 0), endpoint_row(2, 3, 0, 0)],
+    );
+    let hung: Vec<_> = [1, 1, 2, 2].into_iter().map(|dest| w.submit(2, dest, None)).collect();
+    assert!(hung.iter().all(|id| w.outstanding_attempt(*id).is_some()));
+    let waiting = w.submit(0, 3, None);
+    assert!(w.outstanding_attempt(waiting).is_none(), "no slot is free");
     for _ in 0..120 {
-        w.pass(100.0);
+        w.advance(100.0);
         for id in &hung {
-            let cancelled =
-                w.out(*id).is_some_and(|a| w.actions.contains(&Action::Cancel { id: *id, attempt: a.n }));
+            let cancelled = w
+                .outstanding_attempt(*id)
+                .is_some_and(|a| w.actions.contains(&Action::Cancel { id: *id, attempt: a.number }));
             if cancelled {
-                w.end(*id, Outcome::Cancelled, 0.0);
+                w.end_attempt(*id, Outcome::Cancelled, 0.0);
             }
         }
         deliver_if_outstanding(&mut w, waiting);
     }
     assert_eq!(w.seen[&waiting].attempts.len(), 1);
     assert!(
-        w.seen[&waiting].ended_at < w.seen[&waiting].m.valid_until - 4_000.0,
+        w.seen[&waiting].ended_at < w.seen[&waiting].message.valid_until - 4_000.0,
         "the waiting message is delivered long before the hung calls end"
     );
     assert!(
-        hung.iter().filter(|id| w.seen[*id].finals == 1).all(|id| w.seen[id].failed),
+        hung.iter().filter(|id| w.seen[*id].final_answers == 1).all(|id| w.seen[id].given_up),
         "at-most-once messages fail and are not repeated"
     );
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
 }
 
-fn deliver_if_outstanding(w: &mut Watched, id: MessageId) {
-    if w.out(id).is_some() {
-        w.end(id, Outcome::Delivered, 0.0);
+fn deliver_if_outstanding(w: &mut CheckedModule, id: MessageId) {
+    if w.outstanding_attempt(id).is_some() {
+        w.end_attempt(id, Outcome::Delivered, 0.0);
     }
 }
 
@@ -52,33 +57,37 @@
 #[test]
 fn the_longest_queue_returns_messages_immediately_with_advice() {
     let s = Settings { max_held: 20, ..settings() };
-    let mut w = Watched::new(s, vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
-    let first = w.arrive(0, 1, None);
-    w.end(first, Outcome::Refused, 1_900.0);
+    let mut w = CheckedModule::new(s, vec![endpoint_row(0, 1, 0, 0), endpoint_row(1, 2, 0, 0)]);
+    let first = w.submit(0, 1, None);
+    w.end_attempt(first, Outcome::Refused, 1_900.0);
     for _ in 0..40 {
-        w.arrive(0, 1, None);
+        w.submit(0, 1, None);
     }
-    let other = w.arrive(0, 2, None);
-    assert!(w.out(other).is_some(), "the other destination is served");
-    let advice: Vec<_> = w.seen.values().filter_map(|s| s.advice).collect();
+    let other = w.submit(0, 2, None);
+    assert!(w.outstanding_attempt(other).is_some(), "the other destination is served");
+    let advice: Vec<_> = w.seen.values().filter_map(|s| s.retry_in).collect();
     assert!(advice.len() >= 20, "{} returned", advice.len());
     assert!(
         advice.iter().all(|a| *a > 1_000.0 && *a <= 2_000.0),
         "the advice reflects the endpoint's retry-after: {advice:?}"
     );
-    assert_eq!(w.seen[&other].finals, 0);
+    assert_eq!(w.seen[&other].final_answers, 0);
 }
 
 /// Guards against a retry storm: while all endpoints of a destination fail, attempts stay within the retry
 /// budget.
 #[test]
 fn attempts_stay_within_the_retry_budget_while_every_endpoint_fails() {
-    let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0), row(1, 1, 0, 0), row(2, 1, 0, 0)]);
+    let mut w = CheckedModule::new(
+        settings(),
+        vec![endpoint_row(0, 1, 0, 0), endpoint_row(1, 1, 0, 0), endpoint_row(2, 1, 0, 0)],
+    );
     for _ in 0..100 {
-        w.arrive(0, 1, None);
-        w.pass(100.0);
-        let outstanding: Vec<_> = w.seen.keys().copied().filter(|id| w.out(*id).is_some()).collect();
-        outstanding.into_iter().for_each(|id| w.end(id, Outcome::Error, 0.0));
+        w.submit(0, 1, None);
+        w.advance(100.0);
+        let outstanding: Vec<_> =
+            w.seen.keys().copied().filter(|id| w.outstanding_attempt(*id).is_some()).collect();
+        outstanding.into_iter().for_each(|id| w.end_attempt(id, Outcome::Error, 0.0));
     }
     let attempts: usize = w.seen.values().map(|s| s.attempts.len()).sum();
     let firsts = w.seen.values().filter(|s| !s.attempts.is_empty()).count();
@@ -91,47 +100,47 @@
 /// Guards against a slowdown of all endpoints at once that makes each of them count as unhealthy.
 #[test]
 fn a_common_slowdown_takes_no_endpoint_out() {
-    let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0), row(1, 2, 0, 0)]);
+    let mut w = CheckedModule::new(settings(), vec![endpoint_row(0, 1, 0, 0), endpoint_row(1, 2, 0, 0)]);
     for step in 0..60 {
-        let ids = [w.arrive(0, 1, None), w.arrive(0, 2, None)];
-        w.pass(if step < 30 { 100.0 } else { 270.0 });
+        let ids = [w.submit(0, 1, None), w.submit(0, 2, None)];
+        w.advance(if step < 30 { 100.0 } else { 270.0 });
         for id in ids {
-            assert!(w.out(id).is_some(), "step {step}: no attempt is sent");
-            w.end(id, Outcome::Delivered, 0.0);
+            assert!(w.outstanding_attempt(id).is_some(), "step {step}: no attempt is sent");
+            w.end_attempt(id, Outcome::Delivered, 0.0);
         }
     }
     let moved = w.actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     assert!(!moved);
-    w.all_well();
+    w.assert_rules_kept();
 }
 
 /// Guards against a single failure that resets a recovering endpoint to single trial attempts (incident
 /// i5f3404).
 #[test]
 fn one_failure_during_a_ramp_does_not_restart_the_outage() {
-    let mut w = Watched::new(settings(), vec![row(0, 1, 0, 0)]);
+    let mut w = CheckedModule::new(settings(), vec![endpoint_row(0, 1, 0, 0)]);
     for _ in 0..40 {
-        w.arrive(0, 1, None);
-        w.pass(100.0);
+        w.submit(0, 1, None);
+        w.advance(100.0);
         deliver_all_outstanding(&mut w);
     }
     for outcome in [Outcome::NoConnection, Outcome::NoConnection] {
-        let id = w.arrive(0, 1, None);
-        w.pass(20.0);
-        if w.out(id).is_some() {
-            w.end(id, outcome, 0.0);
+        let id = w.submit(0, 1, None);
+        w.advance(20.0);
+        if w.outstanding_attempt(id).is_some() {
+            w.end_attempt(id, outcome, 0.0);
         }
     }
-    w.pass(4_000.0);
+    w.advance(4_000.0);
     deliver_all_outstanding(&mut w);
     for _ in 0..100 {
-        w.pass(100.0);
+        w.advance(100.0);
         deliver_all_outstanding(&mut w);
     }
-    let id = w.arrive(0, 1, None);
-    w.pass(2_000.0);
-    w.end(id, Outcome::NoConnection, 0.0);
-    w.pass(1_000.0);
+    let id = w.submit(0, 1, None);
+    w.advance(2_000.0);
+    w.end_attempt(id, Outcome::NoConnection, 0.0);
+    w.advance(1_000.0);
     assert!(w.seen[&id].attempts.len() >= 2, "the message is attempted again within a second");
 }
 
@@ -139,14 +148,15 @@
 #[test]
 fn a_failed_subscription_is_requested_again() {
     let s = Settings { list_on_request: true, list_request_within: 10_000.0, ..settings() };
-    let mut w = Watched::new(s, vec![row(0, 1, 0, 0)]);
-    let watch_requests = |w: &Watched| w.actions.iter().filter(|a| **a == Action::WatchEndpointList).count();
+    let mut w = CheckedModule::new(s, vec![endpoint_row(0, 1, 0, 0)]);
+    let watch_requests =
+        |w: &CheckedModule| w.actions.iter().filter(|a| **a == Action::WatchEndpointList).count();
     assert_eq!(watch_requests(&w), 1);
-    w.give(vec![Event::EndpointListFailed]);
-    w.pass(1_500.0);
+    w.process(vec![Event::EndpointListFailed]);
+    w.advance(1_500.0);
     assert_eq!(watch_requests(&w), 2);
-    w.give(vec![Event::EndpointList { rows: vec![], complete: false, cached: false }]);
-    w.pass(30_000.0);
+    w.process(vec![Event::EndpointList { rows: vec![], complete: false, cached: false }]);
+    w.advance(30_000.0);
     assert_eq!(watch_requests(&w), 2, "a subscribed list is not requested again");
 }
 
@@ -157,27 +167,30 @@
 fn at_most_once_messages_that_avoid_an_unreliable_endpoint_block_no_others() {
     let mut s = settings();
     s.classes[2].worth = 4.0;
-    let mut w = Watched::new(s, vec![row(0, 1, 0, 0)]);
+    let mut w = CheckedModule::new(s, vec![endpoint_row(0, 1, 0, 0)]);
     for outcome in [Outcome::Delivered, Outcome::Delivered, Outcome::Error] {
-        let id = w.arrive(2, 1, None);
-        w.pass(10.0);
-        w.end(id, outcome, 0.0);
+        let id = w.submit(2, 1, None);
+        w.advance(10.0);
+        w.end_attempt(id, outcome, 0.0);
     }
-    let held: Vec<_> = (0..12).map(|_| w.arrive(2, 1, None)).collect();
+    let held: Vec<_> = (0..12).map(|_| w.submit(2, 1, None)).collect();
     assert!(
-        held.iter().all(|id| w.out(*id).is_none()),
+        held.iter().all(|id| w.outstanding_attempt(*id).is_none()),
         "an at-most-once message is sent to an endpoint that breaks its calls"
     );
-    let safe = w.arrive(0, 1, None);
-    assert!(w.out(safe).is_some(), "an idempotent message waits behind at-most-once messages that must wait");
-    w.end(safe, Outcome::Delivered, 0.0);
+    let safe = w.submit(0, 1, None);
+    assert!(
+        w.outstanding_attempt(safe).is_some(),
+        "an idempotent message waits behind at-most-once messages that must wait"
+    );
+    w.end_attempt(safe, Outcome::Delivered, 0.0);
     for _ in 0..50 {
-        w.pass(100.0);
+        w.advance(100.0);
         deliver_all_outstanding(&mut w);
     }
     assert!(
         held.iter().all(|id| !w.seen[id].attempts.is_empty()),
         "the at-most-once messages are sent once the endpoint is reliable again"
     );
-    w.all_well();
+    w.assert_rules_kept();
 }
--- a/tests/mesh.rs
+++ b/tests/mesh.rs
@@ -5,7 +5,9 @@
 
 use lilacbank::api::*;
 use lilacbank::config::{EndpointList, Names, RegistryEndpoint};
-use lilacbank::dispatch::{CellSpec, Core, MeshSpec, Order, Parts, PeerSpec, Submission, Ticket, Verdict};
+use lilacbank::dispatch::{
+    CellMapView, CellSpec, ClientTicket, Core, CoreParts, Order, PeerAddresses, Submission, Verdict,
+};
 use lilacbank::journal::{Ending, Journal, MessageNo, Record};
 use lilacbank_cells::placement::PlacedCell;
 use lilacbank_cells::wire::OwnershipRecord;
@@ -148,7 +150,7 @@
     /// When the current message was first submitted; 0 before that.
     begun: Ms,
     /// The submission that has no answer yet, and its time.
-    pending: Option<(Ticket, Ms)>,
+    pending: Option<(ClientTicket, Ms)>,
     /// Id and content of the last submission.
     submitted: Option<(String, Submission)>,
     /// Id, content and time of the last accepted message.
@@ -185,8 +187,8 @@
     dispatchers: Vec<Dispatcher>,
     scheduled: Vec<(Ms, Scheduled)>,
     clients: Vec<Client>,
-    tickets: HashMap<Ticket, usize>,
-    next_ticket: Ticket,
+    tickets: HashMap<ClientTicket, usize>,
+    next_ticket: ClientTicket,
     executions: Vec<Execution>,
     accepted: BTreeSet<String>,
     rejected: BTreeSet<String>,
@@ -287,8 +289,12 @@
         };
         let all = self.dispatchers.len();
         let address = |n: usize| format!("127.0.0.1:{}", 7_000 + n).parse().unwrap();
-        let peers =
-            (0..all).map(|p| PeerSpec { name: dispatcher_name(p), peer: address(p), resp: None, mqtt: None });
+        let peers = (0..all).map(|p| PeerAddresses {
+            name: dispatcher_name(p),
+            peer_address: address(p),
+            resp_address: None,
+            mqtt_address: None,
+        });
         let owner = self.mapped_owner[n];
         let area = |p: usize| PlacedCell {
             name: format!("c{p}"),
@@ -296,20 +302,20 @@
             dispatchers: vec![dispatcher_name(p)],
             tenants: if p == owner { texts(&TENANTS) } else { Vec::new() },
         };
-        let mesh = MeshSpec {
-            me: dispatcher_name(n),
+        let mesh = CellMapView {
+            own_name: dispatcher_name(n),
             version: 1,
             peers: peers.collect(),
-            areas: (0..all).map(area).collect(),
+            cells: (0..all).map(area).collect(),
         };
-        let mut core = Core::new(Parts {
+        let mut core = Core::new(CoreParts {
             settings: settings(),
             names,
             journal,
-            promises: Vec::new(),
-            once: vec![(ONCE.to_string(), 60_000.0)],
+            limits: Vec::new(),
+            at_most_once_classes: vec![(ONCE.to_string(), 60_000.0)],
             cells: Vec::<CellSpec>::new(),
-            mesh: Some(mesh),
+            cell_map: Some(mesh),
         });
         let endpoint = |n: usize| RegistryEndpoint {
             uid: format!("e{n}"),
@@ -320,16 +326,16 @@
             state: ServiceState::InService,
             weight: 1.0,
         };
-        core.list(
+        core.apply_endpoint_list(
             self.now,
             EndpointList { revision: 1, is_complete: true, endpoints: vec![endpoint(0), endpoint(1)] },
             true,
         );
         core.restore(self.now, records);
         for other in (0..all).filter(|o| *o != n) {
-            core.peer_up(&dispatcher_name(other));
+            core.peer_connected(&dispatcher_name(other));
             if let Some(c) = &mut self.dispatchers[other].core {
-                c.peer_up(&dispatcher_name(n));
+                c.peer_connected(&dispatcher_name(n));
             }
         }
         self.dispatchers[n].core = Some(core);
@@ -386,12 +392,12 @@
     fn execute(&mut self, n: usize, order: Order) {
         let incarnation = self.dispatchers[n].incarnation;
         match order {
-            Order::Answer { ticket, verdict } => self.handle_verdict(ticket, verdict),
-            Order::Delegate(d) => {
-                self.attempt_begins(n, d.no, d.attempt, &d.id);
+            Order::AnswerClient { ticket, verdict } => self.handle_verdict(ticket, verdict),
+            Order::StartAttempt(d) => {
+                self.attempt_begins(n, d.message_no, d.attempt, &d.id);
                 let service = self.random.random_range(5.0..60.0);
                 let draw = self.random.random_range(0.0..1.0);
-                let (no, attempt) = (d.no, d.attempt);
+                let (no, attempt) = (d.message_no, d.attempt);
                 let silent =
                     if self.silent_key == message_of(&d.id).split('-').next().and_then(|k| k.parse().ok()) {
                         1.0
@@ -437,7 +443,7 @@
                     );
                 }
             }
-            Order::Abandon { no, attempt, outcome } => {
+            Order::CancelAttempt { no, attempt, outcome } => {
                 let mut begun = true;
                 self.scheduled.retain(|(_, l)| match l {
                     Scheduled::Written { dispatcher, no: x, attempt: a, .. } => {
@@ -475,16 +481,19 @@
                     at.into_iter().for_each(|at| drop(self.executions.remove(at)));
                 }
             }
-            Order::Tell(answer) => {
+            Order::SendFinalAnswer(answer) => {
                 let (endings, _) =
                     self.final_answers.entry(answer.identity.1.clone()).or_insert((Vec::new(), self.now));
                 if !endings.contains(&answer.ending) {
                     endings.push(answer.ending);
                 }
                 let after = self.random.random_range(1.0..60.0);
-                self.schedule(after, Scheduled::Confirm { dispatcher: n, incarnation, no: answer.no });
+                self.schedule(
+                    after,
+                    Scheduled::Confirm { dispatcher: n, incarnation, no: answer.message_no },
+                );
             }
-            Order::Say { to, envelope } => {
+            Order::SendOwnershipMessage { to, envelope } => {
                 let to: usize = to[1..].parse().unwrap();
                 let copies = if self.chance(self.rates.duplicated) { 2 } else { 1 };
                 for _ in 0..copies {
@@ -494,7 +503,7 @@
                     }
                 }
             }
-            Order::Reply { envelope, .. } => {
+            Order::AnswerTool { envelope, .. } => {
                 let answer = envelope.answer.clone().unwrap_or_default();
                 self.ownership.extend(answer.ownerships.into_iter().map(|s| (n, s.tenant, s.phase)));
             }
@@ -553,12 +562,12 @@
         // An at-most-once message is recognised by its idempotency key, under any id.
         let new_id = self.clients[c].class == 2 && self.chance(0.5);
         let id = if new_id { format!("{id}9") } else { id };
-        let submission = Submission { identity: (String::new(), id), again: true, ..options };
+        let submission = Submission { identity: (String::new(), id), resubmitted: true, ..options };
         self.step_dispatcher(at, |core| core.submit(now, ticket, submission));
     }
 
     /// A dispatcher's answer to a submission reaches the client.
-    fn handle_verdict(&mut self, ticket: Ticket, verdict: Verdict) {
+    fn handle_verdict(&mut self, ticket: ClientTicket, verdict: Verdict) {
         let Some(c) = self.tickets.remove(&ticket) else { return };
         if self.clients[c].pending.is_none_or(|a| a.0 != ticket) {
             return;
@@ -569,17 +578,17 @@
         let c = &mut self.clients[c];
         match verdict {
             Verdict::Busy(wait) => (c.submissions, c.due) = (c.submissions + 1, now + wait.max(20.0)),
-            Verdict::Elsewhere { wait, name, .. } => {
+            Verdict::ServedElsewhere { retry_after: wait, name, .. } => {
                 (c.submissions, c.due, c.at) = (c.submissions + 1, now + wait, name[1..].parse().unwrap());
             }
-            Verdict::Taken | Verdict::Failed(_) => {
+            Verdict::Accepted | Verdict::Failed(_) => {
                 let message = c.message_of();
-                if verdict == Verdict::Taken {
+                if verdict == Verdict::Accepted {
                     (c.accepted, c.accepted_at) = (c.submitted.clone(), now);
                 }
                 (c.number, c.submissions, c.due, c.begun) = (c.number + 1, 0, now + gap, 0.0);
                 match verdict {
-                    Verdict::Taken => self.accepted.insert(message),
+                    Verdict::Accepted => self.accepted.insert(message),
                     _ => self.rejected.insert(message),
                 };
             }
@@ -604,24 +613,24 @@
         while let Some(at) = next(&self.scheduled) {
             match self.scheduled.remove(at).1 {
                 Scheduled::PeerMessage { to, envelope } => {
-                    self.step_dispatcher(to, |c| c.hear(now, 0, *envelope))
+                    self.step_dispatcher(to, |c| c.receive_ownership_message(now, 0, *envelope))
                 }
                 Scheduled::Written { dispatcher, incarnation, no, attempt }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
-                    self.step_dispatcher(dispatcher, |c| c.written(now, no, attempt));
+                    self.step_dispatcher(dispatcher, |c| c.attempt_written(now, no, attempt));
                 }
                 Scheduled::Outcome { dispatcher, incarnation, no, attempt, outcome, may_still_run }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
                     self.attempt_ends(dispatcher, no, attempt, may_still_run);
-                    let end = lilacbank::dispatch::End::of(outcome);
-                    self.step_dispatcher(dispatcher, |c| c.outcome(now, no, attempt, end));
+                    let end = lilacbank::dispatch::AttemptResult::new(outcome);
+                    self.step_dispatcher(dispatcher, |c| c.attempt_ended(now, no, attempt, end));
                 }
                 Scheduled::Confirm { dispatcher, incarnation, no }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
-                    self.step_dispatcher(dispatcher, |c| c.confirmed(now, no));
+                    self.step_dispatcher(dispatcher, |c| c.final_answer_confirmed(now, no));
                 }
                 _ => {}
             }
@@ -681,11 +690,11 @@
             class: CLASSES[client.class].into(),
             tenant: TENANTS[client.tenant].into(),
             key: Some(client.key),
-            idempotency: message,
+            idempotency_key: message,
             dest: 1,
-            left: Some(left),
-            again: client.submissions > 0,
-            reply: Vec::new(),
+            time_left: Some(left),
+            resubmitted: client.submissions > 0,
+            reply_to: Vec::new(),
             body: vec![7; 40],
         };
         client.submitted = Some((submission.identity.1.clone(), submission.clone()));
@@ -702,7 +711,7 @@
             ..envelope_of_kind("tool", &dispatcher_name(n), tenant, 0, MessageKind::ToolRequest)
         };
         let now = self.now;
-        self.step_dispatcher(n, |c| c.hear(now, 0, envelope));
+        self.step_dispatcher(n, |c| c.receive_ownership_message(now, 0, envelope));
     }
 
     /// An operator moves a tenant to a random dispatcher, or aborts a move.
@@ -753,7 +762,8 @@
                 violations.push(format!("{t} is at {settled:?}, moving at {moving:?}"));
             }
         }
-        let held: usize = self.dispatchers.iter().map(|n| n.core.as_ref().map_or(0, |c| c.holds())).sum();
+        let held: usize =
+            self.dispatchers.iter().map(|n| n.core.as_ref().map_or(0, |c| c.held_messages())).sum();
         if held > 0 {
             violations.push(format!("{held} messages were never ended and are still held"));
         }
--- a/tests/moves.rs
+++ b/tests/moves.rs
@@ -5,13 +5,13 @@
 #[path = "stand/mqtt.rs"]
 mod stand_mqtt;
 
-use lilacbank_load::arrivals::{poisson, Intended, Stream};
-use lilacbank_load::client::{drive, Door, Habits};
-use lilacbank_load::keyed::{audit, run, Audit, Chain, Sent};
-use lilacbank_load::member::{Endpoint, Manner, Notices};
+use lilacbank_load::arrivals::{poisson_arrivals, PlannedMessage, Stream};
+use lilacbank_load::client::{run_open_loop, Admission, ClientConfig};
+use lilacbank_load::keyed::{audit, run_ordered_client, Audit, OrderedClient, SubmittedMessage};
+use lilacbank_load::member::{Endpoint, EndpointConfig, NoticeReceiver};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use stand::{addresses, until, Client, Dispatcher, Reply, Worker, PATIENCE};
+use stand::{unused_addresses, wait_until, Client, Dispatcher, EndpointStandIn, Reply, TEST_TIMEOUT};
 use stand_mqtt::MqttClient;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
     /// Addresses of each dispatcher: for RESP2, for peers and for MQTT.
     addresses: Vec<[SocketAddr; 3]>,
     running: Vec<Option<Dispatcher>>,
-    notices: Notices,
+    notices: NoticeReceiver,
 }
 
 impl Drop for Installation {
@@ -50,8 +50,8 @@
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).unwrap();
         let own_addresses: Vec<_> =
-            addresses(3 * dispatchers).chunks(3).map(|p| [p[0], p[1], p[2]]).collect();
-        let notices = Notices::start().unwrap();
+            unused_addresses(3 * dispatchers).chunks(3).map(|p| [p[0], p[1], p[2]]).collect();
+        let notices = NoticeReceiver::start().unwrap();
         let mut map = "map = \"m\"\nversion = 1\n".to_string();
         for (d, [resp, peer, mqtt]) in own_addresses.iter().enumerate() {
             map += &format!("[dispatchers.n{d}]\npeer = \"{peer}\"\nresp = \"{resp}\"\nmqtt = \"{mqtt}\"\n");
@@ -158,7 +158,7 @@
 
     /// Waits until a dispatcher reports this phase of a tenant.
     fn wait_for_phase(&self, d: usize, tenant: &str, phase: &str) {
-        until(&format!("{tenant} is {phase} at n{d}"), || {
+        wait_until(&format!("{tenant} is {phase} at n{d}"), || {
             self.ownership(d, tenant).is_some_and(|s| s.0 == phase)
         });
     }
@@ -188,7 +188,7 @@
     let mut bytes = format!("*{}\r\n", parts.len());
     parts.iter().for_each(|w| bytes += &format!("${}\r\n{w}\r\n", w.len()));
     c.send(bytes.as_bytes());
-    c.line()
+    c.read_line()
 }
 
 /// A scenario: traffic of several keys while tenants move and dispatchers are killed.
@@ -205,7 +205,7 @@
 /// The results of a scenario.
 struct Results {
     audit: Audit,
-    sent: Vec<Sent>,
+    sent: Vec<SubmittedMessage>,
     /// Number of moves that reached the target.
     moved: usize,
     /// Number of moves that were undone or never began.
@@ -230,32 +230,33 @@
         let stream = Stream {
             tenant: "acme".into(),
             class: "status".into(),
-            dest: 0,
-            rate,
+            destination: 0,
+            messages_per_second: rate,
             from: Duration::ZERO,
             until: second,
-            wanted: second,
+            full_worth_within: second,
             deadline: 4 * second,
         };
         // The offset by the number of the second keeps the ids distinct from those of the ordered clients.
         let streams = vec![stream];
-        let messages: Vec<Intended> = poisson(seed * 1_000 + n, &streams)
+        let messages: Vec<PlannedMessage> = poisson_arrivals(seed * 1_000 + n, &streams)
             .into_iter()
-            .map(|i| Intended { number: i.number + (1_000 + n as usize) * 100_000, ..i })
+            .map(|i| PlannedMessage { index: i.index + (1_000 + n as usize) * 100_000, ..i })
             .collect();
         let resp = resp.clone();
         let route = Arc::new(move |_: &Stream, number: usize| resp[number % resp.len()]);
-        let habits = Habits { connections: 48, again: 1, ..Habits::default() };
-        let handed = drive(Instant::now(), &streams, &messages, route, &habits);
+        let habits = ClientConfig { connections: 48, max_resubmissions: 1, ..ClientConfig::default() };
+        let handed = run_open_loop(Instant::now(), &streams, &messages, route, &habits);
         submitted += handed.len();
-        rejected += handed.iter().filter(|h| h.door != Door::Taken).count();
+        rejected += handed.iter().filter(|h| h.admission != Admission::Accepted).count();
     }
     (submitted, rejected)
 }
 
 fn run_scenario(s: &Scenario) -> Results {
     let mut random = StdRng::seed_from_u64(s.seed);
-    let manner = Manner { service: Duration::from_millis(12), at_once: 16, queue: 64 };
+    let manner =
+        EndpointConfig { service_time: Duration::from_millis(12), concurrency: 16, queue_capacity: 64 };
     let member = Endpoint::start(manner).unwrap();
     let tenants = ["acme", "bolt"];
     let mut installation = Installation::start(2, &tenants, &[member.address]);
@@ -263,16 +264,16 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..8u64)
         .map(|n| {
-            let chain = Chain {
+            let chain = OrderedClient {
                 key: n + 1,
                 tenant: tenants[n as usize % 2].into(),
                 class: if n % 4 < 2 { "reimbursement" } else { "approval" }.into(),
-                dest: 0,
-                gap: Duration::from_millis(15),
+                destination: 0,
+                pause: Duration::from_millis(15),
                 deadline: Duration::from_secs(20),
             };
             let (resp, stop) = (resp.clone(), stop.clone());
-            thread::spawn(move || run(&chain, &resp, &stop))
+            thread::spawn(move || run_ordered_client(&chain, &resp, &stop))
         })
         .collect();
     let flood = (s.flood > 0.0).then(|| {
@@ -305,7 +306,7 @@
         // If the dispatcher was killed at the start, it may never have received the request, and the tenant
         // stays. In either case exactly one dispatcher owns it.
         let mut owner = None;
-        until(&format!("{tenant} has one owner after move {n}: {}", output_text(&out)), || {
+        wait_until(&format!("{tenant} has one owner after move {n}: {}", output_text(&out)), || {
             let ownership = [installation.ownership(0, tenant), installation.ownership(1, tenant)];
             let settled = |d: usize| ownership[d].as_ref().is_some_and(|s| s.0 == "settled");
             let away = |d: usize| ownership[d].as_ref().is_some_and(|s| s.0 == "away");
@@ -327,7 +328,7 @@
     }
     stop.store(true, Ordering::Relaxed);
     let flood = flood.map_or((0, 0), |f| f.join().unwrap());
-    let sent: Vec<Sent> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
+    let sent: Vec<SubmittedMessage> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     let at_most_once = |key: u64| (key - 1) % 4 < 2;
     let start = Instant::now();
     // Waits until every accepted message has ended, or until after the last deadline.
@@ -349,8 +350,8 @@
 fn a_tenant_that_moves_under_traffic_loses_and_repeats_nothing() {
     let o = run_scenario(&Scenario { seed: 1, moves: 6, kills: 0, flood: 0.0 });
     assert!(o.audit.is_clean(), "{:?}", o.audit);
-    assert_eq!((o.moved, o.audit.told), (6, 0), "{:?}", o.audit);
-    assert!(o.audit.delivered > 50 && o.sent.iter().all(|s| s.taken), "{:?}", o.audit);
+    assert_eq!((o.moved, o.audit.notified), (6, 0), "{:?}", o.audit);
+    assert!(o.audit.delivered > 50 && o.sent.iter().all(|s| s.accepted), "{:?}", o.audit);
 }
 
 /// Guards against a message that is lost, duplicated, out of order or answered twice when source and target
@@ -378,13 +379,13 @@
     for (seed, kills, flood) in [(11, 0, 0.0), (12, 60, 0.0), (13, 100, 0.0), (14, 30, 400.0)] {
         let o = run_scenario(&Scenario { seed, moves: 100, kills, flood });
         let a = &o.audit;
-        let longest = o.sent.iter().map(|s| s.door).max().unwrap();
+        let longest = o.sent.iter().map(|s| s.answer_time).max().unwrap();
         println!(
             "seed {seed}: {} moves completed, {} undone or not begun, {} with a kill; {} messages accepted, {} delivered, {} answered by notice; lost {}, \
              duplicated {}, out of order {}, overlapping {}, answered twice {}; pause of the tenant: p50 {} ms, p90 {} ms, p99 {} ms, \
              maximum {} ms of {}; longest submission {} ms; flood {} submitted, {} rejected",
-            o.moved, o.not_moved, o.killed, a.taken, a.delivered, a.told, a.lost.len(), a.doubled.len(), a.out_of_order.len(),
-            a.overlapping.len(), a.told_twice.len(), o.pauses.value_at_quantile(0.5), o.pauses.value_at_quantile(0.9),
+            o.moved, o.not_moved, o.killed, a.accepted, a.delivered, a.notified, a.lost.len(), a.repeated_effects.len(), a.out_of_order.len(),
+            a.overlapping.len(), a.conflicting_answers.len(), o.pauses.value_at_quantile(0.5), o.pauses.value_at_quantile(0.9),
             o.pauses.value_at_quantile(0.99), o.pauses.max(), o.pauses.len(), longest.as_millis(), o.flood.0, o.flood.1
         );
         assert!(a.is_clean(), "{a:?}");
@@ -392,9 +393,9 @@
 }
 
 /// An endpoint that never answers the message with this id and accepts all others.
-fn silent_for(id: &'static str) -> Worker {
+fn silent_for(id: &'static str) -> EndpointStandIn {
     const OK: Reply = Reply::Answer("200 OK");
-    Worker::start(move |r, _| if r.header("x-txn") == id { Reply::Silence } else { OK })
+    EndpointStandIn::start(move |r, _| if r.header("x-txn") == id { Reply::NoAnswer } else { OK })
 }
 
 /// Guards against a destination that does not answer delaying a move, and against a later message of the key
@@ -407,7 +408,7 @@
     let installation = Installation::start(2, &["acme"], &[endpoint.address]);
     let mut c = installation.client(0);
     assert_eq!(submit(&mut c, 7, "out", &options("reimbursement", "acme", 6_000)), "+OK");
-    until("the attempt is outstanding", || endpoint.of("out") == 1);
+    wait_until("the attempt is outstanding", || endpoint.calls_of("out") == 1);
     let begun = Instant::now();
     assert_eq!(
         submit(&mut c, 7, "next", &options("reimbursement", "acme", 19_000).replace("k=k", "k=n")),
@@ -425,9 +426,9 @@
     let mut new_client = installation.client(1);
     let other = options("reimbursement", "acme", 9_000).replace("k=k", "k=o");
     assert_eq!(submit(&mut new_client, 8, "other-2", &other), "+OK");
-    until("the other key is served", || endpoint.of("other-2") == 1);
+    wait_until("the other key is served", || endpoint.calls_of("other-2") == 1);
     assert_eq!(
-        endpoint.of("next"),
+        endpoint.calls_of("next"),
         0,
         "the next message of the key was sent before the outstanding attempt had ended"
     );
@@ -435,12 +436,12 @@
     // still run.
     let again = submit(&mut new_client, 7, "out-2", &options("reimbursement", "acme", 9_000));
     assert!(again.starts_with("-ERR"), "{again}");
-    until("the next message of the key is sent", || endpoint.of("next") == 1);
+    wait_until("the next message of the key is sent", || endpoint.calls_of("next") == 1);
     assert!(begun.elapsed() >= Duration::from_millis(5_500), "it was sent after {:?}", begun.elapsed());
-    until("the client gets the notice", || {
+    wait_until("the client gets the notice", || {
         installation.notices.lines().iter().any(|l| l.contains("\"out\""))
     });
-    assert_eq!((endpoint.of("out"), endpoint.of("out-2")), (1, 0));
+    assert_eq!((endpoint.calls_of("out"), endpoint.calls_of("out-2")), (1, 0));
     let lines = installation.notices.lines();
     assert!(lines.len() == 1 && lines[0].contains("given_up"), "{lines:?}");
 }
@@ -449,7 +450,7 @@
 /// the move by itself, early enough for the tenant's messages.
 #[test]
 fn a_move_to_a_target_that_is_down_is_undone_by_the_source() {
-    let endpoint = Worker::start(|_, _| Reply::Answer("200 OK"));
+    let endpoint = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
     let mut installation = Installation::start(2, &["acme"], &[endpoint.address]);
     installation.kill(1);
     let begun = Instant::now();
@@ -460,7 +461,9 @@
             Command::new(env!("CARGO_BIN_EXE_lilacbank")).args(args).output().unwrap()
         })
     };
-    until("the move is under way", || installation.ownership(0, "acme").is_some_and(|s| s.0 != "settled"));
+    wait_until("the move is under way", || {
+        installation.ownership(0, "acme").is_some_and(|s| s.0 != "settled")
+    });
     let mut c = installation.client(0);
     let busy = submit(&mut c, 7, "a", &options("approval", "acme", 9_000));
     assert!(busy.starts_with("-BUSY 100"), "{busy}");
@@ -470,7 +473,7 @@
     assert!(begun.elapsed() < Duration::from_secs(12), "{:?}", begun.elapsed());
     installation.wait_for_phase(0, "acme", "settled");
     assert_eq!(submit(&mut c, 7, "b", &options("approval", "acme", 9_000)), "+OK");
-    until("it is delivered by the source", || endpoint.of("b") == 1);
+    wait_until("it is delivered by the source", || endpoint.calls_of("b") == 1);
     // The epoch of the undone move is used up. The target, once back, learns nothing of that move, and the
     // next one succeeds.
     installation.start_dispatcher(1);
@@ -497,14 +500,16 @@
     // The outstanding attempt keeps the tenant draining for a moment, in which the move is aborted.
     let mut c = installation.client(0);
     assert_eq!(submit(&mut c, 7, "out", &options("approval", "acme", 3_000)), "+OK");
-    until("the attempt is outstanding", || endpoint.of("out") >= 1);
+    wait_until("the attempt is outstanding", || endpoint.calls_of("out") >= 1);
     installation.kill(1);
     let map = installation.path("map.toml");
     let tool = thread::spawn(move || {
         let args = ["cell", "move", "--map", &map, "acme", "--to", "n1", "--wait", "14"];
         Command::new(env!("CARGO_BIN_EXE_lilacbank")).args(args).output().unwrap()
     });
-    until("the move is under way", || installation.ownership(0, "acme").is_some_and(|s| s.0 != "settled"));
+    wait_until("the move is under way", || {
+        installation.ownership(0, "acme").is_some_and(|s| s.0 != "settled")
+    });
     assert_success(&installation.cell("abort", "acme", &[]));
     assert_eq!(tool.join().unwrap().status.code(), Some(1));
     installation.wait_for_phase(0, "acme", "settled");
@@ -514,7 +519,9 @@
         let args = ["cell", "move", "--map", &map, "acme", "--to", "n1", "--wait", "14"];
         Command::new(env!("CARGO_BIN_EXE_lilacbank")).args(args).output().unwrap()
     });
-    until("the tenant is offered", || installation.ownership(0, "acme").is_some_and(|s| s.0 == "offered"));
+    wait_until("the tenant is offered", || {
+        installation.ownership(0, "acme").is_some_and(|s| s.0 == "offered")
+    });
     installation.start_dispatcher(1);
     assert_success(&tool.join().unwrap());
     assert_success(&installation.move_tenant("acme", 0));
@@ -522,14 +529,14 @@
     installation.wait_for_phase(1, "acme", "settled");
     installation.wait_for_phase(0, "acme", "away");
     assert_eq!(submit(&mut installation.client(1), 9, "last", &options("approval", "acme", 9_000)), "+OK");
-    until("it is delivered", || endpoint.of("last") == 1);
+    wait_until("it is delivered", || endpoint.calls_of("last") == 1);
 }
 
 /// Guards against a dispatcher that is down affecting tenants of other cells. Its own tenants wait until it
 /// is back and are served by no other dispatcher; a tenant that moved away before is served all the time.
 #[test]
 fn a_cell_without_its_dispatcher_affects_no_other_cell() {
-    let endpoint = Worker::start(|_, _| Reply::Answer("200 OK"));
+    let endpoint = EndpointStandIn::start(|_, _| Reply::Answer("200 OK"));
     let mut installation = Installation::start(2, &["acme", "bolt"], &[endpoint.address]);
     assert_success(&installation.move_tenant("bolt", 1));
     installation.kill(0);
@@ -547,7 +554,7 @@
     for n in 0..20 {
         assert_eq!(submit(&mut c, 8, &format!("b{n}"), &options("approval", "bolt", 9_000)), "+OK");
     }
-    until("the other cell is served", || endpoint.of("b19") == 1);
+    wait_until("the other cell is served", || endpoint.calls_of("b19") == 1);
     let out = installation.cell("move", "acme", &["--to", "n1"]);
     assert!(
         out.status.code() == Some(2),
@@ -558,7 +565,7 @@
     installation.wait_for_phase(0, "acme", "settled");
     installation.wait_for_phase(1, "bolt", "settled");
     assert_eq!(submit(&mut installation.client(0), 7, "a2", &options("approval", "acme", 9_000)), "+OK");
-    until("its tenants are served again", || endpoint.of("a2") == 1);
+    wait_until("its tenants are served again", || endpoint.calls_of("a2") == 1);
 }
 
 /// Guards against an MQTT client that does not learn where its tenant moved, and against the final answer to
@@ -567,24 +574,26 @@
 fn an_mqtt_client_follows_its_tenant_and_gets_its_answers_from_the_new_dispatcher() {
     const OK: Reply = Reply::Answer("200 OK");
     let endpoint =
-        Worker::start(|r, nth| if r.header("x-txn") == "m2" && nth < 2 { Reply::Silence } else { OK });
+        EndpointStandIn::start(
+            |r, nth| if r.header("x-txn") == "m2" && nth < 2 { Reply::NoAnswer } else { OK },
+        );
     let installation = Installation::start(2, &["acme"], &[endpoint.address]);
     let mut c = MqttClient::connect(installation.addresses[0][2], "bank-1");
     let user = |k: &str| format!("class=approval,dest=0,tenant=acme,idempotency-key={k},key=07");
     c.submit("m1", &user("a"), 9);
-    assert_eq!(c.outcome("m1"), "delivered");
+    assert_eq!(c.wait_for_outcome("m1"), "delivered");
     c.submit("m2", &user("b"), 9);
-    until("the attempt is outstanding", || endpoint.of("m2") == 1);
+    wait_until("the attempt is outstanding", || endpoint.calls_of("m2") == 1);
     assert_success(&installation.move_tenant("acme", 1));
     c.submit("m3", &user("c"), 9);
-    assert_eq!(c.outcome("m3"), "handed_back");
+    assert_eq!(c.wait_for_outcome("m3"), "handed_back");
     let answer = c.answers.lock().unwrap().iter().find(|a| a.correlation == b"m3").cloned().unwrap();
-    assert_eq!((answer.get("moved-to"), answer.get("retry-in-ms")), ("n1", "1"));
-    let new_address: SocketAddr = answer.get("server-reference").parse().unwrap();
+    assert_eq!((answer.user_property("moved-to"), answer.user_property("retry-in-ms")), ("n1", "1"));
+    let new_address: SocketAddr = answer.user_property("server-reference").parse().unwrap();
     assert_eq!(new_address, installation.addresses[1][2]);
     c.reconnect(new_address);
     c.submit("m4", &user("c"), 9);
-    assert_eq!(c.outcome("m4"), "delivered");
-    assert_eq!(c.outcome("m2"), "delivered", "the new dispatcher answers the moved message");
-    assert_eq!((c.outcomes("m2").len(), endpoint.of("m2")), (1, 2));
+    assert_eq!(c.wait_for_outcome("m4"), "delivered");
+    assert_eq!(c.wait_for_outcome("m2"), "delivered", "the new dispatcher answers the moved message");
+    assert_eq!((c.outcomes("m2").len(), endpoint.calls_of("m2")), (1, 2));
 }
--- a/tests/mqtt.rs
+++ b/tests/mqtt.rs
@@ -15,28 +15,33 @@
 const SAFE: &str = "class=safe,dest=1,tenant=acme";
 const PAY: &str = "class=pay,dest=1";
 
-fn behind(brokers: &[&Broker]) -> Site {
+fn behind(brokers: &[&Broker]) -> TestInstallation {
     let list = brokers.iter().enumerate();
     let list: Vec<String> = list
-        .map(|(n, b)| entry(&format!("w{n}"), &b.worker(&format!("inbox/{n}")), "a", 1, "in_service"))
+        .map(|(n, b)| {
+            list_entry(&format!("w{n}"), &b.endpoint_address(&format!("inbox/{n}")), "a", 1, "in_service")
+        })
         .collect();
-    let mut site = Site::new(&list);
+    let mut site = TestInstallation::new(&list);
     site.mqtt = true;
     site
 }
 
 #[test]
 fn a_message_goes_through_a_broker_and_its_answer_comes_back() {
-    let broker = Broker::start(|_, _| Does::Answers(200, None));
+    let broker = Broker::start(|_, _| EndpointBehavior::Answer(200, None));
     let site = behind(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("m1", "class=order,dest=1,idempotency-key=5c,key=0a", 10);
-    assert_eq!(c.outcome("m1"), "delivered");
+    assert_eq!(c.wait_for_outcome("m1"), "delivered");
     let call = broker.calls.lock().unwrap()[0].clone();
-    assert_eq!((call.topic.as_str(), call.get("id"), call.get("idempotency-key")), ("inbox/0", "m1", "5c"));
+    assert_eq!(
+        (call.topic.as_str(), call.user_property("id"), call.user_property("idempotency-key")),
+        ("inbox/0", "m1", "5c")
+    );
     assert_eq!(call.body, b"pay \0 this");
-    let left: u64 = call.get("remaining-ms").parse().unwrap();
+    let left: u64 = call.user_property("remaining-ms").parse().unwrap();
     assert!(left <= 10_000 && call.expiry.is_some_and(|s| u64::from(s) * 1000 >= left), "{left}");
     settle();
     assert_eq!(c.outcomes("m1").len(), 1);
@@ -47,21 +52,21 @@
 /// The broker's PUBACK says that the broker has the message, not that the worker took it.
 #[test]
 fn an_acknowledgement_of_the_broker_is_no_delivery() {
-    let broker = Broker::start(|_, _| Does::Silence);
+    let broker = Broker::start(|_, _| EndpointBehavior::NoAnswer);
     let site = behind(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p1", PAY, 1);
-    assert_eq!(c.outcome("p1"), "given_up");
-    assert_eq!(broker.effects_of("p1"), 1);
+    assert_eq!(c.wait_for_outcome("p1"), "given_up");
+    assert_eq!(broker.effect_count("p1"), 1);
 }
 
 #[test]
 fn errors_refusals_and_what_cannot_be_read_are_told_apart() {
-    let broker = Broker::start(|m, _| match m.get("id") {
-        "full" => Does::Answers(503, None),
-        "error" => Does::Answers(500, None),
-        _ => Does::Answers(200, None),
+    let broker = Broker::start(|m, _| match m.user_property("id") {
+        "full" => EndpointBehavior::Answer(503, None),
+        "error" => EndpointBehavior::Answer(500, None),
+        _ => EndpointBehavior::Answer(200, None),
     });
     let site = behind(&[&broker]);
     let d = site.start();
@@ -69,57 +74,61 @@
     for bad in ["class=safe", "class=safe,dest=x", "dest=1", "class=safe,dest=1,key=zz"] {
         c.submit("bad", bad, 5);
     }
-    until("all are acknowledged", || c.acks.lock().unwrap().len() == 4);
+    wait_until("all are acknowledged", || c.acks.lock().unwrap().len() == 4);
     assert_eq!(*c.acks.lock().unwrap(), [PubackReasonCode::PayloadFormatInvalid; 4]);
     c.submit("unknown", "class=none,dest=1", 5);
-    assert_eq!(c.outcome("unknown"), "given_up");
+    assert_eq!(c.wait_for_outcome("unknown"), "given_up");
     c.submit("error", PAY, 5);
-    assert_eq!(c.outcome("error"), "given_up");
+    assert_eq!(c.wait_for_outcome("error"), "given_up");
     c.submit("full", SAFE, 1);
-    assert_eq!(c.outcome("full"), "handed_back");
+    assert_eq!(c.wait_for_outcome("full"), "handed_back");
     c.submit("good", SAFE, 10);
-    assert_eq!(c.outcome("good"), "delivered");
-    assert_eq!((broker.effects_of("error"), broker.effects_of("full")), (1, 0));
+    assert_eq!(c.wait_for_outcome("good"), "delivered");
+    assert_eq!((broker.effect_count("error"), broker.effect_count("full")), (1, 0));
 }
 
 /// Guards against a session that reconnects in the middle of a reimbursement and pays it twice.
 #[test]
 fn a_message_submitted_again_joins_the_one_held_or_gets_its_answer_again() {
     let broker = Broker::start(|m, nth| match nth {
-        0 if m.get("id") == "pay-1" => Does::Silence,
-        _ => Does::Answers(200, None),
+        0 if m.user_property("id") == "pay-1" => EndpointBehavior::NoAnswer,
+        _ => EndpointBehavior::Answer(200, None),
     });
     let site = behind(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("pay-1", PAY, 3);
-    until("it is out", || broker.effects_of("pay-1") == 1);
+    wait_until("it is out", || broker.effect_count("pay-1") == 1);
     c.reconnect(d.mqtt.unwrap());
     c.submit("pay-1", PAY, 3);
-    assert_eq!(c.outcome("pay-1"), "given_up");
+    assert_eq!(c.wait_for_outcome("pay-1"), "given_up");
     c.submit("pay-1", PAY, 3);
-    until("the answer is told again", || c.outcomes("pay-1").len() == 2);
+    wait_until("the answer is told again", || c.outcomes("pay-1").len() == 2);
     c.submit("pay-2", PAY, 10);
-    assert_eq!(c.outcome("pay-2"), "delivered");
+    assert_eq!(c.wait_for_outcome("pay-2"), "delivered");
     let mut other = MqttClient::connect(d.mqtt.unwrap(), "bank-2");
     other.submit("pay-2", PAY, 10);
-    assert_eq!(other.outcome("pay-2"), "delivered", "another client's message of that id is another message");
+    assert_eq!(
+        other.wait_for_outcome("pay-2"),
+        "delivered",
+        "another client's message of that id is another message"
+    );
     d.kill();
     let d = site.start();
     c.reconnect(d.mqtt.unwrap());
     c.submit("pay-1", PAY, 3);
     c.submit("pay-2", PAY, 3);
-    until("both answers are told again after a restart", || {
+    wait_until("both answers are told again after a restart", || {
         c.outcomes("pay-1").len() == 3 && c.outcomes("pay-2").len() == 2
     });
     assert!(c.outcomes("pay-1").iter().all(|o| o == "given_up"));
     settle();
-    assert_eq!((broker.effects_of("pay-1"), broker.effects_of("pay-2")), (1, 2));
+    assert_eq!((broker.effect_count("pay-1"), broker.effect_count("pay-2")), (1, 2));
 }
 
 /// The calls with this id, in order.
 fn calls_of(broker: &Broker, id: &str) -> Vec<Instant> {
-    broker.calls.lock().unwrap().iter().filter(|m| m.get("id") == id).map(|m| m.at).collect()
+    broker.calls.lock().unwrap().iter().filter(|m| m.user_property("id") == id).map(|m| m.at).collect()
 }
 
 /// A worker behind a broker sees nothing of a session's end: the next attempt waits for as long as an end is waited for at
@@ -127,60 +136,78 @@
 #[test]
 fn the_next_attempt_through_a_broker_waits_behind_the_end_of_the_session() {
     let bound = Duration::from_millis(CONFIRM_TIMEOUT as u64);
-    let broken = Broker::start(|_, nth| if nth == 0 { Does::Broken } else { Does::Answers(200, None) });
-    let silent = Broker::start(|_, nth| if nth == 0 { Does::Silence } else { Does::Answers(200, None) });
+    let broken = Broker::start(|_, nth| {
+        if nth == 0 {
+            EndpointBehavior::BrokenAfterRun
+        } else {
+            EndpointBehavior::Answer(200, None)
+        }
+    });
+    let silent = Broker::start(|_, nth| {
+        if nth == 0 {
+            EndpointBehavior::NoAnswer
+        } else {
+            EndpointBehavior::Answer(200, None)
+        }
+    });
     for broker in [&broken, &silent] {
         let site = behind(&[broker]);
         let d = site.start();
         let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
         c.submit("m", SAFE, 10);
-        until("it is tried again", || calls_of(broker, "m").len() == 2);
+        wait_until("it is tried again", || calls_of(broker, "m").len() == 2);
         let again = calls_of(broker, "m")[1];
-        let ended = *broker.ended.lock().unwrap().first().expect("the first session has ended");
+        let ended = *broker.session_ends.lock().unwrap().first().expect("the first session has ended");
         // The broker sees the end a while after it was made.
         assert!(again.duration_since(ended) > bound / 2, "{:?} after its end", again.duration_since(ended));
-        assert_eq!(c.outcome("m"), "delivered");
+        assert_eq!(c.wait_for_outcome("m"), "delivered");
     }
 }
 
 /// What was out when the process died may have run: it is not paid again, and its client hears of it.
 #[test]
 fn a_kill_in_the_middle_of_a_reimbursement_ends_it() {
-    let broker = Broker::start(|_, _| Does::Silence);
+    let broker = Broker::start(|_, _| EndpointBehavior::NoAnswer);
     let site = behind(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p", PAY, 20);
-    until("it is out", || broker.effects_of("p") == 1);
+    wait_until("it is out", || broker.effect_count("p") == 1);
     d.kill();
     let d = site.start();
     c.reconnect(d.mqtt.unwrap());
-    assert_eq!(c.outcome("p"), "given_up");
+    assert_eq!(c.wait_for_outcome("p"), "given_up");
     settle();
-    assert_eq!((broker.effects_of("p"), c.outcomes("p").len()), (1, 1));
+    assert_eq!((broker.effect_count("p"), c.outcomes("p").len()), (1, 1));
 }
 
 /// A session that is lost once the PUBLISH is written: the message may have run.
 #[test]
 fn a_lost_session_is_a_reset() {
-    let broker = Broker::start(|_, nth| if nth < 2 { Does::Broken } else { Does::Answers(200, None) });
+    let broker = Broker::start(|_, nth| {
+        if nth < 2 {
+            EndpointBehavior::BrokenAfterRun
+        } else {
+            EndpointBehavior::Answer(200, None)
+        }
+    });
     let site = behind(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p", PAY, 10);
-    assert_eq!(c.outcome("p"), "given_up");
+    assert_eq!(c.wait_for_outcome("p"), "given_up");
     c.submit("s", SAFE, 10);
-    assert_eq!(c.outcome("s"), "delivered");
-    assert_eq!((broker.effects_of("p"), broker.effects_of("s")), (1, 2));
+    assert_eq!(c.wait_for_outcome("s"), "delivered");
+    assert_eq!((broker.effect_count("p"), broker.effect_count("s")), (1, 2));
 }
 
 /// Sessions on both sides are lost at random, from a seed: effects and final answers are counted.
 #[test]
 fn with_sessions_lost_at_random_every_message_has_one_end_and_none_is_paid_twice() {
     let broker = Broker::start(|m, nth| match (nth * 7919 + m.body.len()) % 11 {
-        0 | 4 => Does::Lost,
-        7 => Does::Broken,
-        _ => Does::Answers(200, None),
+        0 | 4 => EndpointBehavior::LostBeforeDelivery,
+        7 => EndpointBehavior::BrokenAfterRun,
+        _ => EndpointBehavior::Answer(200, None),
     });
     let site = behind(&[&broker, &broker]);
     let mut d = site.start();
@@ -217,12 +244,12 @@
         c.submit(&format!("m{n}"), &options(n), 20);
     }
     for n in 0..ALL {
-        c.outcome(&format!("m{n}"));
+        c.wait_for_outcome(&format!("m{n}"));
     }
     settle();
     for n in 0..ALL {
         let id = format!("m{n}");
-        let (told, effects) = (c.outcomes(&id), broker.effects_of(&id));
+        let (told, effects) = (c.outcomes(&id), broker.effect_count(&id));
         assert!(told.iter().all(|o| *o == told[0]), "{id} was told {told:?}");
         assert!(told[0] != "delivered" || effects > 0, "{id} was told delivered");
         assert!(n % 3 != 0 || effects <= 1, "{id} was paid {effects} times");
@@ -232,37 +259,37 @@
 
 #[test]
 fn a_worker_behind_a_broker_that_drains_gets_nothing_new_and_a_restart_serves_what_was_held() {
-    let [a, b] = [0, 1].map(|_| Broker::start(|_, _| Does::Answers(200, None)));
+    let [a, b] = [0, 1].map(|_| Broker::start(|_, _| EndpointBehavior::Answer(200, None)));
     let site = behind(&[&a, &b]);
     let mut d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("before", PAY, 10);
-    assert_eq!(c.outcome("before"), "delivered");
-    site.platform.push(&entry("w0", &a.worker("inbox/0"), "a", 1, "terminating"));
+    assert_eq!(c.wait_for_outcome("before"), "delivered");
+    site.platform.publish_change(&list_entry("w0", &a.endpoint_address("inbox/0"), "a", 1, "terminating"));
     std::thread::sleep(Duration::from_millis(1_000));
     let had = a.calls.lock().unwrap().len();
     (0..8).for_each(|n| c.submit(&format!("n{n}"), PAY, 10));
-    (0..8).for_each(|n| assert_eq!(c.outcome(&format!("n{n}")), "delivered"));
+    (0..8).for_each(|n| assert_eq!(c.wait_for_outcome(&format!("n{n}")), "delivered"));
     assert_eq!(a.calls.lock().unwrap().len(), had);
     // With no worker left, what is held goes over to the next process.
-    site.platform.push(&entry("w1", &b.worker("inbox/1"), "a", 1, "terminating"));
+    site.platform.publish_change(&list_entry("w1", &b.endpoint_address("inbox/1"), "a", 1, "terminating"));
     std::thread::sleep(Duration::from_millis(1_000));
     c.submit("held", "class=order,dest=1,idempotency-key=7", 20);
-    until("it is taken on", || c.acks.lock().unwrap().len() == 10);
+    wait_until("it is taken on", || c.acks.lock().unwrap().len() == 10);
     d.signal("-TERM");
-    d.ended();
+    d.wait_for_success();
     assert_eq!(c.outcomes("held").len(), 0);
-    site.platform.push(&entry("w1", &b.worker("inbox/1"), "a", 1, "in_service"));
+    site.platform.publish_change(&list_entry("w1", &b.endpoint_address("inbox/1"), "a", 1, "in_service"));
     let d = site.start();
     c.reconnect(d.mqtt.unwrap());
-    assert_eq!(c.outcome("held"), "delivered");
-    assert_eq!(b.effects_of("held"), 1);
+    assert_eq!(c.wait_for_outcome("held"), "delivered");
+    assert_eq!(b.effect_count("held"), 1);
 }
 
 /// Bytes that are nearly MQTT, from a seed: no session but their own ends.
 #[test]
 fn malformed_packets_harm_nobody_else() {
-    let broker = Broker::start(|_, _| Does::Answers(200, None));
+    let broker = Broker::start(|_, _| EndpointBehavior::Answer(200, None));
     let site = behind(&[&broker]);
     let mut d = site.start();
     let mut good = MqttClient::connect(d.mqtt.unwrap(), "good");
@@ -288,14 +315,14 @@
         let _ = tcp.read(&mut [0; 64]);
     }
     good.submit("after", PAY, 10);
-    assert_eq!(good.outcome("after"), "delivered");
-    assert!(d.running());
+    assert_eq!(good.wait_for_outcome("after"), "delivered");
+    assert!(d.is_running());
 }
 
 /// Guards against a crowd that connects and says nothing, or half a CONNECT, shutting out the usual clients.
 #[test]
 fn silent_sessions_are_ended_in_time_and_push_nobody_out() {
-    let broker = Broker::start(|_, _| Does::Answers(200, None));
+    let broker = Broker::start(|_, _| EndpointBehavior::Answer(200, None));
     let site = behind(&[&broker]);
     let d = site.start();
     let mut old = MqttClient::connect(d.mqtt.unwrap(), "old");
@@ -306,38 +333,38 @@
     }
     let mut new = MqttClient::connect(d.mqtt.unwrap(), "new");
     new.submit("n", PAY, 10);
-    assert_eq!(new.outcome("n"), "delivered");
+    assert_eq!(new.wait_for_outcome("n"), "delivered");
     old.submit("o", PAY, 10);
-    assert_eq!(old.outcome("o"), "delivered");
+    assert_eq!(old.wait_for_outcome("o"), "delivered");
     for tcp in &mut crowd {
-        tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+        tcp.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         assert_eq!(tcp.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a word");
     }
     assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
     old.submit("p", "class=safe,dest=77", 10);
-    assert_eq!(old.outcome("p"), "handed_back", "a destination that no list names");
+    assert_eq!(old.wait_for_outcome("p"), "handed_back", "a destination that no list names");
 }
 
 /// Clients of both fronts at one worker that is full: its wait holds for all of them.
 #[test]
 fn a_full_worker_is_left_alone_by_both_fronts() {
     let broker = Broker::start(|_, nth| match nth {
-        0 => Does::Answers(429, Some("0.8")),
-        _ => Does::Answers(200, None),
+        0 => EndpointBehavior::Answer(429, Some("0.8")),
+        _ => EndpointBehavior::Answer(200, None),
     });
     let site = behind(&[&broker]);
     let mut d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     let mut resp = d.client();
     c.submit("q0", PAY, 10);
-    d.counts("1 refused");
+    d.wait_for_counters("1 refused");
     for n in 1..6 {
         c.submit(&format!("q{n}"), SAFE, 10);
         assert_eq!(resp.submit(&format!("r{n}"), "c=pay,dest=1"), "+OK");
     }
     let ids = |front: &str| (1..6).map(|n| format!("{front}{n}")).collect::<Vec<_>>();
-    until("all are done", || ids("r").iter().chain(&ids("q")).all(|id| broker.effects_of(id) > 0));
-    (0..6).for_each(|n| assert_eq!(c.outcome(&format!("q{n}")), "delivered"));
+    wait_until("all are done", || ids("r").iter().chain(&ids("q")).all(|id| broker.effect_count(id) > 0));
+    (0..6).for_each(|n| assert_eq!(c.wait_for_outcome(&format!("q{n}")), "delivered"));
     settle();
     let calls = broker.calls.lock().unwrap();
     let gap = calls[1].at - calls[0].at;
@@ -346,7 +373,7 @@
     ids("r")
         .iter()
         .chain(["q0".to_string()].iter())
-        .for_each(|id| assert_eq!(broker.effects_of(id), 1, "{id}"));
+        .for_each(|id| assert_eq!(broker.effect_count(id), 1, "{id}"));
     assert!((0..6).all(|n| c.outcomes(&format!("q{n}")).len() == 1));
     assert!(site.platform.notices.lock().unwrap().is_empty());
 }
--- a/tests/overlaps.rs
+++ b/tests/overlaps.rs
@@ -5,7 +5,7 @@
 mod stand;
 use lilacbank_load::attempts::{overlapping, Attempt, EndedBy};
 use lilacbank_load::connection_fault::{ConnectionFault, FaultPlan};
-use lilacbank_load::member::{Endpoint, Manner};
+use lilacbank_load::member::{Endpoint, EndpointConfig};
 use lilacbank_rig::{Fault, Proxy};
 use stand::*;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 /// The number of clients, each of which submits one message after another.
 const CLIENTS: usize = 8;
 
-fn manner(service_ms: u64) -> Manner {
-    Manner { service: Duration::from_millis(service_ms), at_once: 64, queue: 256 }
+fn manner(service_ms: u64) -> EndpointConfig {
+    EndpointConfig { service_time: Duration::from_millis(service_ms), concurrency: 64, queue_capacity: 256 }
 }
 
 /// A site whose endpoint list has these endpoints of one destination.
-fn site_of(addresses: &[SocketAddr]) -> Site {
+fn site_of(addresses: &[SocketAddr]) -> TestInstallation {
     let entries: Vec<String> = addresses
         .iter()
         .enumerate()
-        .map(|(n, at)| entry(&format!("w{n}"), &at.to_string(), "a", 1, "in_service"))
+        .map(|(n, at)| list_entry(&format!("w{n}"), &at.to_string(), "a", 1, "in_service"))
         .collect();
-    Site::new(&entries)
+    TestInstallation::new(&entries)
 }
 
 /// A dispatcher in front of these endpoints of one destination.
-fn serve(addresses: &[SocketAddr]) -> (Site, Dispatcher) {
+fn serve(addresses: &[SocketAddr]) -> (TestInstallation, Dispatcher) {
     let site = site_of(addresses);
     let dispatcher = site.start();
     (site, dispatcher)
@@ -47,7 +47,7 @@
                 for n in 0..count / CLIENTS {
                     let (id, class) = (format!("m{who}-{n}"), CLASSES[n % CLASSES.len()]);
                     let key = format!("{:x}", who * count + n + 1);
-                    let reply = client.keyed(&key, &id, &format!("c={class},d=5000,k={id},dest=1"));
+                    let reply = client.submit_with_key(&key, &id, &format!("c={class},d=5000,k={id},dest=1"));
                     assert!(reply.starts_with('+') || reply.starts_with("-BUSY"), "{reply}");
                     thread::sleep(gap);
                 }
@@ -90,10 +90,10 @@
 impl FaultyEndpoints {
     fn new(fault: ConnectionFault) -> FaultyEndpoints {
         let endpoints: Vec<Endpoint> = (0..2).map(|_| Endpoint::start(manner(25)).unwrap()).collect();
-        let plan = FaultPlan { faults: vec![fault], one_in: 6, read_later: Duration::from_millis(10) };
+        let plan = FaultPlan { faults: vec![fault], one_in: 6, read_delay: Duration::from_millis(10) };
         endpoints.iter().for_each(|e| e.set_faults(Some(plan.clone())));
         let slow_path = Proxy::start(endpoints[1].address).unwrap();
-        slow_path.set(Fault::Delay(Duration::from_millis(10)));
+        slow_path.set_fault(Fault::Delay(Duration::from_millis(10)));
         FaultyEndpoints { endpoints, slow_path }
     }
 
@@ -109,7 +109,7 @@
 /// still reads the previous request or is in the middle of a call that continues.
 #[test]
 fn an_endpoint_that_half_closes_has_no_overlapping_attempts() {
-    for fault in [ConnectionFault::HalfCloseAsCallCrosses, ConnectionFault::HalfCloseInCall] {
+    for fault in [ConnectionFault::HalfCloseOnRequest, ConnectionFault::HalfCloseDuringCall] {
         let attempts = FaultyEndpoints::new(fault).run();
         assert!(ended_by(&attempts, EndedBy::Caller) > 20, "{fault:?}: {}", attempts.len());
         assert_no_overlap(&attempts);
@@ -120,7 +120,7 @@
 /// has noticed the end of its call.
 #[test]
 fn endpoints_that_reset_calls_have_no_overlapping_attempts() {
-    let attempts = FaultyEndpoints::new(ConnectionFault::ResetInCall).run();
+    let attempts = FaultyEndpoints::new(ConnectionFault::ResetDuringCall).run();
     assert!(ended_by(&attempts, EndedBy::Endpoint) > 20, "{}", ended_by(&attempts, EndedBy::Endpoint));
     assert_no_overlap(&attempts);
 }
@@ -132,7 +132,7 @@
     // The first endpoint is so slow that its calls are cancelled; the other one answers quickly.
     let endpoints = [Endpoint::start(manner(3_000)).unwrap(), Endpoint::start(manner(8)).unwrap()];
     let slow_path = Proxy::start(endpoints[0].address).unwrap();
-    slow_path.set(Fault::Delay(Duration::from_millis(30)));
+    slow_path.set_fault(Fault::Delay(Duration::from_millis(30)));
     let (_site, dispatcher) = serve(&[slow_path.address, endpoints[1].address]);
     submit_messages(dispatcher.address(), 160, Duration::from_millis(20));
     let attempts = attempts(&endpoints);
@@ -147,7 +147,7 @@
     for _ in 0..3 {
         let endpoints: Vec<Endpoint> = (0..2).map(|_| Endpoint::start(manner(900)).unwrap()).collect();
         let slow_path = Proxy::start(endpoints[0].address).unwrap();
-        slow_path.set(Fault::Delay(Duration::from_millis(120)));
+        slow_path.set_fault(Fault::Delay(Duration::from_millis(120)));
         let (site, first) = serve(&[slow_path.address, endpoints[1].address]);
         let mut client = first.client();
         // Both processes listen on the same address; a new client may reach either.
@@ -155,7 +155,7 @@
         for n in 0..6 {
             assert_eq!(client.submit(&format!("m{n}"), "c=safe,d=5000,dest=1"), "+OK");
         }
-        until("some attempts have reached the slow endpoint", || endpoints[0].attempts().len() >= 2);
+        wait_until("some attempts have reached the slow endpoint", || endpoints[0].attempts().len() >= 2);
         first.kill();
         let attempts = attempts(&endpoints);
         assert!(ended_by(&attempts, EndedBy::Caller) > 0, "no attempt was outstanding at the kill");
@@ -169,7 +169,7 @@
 fn failover_ms(attempts: &[Attempt], quantile: f64) -> f64 {
     let mut all: Vec<f64> = Vec::new();
     let mut starts_by_id: std::collections::BTreeMap<&str, Vec<std::time::Instant>> = Default::default();
-    attempts.iter().for_each(|a| starts_by_id.entry(a.id.as_str()).or_default().push(a.began));
+    attempts.iter().for_each(|a| starts_by_id.entry(a.id.as_str()).or_default().push(a.began_at));
     for times in starts_by_id.values_mut().filter(|t| t.len() > 1) {
         times.sort();
         all.push(times[1].duration_since(times[0]).as_secs_f64() * 1e3);
@@ -194,13 +194,13 @@
         );
     };
     use ConnectionFault::*;
-    for fault in [HalfCloseAsCallCrosses, HalfCloseInCall, ResetInCall, ResetAsCallCrosses, Forget] {
+    for fault in [HalfCloseOnRequest, HalfCloseDuringCall, ResetDuringCall, ResetOnRequest, StopServing] {
         print(&format!("{fault:?}"), &FaultyEndpoints::new(fault).run());
     }
     for delay in [1, 30] {
         let endpoints = [Endpoint::start(manner(3_000)).unwrap(), Endpoint::start(manner(8)).unwrap()];
         let slow_path = Proxy::start(endpoints[0].address).unwrap();
-        slow_path.set(Fault::Delay(Duration::from_millis(delay)));
+        slow_path.set_fault(Fault::Delay(Duration::from_millis(delay)));
         let (_site, dispatcher) = serve(&[slow_path.address, endpoints[1].address]);
         submit_messages(dispatcher.address(), 160, Duration::from_millis(20));
         print(&format!("cancelled on a path of {delay} ms"), &attempts(&endpoints));
