--- a/crates/cells/src/bulkhead.rs
+++ b/crates/cells/src/bulkhead.rs
@@ -2,10 +2,10 @@
 //! idle units are lent to other cells and taken back when their owner needs them.
 //!
 //! There are two kinds of capacity. Units that can be returned at once, such as a held message that never
-//! ran, may all be lent: when the owner needs one, [`Pool::take`] names the cell that must return one. Units
+//! ran, may all be lent: when the owner needs one, [`CapacityPool::acquire`] names the cell that must return one. Units
 //! that cannot be revoked, such as the slot of a running attempt, are lent only beyond a reserve for each
-//! idle owner and beyond what that owner has needed recently ([`Pool::keep`]). An owner with steady load
-//! therefore never waits. An owner whose load rises finds the reserve at once and the remainder as the
+//! idle owner and beyond what that owner has needed recently ([`CapacityPool::set_recent_need`]). An owner with
+//! steady load therefore never waits. An owner whose load rises finds the reserve at once and the remainder as the
 //! borrowers' attempts end; until then no returned unit is lent again.
 
 /// A cell, by its index in the cell map.
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The result that [`Pool::take`] would return now.
+    /// The result that [`CapacityPool::acquire`] would return now.
     pub fn check(&self, cell: CellIndex) -> Acquisition {
         let Some(allocation) = self.allocations.get(cell) else { return Acquisition::Denied };
         let free = self.free();
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Takes a unit. After [`Grant::After`] the named cell's unit counts as returned already, and the host
-    /// has to make sure that it is.
+    /// Takes a unit. After [`Acquisition::AfterRevoking`] the named cell's unit counts as returned already, and the
+    /// host has to make sure that it is.
     pub fn acquire(&mut self, cell: CellIndex) -> Acquisition {
         let grant = self.check(cell);
         if let Acquisition::AfterRevoking(other) = grant {
--- a/crates/cells/src/moving.rs
+++ b/crates/cells/src/moving.rs
@@ -14,8 +14,8 @@
 //! its epoch. A peer message with an epoch other than the current one is out of date, and a dispatcher that
 //! sees a higher epoch than its own has been superseded and stops.
 //!
-//! [`Seat::step`] is the complete state machine. The host records the new state **before** it carries out the
-//! orders. The tests explore this very code with a model checker; [`Faults`] are protocol violations that the
+//! [`TenantOwnership::handle`] is the complete state machine. The host records the new state **before** it carries
+//! out the orders. The tests explore this very code with a model checker; [`Faults`] are protocol violations that the
 //! checker must detect.
 
 use std::fmt;
--- a/crates/cells/src/wire.rs
+++ b/crates/cells/src/wire.rs
@@ -2,7 +2,7 @@
 //! prost.
 //!
 //! On a connection each peer message is a frame: its length as a protobuf varint, then an [`Envelope`].
-//! [`Frames`] splits received bytes into envelopes; it does no I/O. Unknown fields are skipped. An envelope
+//! [`FrameDecoder`] splits received bytes into envelopes; it does no I/O. Unknown fields are skipped. An envelope
 //! of an unsupported version is an error, because the fields that this version lacks may be essential.
 
 use crate::moving::{HandoffMessage, Phase, TenantOwnership};
@@ -185,23 +185,23 @@
 pub enum MessageKind {
     /// No kind; never sent.
     None = 0,
-    /// See [`Word::Offer`].
+    /// See [`HandoffMessage::Offer`].
     Offer = 1,
-    /// See [`Word::Received`].
+    /// See [`HandoffMessage::OfferRecorded`].
     Received = 2,
-    /// See [`Word::Commit`].
+    /// See [`HandoffMessage::Commit`].
     Commit = 3,
-    /// See [`Word::Settled`].
+    /// See [`HandoffMessage::CommitAcknowledged`].
     Settled = 4,
-    /// See [`Word::Cancel`].
+    /// See [`HandoffMessage::Withdraw`].
     Cancel = 5,
-    /// See [`Word::Unknown`].
+    /// See [`HandoffMessage::UnknownOffer`].
     Unknown = 6,
-    /// See [`Word::Stale`].
+    /// See [`HandoffMessage::StaleEpoch`].
     Stale = 7,
-    /// See [`Word::Query`].
+    /// See [`HandoffMessage::Query`].
     Query = 8,
-    /// See [`Word::Claim`].
+    /// See [`HandoffMessage::Claim`].
     Claim = 9,
     /// The offer cannot be accepted: there is no room for it, or it has names that are unknown to the sender.
     NoRoom = 10,
@@ -255,7 +255,7 @@
 /// Why received bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WireError {
-    /// A frame declares this length, which exceeds [`FRAME_MOST`].
+    /// A frame declares this length, which exceeds [`MAX_FRAME_BYTES`].
     TooLong(u64),
     /// The length or the body of a frame is not valid protobuf.
     Malformed(String),
--- a/crates/limits/src/ceilings.rs
+++ b/crates/limits/src/ceilings.rs
@@ -53,7 +53,7 @@
     pub destination: u64,
     /// The endpoint's id if each endpoint has a window of its own, else empty.
     pub endpoint: String,
-    /// When, by the wall clock in milliseconds; for [`Step::Written`] the latest possible arrival.
+    /// When, by the wall clock in milliseconds; for [`CallStep::Written`] the latest possible arrival.
     pub at: Ms,
     /// The number of calls.
     pub calls: u32,
@@ -145,7 +145,7 @@
 #[derive(Debug, Default)]
 pub struct RateLimiter {
     destinations: BTreeMap<u64, Destination>,
-    /// Destinations whose room may have changed since the last [`Ceilings::changed`].
+    /// Destinations whose room may have changed since the last [`RateLimiter::take_changed`].
     dirty: BTreeSet<u64>,
     /// Times, in milliseconds, at which places that a message waits for are freed, with the destination.
     due: BTreeSet<(u64, u64)>,
@@ -206,8 +206,8 @@
         self.dirty.extend(old.keys());
     }
 
-    /// Starts a call or a probe if it fits. The caller then has to report it to [`Ceilings::written`] and
-    /// [`Ceilings::ended`].
+    /// Starts a call or a probe if it fits. The caller then has to report it to [`RateLimiter::call_written`] and
+    /// [`RateLimiter::call_ended`].
     pub fn start_call(&mut self, now: Ms, dest: u64, endpoint: &str) -> Result<(), LimitExceeded> {
         let Some(m) = self.destinations.get_mut(&dest) else { return Ok(()) };
         let room = m.room(now, endpoint);
@@ -247,7 +247,7 @@
         self.dirty.insert(dest);
     }
 
-    /// A call or probe has ended and its connection is free; `written` is whether [`Ceilings::written`]
+    /// A call or probe has ended and its connection is free; `written` is whether [`RateLimiter::call_written`]
     /// was called for it.
     pub fn call_ended(&mut self, dest: u64, endpoint: &str, written: bool) {
         let Some(m) = self.destinations.get_mut(&dest) else { return };
@@ -320,7 +320,7 @@
         self.due.insert((at.ceil() as u64, dest));
     }
 
-    /// When [`Ceilings::changed`] next returns a destination by itself.
+    /// When [`RateLimiter::take_changed`] next returns a destination by itself.
     pub fn next_due(&self) -> Option<Ms> {
         if !self.dirty.is_empty() {
             return Some(0.0);
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! A destination accepts a number of calls in any time span and a number of connections to an endpoint, from
 //! all its clients together. A dispatcher that runs next to an application is assigned a share of both.
-//! [`Ceilings`] counts what is sent against that share: calls and probes, including retries, and connections
+//! [`RateLimiter`] counts what is sent against that share: calls and probes, including retries, and connections
 //! whether busy or idle. It opens no connection and reads no clock: the host passes the time in and reports
-//! what it does. What exceeds the share is not sent; [`Ceilings::room`] returns how much fits now and when
+//! what it does. What exceeds the share is not sent; [`RateLimiter::room`] returns how much fits now and when
 //! more will, for planning.
 //!
 //! # How a call is counted
@@ -17,7 +17,7 @@
 //!
 //! # Restarts
 //!
-//! The host records [`Spent`] before anything is sent, and passes the records to [`Ceilings::restore`] in the
+//! The host records [`CallRecord`] before anything is sent, and passes the records to [`RateLimiter::restore`] in the
 //! next process. A call of which only the start was recorded may have arrived at any time before the restart,
 //! and is counted as if it had arrived at the restart.
 #![forbid(unsafe_code)]
--- a/crates/limits/src/ramp.rs
+++ b/crates/limits/src/ramp.rs
@@ -85,7 +85,7 @@
         })
     }
 
-    /// As [`Memory::all`], with the time of the newest evidence of each destination.
+    /// As [`HealthTracker::all`], with the time of the newest evidence of each destination.
     pub fn all_with_time(&self, now: Ms) -> impl Iterator<Item = (&str, Health, Ms)> {
         let newest = move |member: &str| {
             self.0.get(member).map_or(now, |(h, at, _)| h.unavailable_since.unwrap_or(*at).max(*at))
--- a/crates/replica/src/keeper.rs
+++ b/crates/replica/src/keeper.rs
@@ -5,7 +5,7 @@
 //! **Leases.** Each dispatcher sends every peer a heartbeat each [`HEARTBEAT_INTERVAL_MS`], and the peer
 //! answers it. An owner acts on a message only while every other dispatcher with a copy has answered within
 //! [`LEASE_MS`] or counts as gone. A dispatcher counts a peer as gone only if it received nothing from it for
-//! [`GONE_AFTER`], which is longer than the lease, and only while it has valid leases of a majority
+//! [`PEER_GONE_AFTER_MS`], which is longer than the lease, and only while it has valid leases of a majority
 //! of the installation itself. Both sides of a network partition therefore accept messages, each with holders
 //! on its own side, and only the majority side acts on a message that has copies on both.
 //!
@@ -165,8 +165,8 @@
 #[derive(Debug, Default)]
 struct Peer {
     address: Option<String>,
-    /// The number that identifies the peer's current incarnation ([`Spec::born`]); 0 before anything was
-    /// received from it.
+    /// The number that identifies the peer's current incarnation ([`ReplicationConfig::incarnation_id`]); 0 before
+    /// anything was received from it.
     incarnation: u64,
     last_received: Option<Ms>,
     /// When the heartbeat that it answered last was sent.
@@ -225,7 +225,7 @@
     /// Own messages restored from an earlier incarnation whose outcome is not known yet.
     unsettled: BTreeSet<String>,
     settle_deadline: Option<Ms>,
-    /// Since when a majority of the installation has answered, see [`Keeper::has_majority`].
+    /// Since when a majority of the installation has answered, see [`Replicator::has_majority`].
     majority_since: Option<Ms>,
     /// Messages that peers were asked about: the peers that have not answered, and the time limit.
     queries: BTreeMap<String, (BTreeSet<String>, Ms)>,
@@ -526,7 +526,7 @@
     }
 
     /// Asks the reachable peers about a message that is unknown here; false if there is none to ask.
-    /// [`News::Looked`] reports that they have answered.
+    /// [`ReplicationEvent::QueryFinished`] reports that they have answered.
     pub fn query_peers(&mut self, now: Ms, id: &str) -> bool {
         let asked: BTreeSet<String> =
             self.peers.iter().filter(|(_, p)| p.answering && p.has_lease(now)).map(|p| p.0.clone()).collect();
@@ -608,7 +608,7 @@
         }
     }
 
-    /// When [`Keeper::tick`] has work to do.
+    /// When [`Replicator::tick`] has work to do.
     pub fn next_due(&self) -> Ms {
         let heartbeats =
             self.peers.values().map(|p| p.heartbeat_due).chain(self.queries.values().map(|l| l.1));
--- a/crates/replica/src/view.rs
+++ b/crates/replica/src/view.rs
@@ -29,6 +29,8 @@
 
 /// A dispatcher as its peers know it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Node")]
 pub struct PeerIdentity {
     /// Its name.
     pub name: String,
--- a/crates/replica/src/wire.rs
+++ b/crates/replica/src/wire.rs
@@ -16,10 +16,10 @@
 /// A copy of a message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireCopy {
-    /// See [`Copy::id`].
+    /// See [`MessageCopy::id`].
     #[prost(string, tag = "1")]
     pub id: String,
-    /// See [`Copy::holders`].
+    /// See [`MessageCopy::holders`].
     #[prost(string, repeated, tag = "2")]
     pub holders: Vec<String>,
     /// The fence's epoch.
@@ -34,7 +34,7 @@
     /// The delay before the client may submit a returned message again, in milliseconds.
     #[prost(uint64, tag = "6")]
     pub retry_after_ms: u64,
-    /// See [`Content`].
+    /// See [`MessageContent`].
     #[prost(string, tag = "7")]
     pub client: String,
     /// The class of the message.
@@ -70,7 +70,7 @@
     /// Whether it must not run twice (at-most-once).
     #[prost(bool, tag = "18")]
     pub at_most_once: bool,
-    /// See [`Content::arbiter_born`].
+    /// See [`MessageContent::arbiter_incarnation`].
     #[prost(fixed64, tag = "19")]
     pub arbiter_incarnation: u64,
 }
@@ -249,7 +249,7 @@
     /// The name of the sender.
     #[prost(string, tag = "3")]
     pub from: String,
-    /// The number that identifies the sender's incarnation, see [`crate::keeper::Spec::born`].
+    /// The number that identifies the sender's incarnation, see [`crate::keeper::ReplicationConfig::incarnation_id`].
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
     /// The payload.
@@ -260,7 +260,7 @@
 /// Why a frame is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// Its length exceeds [`FRAME_MOST`].
+    /// Its length exceeds [`MAX_FRAME_BYTES`].
     TooLong,
     /// Its checksum is wrong.
     ChecksumMismatch,
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,5 +1,5 @@
 //! Checks that compare several values: within one file, between an application and its agreements, and across
-//! all files of one machine. This module does no I/O; the state of the disk comes from a [`Folders`]
+//! all files of one machine. This module does no I/O; the state of the disk comes from a [`FolderInspector`]
 //! implementation.
 
 use crate::agreement::{Agreement, Area, MemberKind, Repeats};
--- a/crates/settings/src/served.rs
+++ b/crates/settings/src/served.rs
@@ -460,6 +460,8 @@
 /// The complete configuration file of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Served")]
 pub struct DispatcherConfig {
     /// The dispatcher's name.
     pub name: String,
--- a/src/api.rs
+++ b/src/api.rs
@@ -22,7 +22,7 @@
 pub enum Effect {
     /// Idempotent: may be repeated.
     Idempotent,
-    /// Deduplicated: repeats are dropped for `window`, by every endpoint of the destination or by those of
+    /// Deduplicated: repeats are dropped for `dedup_window`, by every endpoint of the destination or by those of
     /// one zone.
     Deduplicated {
         /// Only endpoints in the zone of the first one drop the repeat.
@@ -41,7 +41,7 @@
     pub deadline: Ms,
     /// What a repeat does.
     pub effect: Effect,
-    /// For [`Effect::Keyed`]: span in which repeats are dropped.
+    /// For [`Effect::Deduplicated`]: span in which repeats are dropped.
     pub dedup_window: Ms,
     /// Messages with the same ordering key are sent one at a time, in order.
     pub in_order: bool,
@@ -119,7 +119,7 @@
     pub over_quota_worth: f64,
     /// Messages that were submitted before are marked.
     pub marks_resubmissions: bool,
-    /// Answers report the limit ([`Report`]), where there is one.
+    /// Answers report the limit ([`LimitReport`]), where there is one.
     pub reports_limits: bool,
     /// Calls that may be outstanding at once.
     pub slots: usize,
@@ -155,7 +155,7 @@
     pub warm_up: Ms,
     /// Quiet period of a key after an attempt that may still run.
     pub key_quiet_period: Ms,
-    /// A message that the module ends is over only after its client confirmed the answer: [`Event::Heard`].
+    /// A message that the module ends is over only after its client confirmed the answer: [`Event::AnswerConfirmed`].
     pub answers_confirmed: bool,
 }
 
@@ -215,7 +215,7 @@
     pub dest: DestId,
     /// Its state.
     pub state: ServiceState,
-    /// See [`Weights`].
+    /// See [`WeightMeaning`].
     pub weight: f64,
 }
 
@@ -361,8 +361,7 @@
     /// An earlier process of this dispatcher ended. Its calls may still run, so every key starts with a quiet
     /// period.
     ProcessRestarted,
-    /// The client confirmed the answer to a message that the module ended; only where `ends_confirmed` is
-    /// set.
+    /// The client confirmed the answer to a message that the module ended; only where `answers_confirmed` is set.
     AnswerConfirmed(MessageId),
     /// This process ends at that time and leaves what it holds to the next one.
     ProcessEndsAt(Ms),
@@ -400,7 +399,7 @@
 /// An output of the decision module, which the host carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message to an endpoint; without `cap`, until the end of its validity.
+    /// Send a message to an endpoint; without `timeout`, until the end of its validity.
     Send {
         /// The message.
         id: MessageId,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -50,7 +50,7 @@
 const FIRST_REFUSAL_WAIT: Ms = 200.0;
 /// Upper bound of that wait, and of the wait at a full connection table.
 const MAX_REFUSAL_WAIT: Ms = 2_000.0;
-/// At the first refusal, the dispatchers are assumed to have built up their last_used for this long.
+/// At the first refusal, the dispatchers are assumed to have built up their load for this long.
 const LOAD_AGE_AT_REFUSAL: Ms = 1_000.0;
 
 // Failures, overdue calls, outages and recovery.
@@ -140,7 +140,7 @@
     best.map(|b| b.1)
 }
 
-/// The decisions of one dispatcher. Pass each batch of events to [`Brain::step`].
+/// The decisions of one dispatcher. Pass each batch of events to [`DecisionModule::step`].
 #[derive(Debug, Default)]
 pub struct DecisionModule {
     settings: Settings,
--- a/src/config.rs
+++ b/src/config.rs
@@ -353,7 +353,7 @@
     pub destination: DestId,
     /// Whether it takes calls.
     pub state: ServiceState,
-    /// See [`Weights`].
+    /// See [`WeightMeaning`].
     pub weight: f64,
 }
 
@@ -423,7 +423,7 @@
     pub listen: SocketAddr,
     /// Address of the control interface; `None` disables it.
     pub control: Option<SocketAddr>,
-    /// Address of the registry; `None` if `known` is the fixed endpoint list.
+    /// Address of the registry; `None` if `initial_endpoints` is the fixed endpoint list.
     pub registry: Option<SocketAddr>,
     /// Where the dispatcher reports messages that it accepted and ended undelivered.
     pub notice_target: NoticeTarget,
--- a/src/dispatch/admit.rs
+++ b/src/dispatch/admit.rs
@@ -116,7 +116,7 @@
             self.backlog.push(no, message.taken.valid_until);
         }
         log::debug!(id = message.taken.identity.1.as_str(), class = message.taken.class.as_str(), member = message.taken.destination,
-            left_ms = message.taken.valid_until - now; "a call is taken on");
+            left_ms = message.taken.valid_until - now; "a message is accepted");
         self.key_order.insert(&message.taken);
         self.messages.insert(no, message);
         if !self.wait_for_copy_ack(now, no, ticket) {
@@ -289,7 +289,7 @@
     }
 
     /// Numbers messages that are accepted from now on from `first` upwards: see
-    /// [`crate::recovery::first_number`].
+    /// [`crate::recovery::first_message_no`].
     pub fn set_first_message_no(&mut self, first: MessageNo) {
         self.next_message_no = self.next_message_no.max(first);
         self.first_message_no = self.next_message_no;
--- a/src/dispatch/book.rs
+++ b/src/dispatch/book.rs
@@ -57,7 +57,7 @@
         let (identity, dest) = (c.taken.identity.clone(), c.taken.destination);
         let (outcome, wait) = outcome_fields(ending);
         log::debug!(id = identity.1.as_str(), class = c.taken.class.as_str(), member = dest, outcome = outcome, wait_ms = wait,
-            attempts = c.attempts, left_ms = c.taken.valid_until - now; "a call ended");
+            attempts = c.attempts, left_ms = c.taken.valid_until - now; "a message ended");
         self.ceilings.message_dequeued(dest);
         self.cells.remove_ended(now, c, ending == Ending::Delivered);
         let platform = identity.0.is_empty();
--- a/src/dispatch/door.rs
+++ b/src/dispatch/door.rs
@@ -42,8 +42,8 @@
 ///
 /// # Errors
 ///
-/// None as such: an invalid line is returned as [`Line::Bad`] with its reason: a line of more than
-/// [`LINE_MOST`] bytes, one that is not UTF-8, an unknown command, a missing or extra argument.
+/// None as such: an invalid line is returned as [`Line::Invalid`] with its reason: a line of more than
+/// [`MAX_LINE_BYTES`] bytes, one that is not UTF-8, an unknown command, a missing or extra argument.
 pub fn read(bytes: &[u8]) -> Line {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return if bytes.len() >= MAX_LINE_BYTES {
--- a/src/dispatch/figures.rs
+++ b/src/dispatch/figures.rs
@@ -48,7 +48,7 @@
 pub struct StartProgress {
     /// `read`, `recovering` or `serving`.
     pub stage: &'static str,
-    /// The state of its folder at the start: see [`crate::recovery::Life::name`].
+    /// The state of its folder at the start: see [`crate::recovery::FolderState::name`].
     pub folder: &'static str,
     /// The incarnation of the state folder, from 1.
     pub life: u64,
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -175,9 +175,9 @@
         /// The answer.
         verdict: Verdict,
     },
-    /// Start an attempt; its end is reported to [`Core::outcome`].
+    /// Start an attempt; its end is reported to [`Core::attempt_ended`].
     StartAttempt(Attempt),
-    /// Cancel an attempt. Its end is reported to [`Core::outcome`] once the endpoint knows of it.
+    /// Cancel an attempt. Its end is reported to [`Core::attempt_ended`] once the endpoint knows of it.
     CancelAttempt {
         /// The message.
         no: MessageNo,
@@ -194,7 +194,7 @@
         /// The endpoint, where its waits are its own.
         route: Option<EndpointId>,
     },
-    /// Probe an endpoint; the result is reported to [`Core::probed`].
+    /// Probe an endpoint; the result is reported to [`Core::probe_ended`].
     Probe {
         /// The endpoint.
         route: EndpointId,
@@ -210,7 +210,7 @@
         /// Its address.
         address: String,
     },
-    /// Send a final answer until [`Core::confirmed`] is called for it.
+    /// Send a final answer until [`Core::final_answer_confirmed`] is called for it.
     SendFinalAnswer(FinalAnswer),
     /// Query the registry again.
     WatchRegistry,
@@ -350,11 +350,11 @@
     pub names: Names,
     /// Names that are no longer configured and are kept only for messages that are still held.
     pub retired: Names,
-    /// See [`Parts::promises`].
+    /// See [`CoreParts::limits`].
     pub promises: Vec<DestinationLimit>,
-    /// See [`Parts::once`].
+    /// See [`CoreParts::at_most_once_classes`].
     pub once: Vec<(String, Ms)>,
-    /// See [`Parts::mesh`].
+    /// See [`CoreParts::cell_map`].
     pub mesh: Option<CellMapView>,
 }
 
@@ -571,7 +571,7 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Applies changed settings, under names that [`crate::config::Names::carry`] has made compatible. Held
+    /// Applies changed settings, under names that [`crate::config::Names::merge_reloaded`] has made compatible. Held
     /// messages, outstanding attempts, retry-afters and drains are kept.
     pub fn reload(&mut self, now: Ms, parts: ReloadParts) {
         self.cells.all.iter_mut().for_each(|c| c.brain.update_settings(parts.settings.clone()));
--- a/src/dispatch/relay.rs
+++ b/src/dispatch/relay.rs
@@ -71,7 +71,7 @@
             let (left, limit) = (report.remaining_share.unwrap_or(-1.0), report.limit.unwrap_or(-1.0));
             let confirmed = confirmed.map_or("not_yet", |how| how.name());
             log::debug!(id = id, member = member, worker = worker, outcome:? = outcome, wait_ms = wait, took_ms = now - out.sent_at,
-                attempt = attempt, left = left, limit = limit, confirmed = confirmed; "a delegation ended");
+                attempt = attempt, left = left, limit = limit, confirmed = confirmed; "an attempt ended");
         }
         let route = out.route;
         let delivered = outcome == Outcome::Delivered;
--- a/src/dispatch/seats_read.rs
+++ b/src/dispatch/seats_read.rs
@@ -5,7 +5,7 @@
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// The phase of a tenant that is served here: see [`SeatRecord::phase`].
+/// The phase of a tenant that is served here: see [`OwnershipRecord::phase`].
 const SETTLED: u32 = 1;
 
 /// The ownership records read from a journal.
--- a/src/dispatch/send.rs
+++ b/src/dispatch/send.rs
@@ -130,7 +130,7 @@
         let after = c.last_outcome.map_or("nothing".to_string(), |outcome| format!("{outcome:?}"));
         log::debug!(id = c.taken.identity.1.as_str(), class = c.taken.class.as_str(), member = c.taken.destination, worker = worker,
             attempt = c.attempts.saturating_sub(1), after = after.as_str(), left_ms = c.taken.valid_until - now;
-            "a delegation begins");
+            "an attempt begins");
     }
 
     /// Asks the send rules whether an attempt may go out. If not, returns how long its endpoint is left alone
--- a/src/dispatch/take_in.rs
+++ b/src/dispatch/take_in.rs
@@ -73,7 +73,7 @@
 }
 
 impl Core {
-    /// Submits a message. The verdict comes as an [`Order::Answer`] of the next [`Core::turn`].
+    /// Submits a message. The verdict comes as an [`Order::AnswerClient`] of the next [`Core::turn`].
     pub fn submit(&mut self, now: Ms, ticket: ClientTicket, s: Submission) {
         self.take_in(now, ticket, s, false);
     }
@@ -207,15 +207,15 @@
                 "{id} was submitted before, and the state folder cannot prove that it was never sent; it is not sent again"),
             Verdict::Failed(cause) => {
                 log::debug!(id = id, class = class, outcome = "failed", why = why.name(),
-                cause = cause.as_str(); "a call is not taken on")
+                cause = cause.as_str(); "a message is rejected")
             }
             Verdict::Busy(wait) => {
                 log::debug!(id = id, class = class, outcome = "busy", why = why.name(), wait_ms = *wait;
-                "a call is not taken on")
+                "a message is rejected")
             }
             _ => {
                 log::debug!(id = id, class = class, outcome = "elsewhere", why = why.name();
-                    "a call is not taken on")
+                    "a message is rejected")
             }
         }
         self.answer_now(class, ticket, verdict);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -278,7 +278,7 @@
     max_start_delay: Ms,
     /// Failures in a row.
     failed: u32,
-    /// Failures in a row that were [`Unanswered::Silent`].
+    /// Failures in a row that were [`RequestFailure::TimedOut`].
     silent: u32,
 }
 
@@ -319,8 +319,8 @@
 
     /// Records a failed request and returns the delay of the next one. What the registry has counts as known
     /// here 6 s after it can be reached, whatever failed before, and an unanswered request
-    /// ([`Asking::patience`]) and the delay after it are shorter together. Only the refusal of an overloaded
-    /// registry may delay many dispatchers for longer: requests that are given up early would keep it
+    /// ([`RegistryBackoff::answer_timeout`]) and the delay after it are shorter together. Only the refusal of an
+    /// overloaded registry may delay many dispatchers for longer: requests that are given up early would keep it
     /// overloaded, and nobody would get an answer.
     pub(crate) fn record_failure(&mut self, why: RequestFailure, draw: f64) -> Ms {
         let gap = (FIRST_RETRY_GAP * f64::from(1u32 << self.failed.min(8))).min(MAX_RETRY_GAP);
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -208,7 +208,7 @@
 /// An attempt whose last byte was written, as it is recorded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WrittenAttempt {
-    /// Latest time for writing it: see [`write_by`].
+    /// Latest time for writing it: see [`latest_write`].
     pub latest_write: Ms,
     /// When the retry-after that is in force at its endpoint arrived.
     pub retry_after_received_at: Option<Ms>,
@@ -287,7 +287,7 @@
 /// The endpoint's own end of the connection may have crossed this side's, so it does not prove that the
 /// endpoint has seen the latter. After this span the endpoint has.
 pub const CROSSED_CLOSE_DELAY: Ms = 100.0;
-/// The same as [`CONFIRM_MOST`] for attempts that another process left outstanding when it ended: the system
+/// The same as [`CONFIRM_TIMEOUT`] for attempts that another process left outstanding when it ended: the system
 /// ends its connections at once, and the next process has taken a while to start.
 const INHERITED_CONFIRM_TIMEOUT: Ms = 500.0;
 
@@ -336,7 +336,7 @@
     pub records_pending: bool,
 }
 
-/// Whether the process may end now. At [`LEAVE_AFTER`] it may in any case: requests that were read get an
+/// Whether the process may end now. At [`SHUTDOWN_TIMEOUT`] it may in any case: requests that were read get an
 /// answer then, and the next process takes over the rest.
 ///
 /// # Errors
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -127,14 +127,14 @@
     ///
     /// # Errors
     ///
-    /// See [`Orphan::clear`].
+    /// See [`OrphanedJournal::truncate_and_release`].
     pub fn truncate(&self) -> io::Result<()> {
         write_length_mark(&self._lock, 0)?;
         OpenOptions::new().write(true).open(&self.path)?.set_len(0)
     }
 }
 
-/// State of the folder's other journal file, as found by [`Journal::other`].
+/// State of the folder's other journal file, as found by [`Journal::check_sibling_file`].
 #[derive(Debug)]
 pub enum SiblingFile {
     /// No process holds its lock, and it has no records.
@@ -171,7 +171,7 @@
     ///
     /// Two sibling processes may serve on one folder, each with a file of its own. This process locks the
     /// first file that no running process holds. Records that an ended process left in the other file are
-    /// taken over through [`Journal::orphan`].
+    /// taken over through [`Journal::orphaned_journal`].
     ///
     /// # Errors
     ///
@@ -351,11 +351,11 @@
         waits.filter(|r| matches!(r, Record::RetryAfter { .. })).collect()
     }
 
-    /// The other file, if [`Journal::other`] finds that an ended process left it.
+    /// The other file, if [`Journal::check_sibling_file`] finds that an ended process left it.
     ///
     /// # Errors
     ///
-    /// See [`Journal::other`].
+    /// See [`Journal::check_sibling_file`].
     pub fn orphaned_journal(&self) -> io::Result<Option<OrphanedJournal>> {
         Ok(match self.check_sibling_file()? {
             SiblingFile::Orphaned(orphan) => Some(orphan),
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -20,10 +20,12 @@
 
 /// The content of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Kept")]
 pub struct CachedList {
     /// See [`FORMAT_VERSION`].
     form: u32,
-    /// Identifies the writer: see [`installation`].
+    /// Identifies the writer: see [`writer_id`].
     installation: u32,
     /// When it was written, in wall-clock milliseconds on the timeline of its writer.
     at: Ms,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Decodes the output of [`Kept::encode`] for a start with the clock reading `clocks`; also returns when
+    /// Decodes the output of [`CachedList::encode`] for a start with the clock reading `clocks`; also returns when
     /// it was written.
     ///
     /// # Errors
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! A dispatcher that delivers messages to many external destinations.
 //!
-//! [`brain::Brain`] makes the decisions; [`api`] has all its inputs and outputs. It opens no connection and
+//! [`brain::DecisionModule`] makes the decisions; [`api`] has all its inputs and outputs. It opens no connection and
 //! reads no clock. Two hosts pass events in and carry out actions: [`wire`], a line protocol for the
 //! simulator, and [`dispatch`], the core of the real dispatcher. [`journal`] lets the state of the core
 //! outlast the process, and [`net`] connects the core to sockets. [`config`] reads the settings of both
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -536,7 +536,7 @@
         self.close(index);
     }
 
-    /// Time at which [`Workers::tick`] is due.
+    /// Time at which [`HttpEndpoints::tick`] is due.
     pub fn next_due(&self) -> Option<Ms> {
         self.conns.iter().filter_map(|(_, c)| self.due(c)).min_by(f64::total_cmp)
     }
--- a/src/net/mqtt/broker.rs
+++ b/src/net/mqtt/broker.rs
@@ -466,7 +466,7 @@
         }
     }
 
-    /// Time at which [`Brokers::tick`] is due.
+    /// Time at which [`BrokerSessions::tick`] is due.
     pub fn next_due(&self) -> Option<Ms> {
         let unconfirmed_ends = self.unconfirmed_ends.iter().map(|e| e.closing.until);
         self.conns.iter().filter_map(|(_, c)| self.due(c)).chain(unconfirmed_ends).min_by(f64::total_cmp)
--- a/src/net/registry.rs
+++ b/src/net/registry.rs
@@ -297,7 +297,7 @@
             let value = config::parse_json("registry", text).map_err(|e| e.to_string())?;
             let list = config::parse_endpoint_list(&Node::root("registry", &value), names)
                 .map_err(|e| e.to_string())?;
-            log::debug!(rev = list.revision, whole = list.is_complete, rows = list.endpoints.len(), from = self.rev; "the registry told news");
+            log::debug!(rev = list.revision, whole = list.is_complete, rows = list.endpoints.len(), from = self.rev; "the registry sent an endpoint list");
             if !self.revisions.accept(now, list.revision) {
                 return Err(format!(
                     "endpoint list revision {} is older than the current revision {}",
--- a/src/recovery.rs
+++ b/src/recovery.rs
@@ -188,7 +188,7 @@
         format!("{body} crc {:08x}\n", crc32fast::hash(body.as_bytes()))
     }
 
-    /// Decodes the line written by [`LifeRecord::encode`]; `None` if it is malformed or its checksum does not
+    /// Decodes the line written by [`IncarnationRecord::encode`]; `None` if it is malformed or its checksum does not
     /// match.
     pub fn decode(text: &str) -> Option<IncarnationRecord> {
         let (body, sum) = text.trim_end().rsplit_once(" crc ")?;
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -16,6 +16,8 @@
 
 /// A simultaneous reading of the machine's clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Reading")]
 pub struct ClockReading {
     /// Id of the machine's current boot; 0 if the system does not provide one.
     pub boot: u64,
--- a/src/together.rs
+++ b/src/together.rs
@@ -15,6 +15,8 @@
 /// The content of the file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Together")]
 pub struct ResilienceSettings {
     /// Recovery after a restart.
     pub recovery: Recovery,
@@ -50,6 +52,8 @@
 /// A peer: another dispatcher of the same installation.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
+// Error messages keep the name they have always shown.
+#[serde(expecting = "struct Mate")]
 pub struct Peer {
     /// Its name, which is its `ROUTER_NAME`.
     pub name: String,
@@ -155,7 +159,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Together::read`].
+    /// See [`ResilienceSettings::read`].
     pub fn parse(file: &str, text: &str) -> Result<ResilienceSettings, String> {
         let line_of = |at: usize| text[..at.min(text.len())].matches('\n').count() + 1;
         let together: ResilienceSettings = toml::from_str(text).map_err(|e| {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -305,7 +305,7 @@
         let report = parse_report(fields.optional("feedback")?)?;
         fields.end()?;
         let wait = if outcome == Outcome::Refused { remark } else { 0.0 };
-        // The simulator counts an attempt even if nothing of it was sent, so `unspent` stays false.
+        // The simulator counts an attempt even if nothing of it was sent, so `not_counted` stays false.
         let ended = AttemptEnd {
             took,
             message_ended: over,
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -466,8 +466,8 @@
 /// Guards against two upgrades in a row that reverse the order of an ordering key. Of three successive
 /// processes on one state folder, the first two each accept a message of the key while the endpoint refuses
 /// attempts; the second message is held while the first process runs. The test fails if each process numbers
-/// messages from 1 and puts those that it takes over behind them (`Core::number_from`). With `killed` it also
-/// fails without `Core::restore_both`: two killed processes leave two journal files, and the later one's is
+/// messages from 1 and puts those that it takes over behind them (`Core::set_first_message_no`). With `killed` it also
+/// fails without `Core::restore_journals`: two killed processes leave two journal files, and the later one's is
 /// in the first slot.
 fn check_order_over_three_processes(killed: bool) {
     let (open, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::<String>::new())));
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -48,7 +48,7 @@
 const HOUR_MS: i64 = 3_600_000;
 
 /// Guards against messages that look expired after the clock step and are returned, although they may be
-/// repeated and have time left. Without `timeline::translated` more than a hundred messages are returned.
+/// repeated and have time left. Without `timeline::translate_records` more than a hundred messages are returned.
 #[test]
 fn a_fleet_restarted_with_clocks_an_hour_ahead_delivers_pending_messages() {
     let steps = kill_and_start(HOUR_MS) + &endpoints_reachable(3_400);
@@ -57,7 +57,7 @@
 }
 
 /// Guards against deadlines that move with the clock step. The endpoints stay unresponsive, and each message
-/// must end by its deadline. Without `timeline::translated` those of class `order` end 15 s late.
+/// must end by its deadline. Without `timeline::translate_records` those of class `order` end 15 s late.
 #[test]
 fn a_fleet_restarted_with_clocks_an_hour_behind_ends_messages_in_time() {
     let report = run(scenario(42, 30, REPEATABLE, &kill_and_start(-HOUR_MS)), 6_000, "");
--- a/tests/following.rs
+++ b/tests/following.rs
@@ -27,14 +27,14 @@
         };
         fields.iter().for_each(|f| assert!(rest.contains(f), "'{text}' is logged without {f}: {rest}"));
     };
-    expect_step("a call is taken on", &["class=safe", "member=1", "left_ms="]);
-    expect_step("a delegation begins", &["worker=w1", "attempt=0", "after=nothing"]);
-    expect_step("a delegation ended", &["outcome=Refused", "wait_ms=200"]);
-    expect_step("a delegation begins", &["attempt=1", "after=Refused"]);
-    expect_step("a delegation ended", &["outcome=Reset"]);
-    expect_step("a delegation begins", &["attempt=2", "after=Reset"]);
-    expect_step("a delegation ended", &["outcome=Delivered"]);
-    expect_step("a call ended", &["outcome=delivered", "attempts=3"]);
+    expect_step("a message is accepted", &["class=safe", "member=1", "left_ms="]);
+    expect_step("an attempt begins", &["worker=w1", "attempt=0", "after=nothing"]);
+    expect_step("an attempt ended", &["outcome=Refused", "wait_ms=200"]);
+    expect_step("an attempt begins", &["attempt=1", "after=Refused"]);
+    expect_step("an attempt ended", &["outcome=Reset"]);
+    expect_step("an attempt begins", &["attempt=2", "after=Reset"]);
+    expect_step("an attempt ended", &["outcome=Delivered"]);
+    expect_step("a message ended", &["outcome=delivered", "attempts=3"]);
 }
 
 /// Guards against a rejected message or a closed connection without its reason in the log.
@@ -43,13 +43,13 @@
     let site = TestInstallation::new(&[]);
     site.platform.publish_change(&list_entry("w1", "127.0.0.1:9", "a", 1, "in_service"));
     let mut d = site.start_with("127.0.0.1:0", &[DEBUG]);
-    d.wait_for_log("the registry told news");
+    d.wait_for_log("the registry sent an endpoint list");
     let mut client = d.client();
     assert!(
         client.submit("m1", "c=safe,t=acme,d=900,dest=7").starts_with("-BUSY"),
         "a destination that is not listed"
     );
-    let rejected = d.wait_for_log("a call is not taken on");
+    let rejected = d.wait_for_log("a message is rejected");
     assert!(["id=m1", "outcome=busy", "why=not_listed"].iter().all(|t| rejected.contains(t)), "{rejected}");
     client.send(b"nonsense\r\n");
     assert!(client.read_line().starts_with("-ERR"));
@@ -71,7 +71,7 @@
         site.write_changed_config("\"discovery\":null", "\"discovery\":null,\"control\":\"127.0.0.1:0\"");
     let mut d = site.start_with("127.0.0.1:0", &[("ROUTER_CONFIG", &config), DEBUG]);
     // Until the first endpoint list has arrived, every destination is accepted, the unlisted one of m3 too.
-    d.wait_for_log("the registry told news");
+    d.wait_for_log("the registry sent an endpoint list");
     assert_eq!(d.client().submit("m1", "c=safe,t=acme,d=6000,dest=1"), "+OK");
     assert!(d.client().submit("m2", "c=none,t=acme,d=6000,dest=1").starts_with("-ERR"));
     assert!(d.client().submit("m3", "c=safe,t=acme,d=6000,dest=9").starts_with("-BUSY"));
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -104,7 +104,7 @@
 /// Guards against messages of a killed owner that are lost or run twice. The owner is killed by SIGKILL and
 /// its state folder is lost while an attempt of an at-most-once message has taken effect and messages of one
 /// ordering key wait. The peers deliver in order what never ran, give the at-most-once message its final
-/// answer without a call, and answer messages that are submitted again to them. Without `look`
+/// answer without a call, and answer messages that are submitted again to them. Without `take_over_from_gone_owners`
 /// (crates/replica/src/keeper.rs) no message gets a final answer; without the given-up step in `take_copies`
 /// (src/dispatch/copying.rs) the at-most-once message is sent again.
 #[test]
@@ -151,7 +151,7 @@
 
 /// Guards against messages that wait forever after their owner restarts with an empty state folder, before
 /// its peers count it as gone. The owner gets its messages back from the copies of its peers: idempotent
-/// messages are delivered, and an at-most-once message that ran gets its final answer. Without `remember_own`
+/// messages are delivered, and an at-most-once message that ran gets its final answer. Without `reclaim_own`
 /// (crates/replica) they wait forever, because their owner is alive but does not know them.
 #[test]
 fn an_owner_with_an_empty_state_folder_gets_its_messages_from_its_peers() {
@@ -182,8 +182,8 @@
 }
 
 /// Guards against a slow peer that counts as gone: a dispatcher whose connections to its peers are delayed by
-/// 500 ms each way for 8 s must not be, a disconnected one must. With `GONE_AFTER`
-/// (crates/replica/src/keeper.rs) and `SUSPECT_FOR` (view.rs) at a tenth of their values the slow one counts
+/// 500 ms each way for 8 s must not be, a disconnected one must. With `PEER_GONE_AFTER_MS`
+/// (crates/replica/src/keeper.rs) and `SUSPICION_TIMEOUT` (view.rs) at a tenth of their values the slow one counts
 /// as gone, too.
 #[test]
 fn a_slow_peer_stays_and_a_disconnected_one_counts_as_gone_and_returns() {
@@ -220,7 +220,7 @@
 
 /// Guards against operator blocks that differ between dispatchers. An endpoint blocked on one dispatcher is
 /// blocked on all, and a dispatcher that starts later gets the current state. Concurrent commands on two
-/// dispatchers, one to block and one to unblock, end in the same state everywhere. Without `tell_ban`
+/// dispatchers, one to block and one to unblock, end in the same state everywhere. Without `send_operator_block`
 /// (crates/replica) each knows only its own blocks.
 #[test]
 fn an_operator_block_applies_on_all_dispatchers() {
@@ -280,7 +280,7 @@
 }
 
 /// Guards against an endpoint outage that only the dispatcher that detected it knows: its peers know it, too,
-/// and so does one that restarts with an empty state folder. Without `tell_health`
+/// and so does one that restarts with an empty state folder. Without `send_health`
 /// (crates/replica/src/keeper.rs) each dispatcher knows only the outages that it detected itself.
 #[test]
 fn an_outage_detected_by_one_dispatcher_is_known_to_all() {
@@ -305,7 +305,7 @@
 /// Runs two scenarios under the rig's audit: five dispatchers partitioned into 3 and 2 under load, with
 /// messages accepted on both sides, and reconnected; and three dispatchers of which one is killed and loses
 /// its state folder. No message is lost, delivered twice or has overlapping attempts, and each gets one final
-/// answer. Without the lease in `may_act` (crates/replica/src/keeper.rs) both sides of the partition act on
+/// answer. Without the lease in `may_start_attempt` (crates/replica/src/keeper.rs) both sides of the partition act on
 /// one message (see also crates/replica/tests/keeper.rs).
 #[test]
 fn a_partition_of_five_and_a_killed_one_of_three_pass_the_audit() {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -4,13 +4,10 @@
 use common::*;
 use lilacbank::api::*;
 
-/// `count` of the dispatchers of an installation that has `senders` of them, each with one endpoint.
-fn watched_dispatchers(count: u64, senders: usize) -> Vec<CheckedModule> {
+/// `count` of the dispatchers of an installation that has `dispatchers` of them, each with one endpoint.
+fn watched_dispatchers(count: u64, dispatchers: usize) -> Vec<CheckedModule> {
     let one = |seed| {
-        CheckedModule::new(
-            Settings { seed, dispatchers: senders, ..settings() },
-            vec![endpoint_row(0, 1, 0, 0)],
-        )
+        CheckedModule::new(Settings { seed, dispatchers, ..settings() }, vec![endpoint_row(0, 1, 0, 0)])
     };
     (1..=count).map(|seed| one(seed * 7919)).collect()
 }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -18,7 +18,7 @@
 
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Polls until the condition holds; fails the test after [`PATIENCE`], which is longer than any machine
+/// Polls until the condition holds; fails the test after [`TEST_TIMEOUT`], which is longer than any machine
 /// needs.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
@@ -176,7 +176,7 @@
     }
 }
 
-/// A request that a [`Puppet`] received. The test writes the answer.
+/// A request that a [`ManualServer`] received. The test writes the answer.
 pub struct ReceivedRequest {
     pub request: Request,
     pub stream: TcpStream,
--- a/tests/together.rs
+++ b/tests/together.rs
@@ -147,10 +147,10 @@
 /// Guards against a second attempt of an at-most-once message whose attempt record is damaged. Three
 /// dispatchers are killed by SIGKILL while an attempt of each has taken effect at the endpoint and is
 /// unanswered; then a bit of the attempt record is flipped in each journal. After the restart none is sent
-/// again: each message gets its final answer without a call. Without `journal::unsure` (src/net/start.rs,
-/// after `Journal::open`) each is sent again and takes effect twice. The same happens if a flipped bit in the
-/// last record does not count as damage (src/journal/scan.rs, `whole_length`), because the attempt record
-/// then looks like a torn write.
+/// again: each message gets its final answer without a call. Without
+/// `journal::mark_open_messages_as_possibly_executed` (src/net/start.rs, after `Journal::open`) each is sent again
+/// and takes effect twice. The same happens if a flipped bit in the last record does not count as damage
+/// (src/journal/scan.rs, `whole_length`), because the attempt record then looks like a torn write.
 #[test]
 fn an_at_most_once_message_with_a_damaged_attempt_record_is_not_resent() {
     let effects = Arc::new(Mutex::new(Vec::<String>::new()));
@@ -212,8 +212,8 @@
 /// Guards against a restart that does not recognise the condition of its state folder. Three dispatchers are
 /// killed by SIGKILL while their endpoint is unreachable; then one folder is intact, one has no life record
 /// and one has a damaged life record. Each start logs which applies, and a start on an empty folder logs that
-/// it is either a first start or a wiped folder. Without `recovery::judge` and the life record (src/disk.rs,
-/// `look_at_life`, `write_life`) a start cannot distinguish these.
+/// it is either a first start or a wiped folder. Without `recovery::classify_folder` and the life record (src/disk.rs,
+/// `read_life_record`, `write_life_record`) a start cannot distinguish these.
 #[test]
 fn each_start_logs_whether_its_state_folder_is_intact_lost_or_damaged() {
     let (worker, _open, _effects) = refusing_until_opened();
@@ -369,7 +369,7 @@
 /// registry is reset to an older list that names only an endpoint that is gone. A dispatcher with a newer
 /// cached list refuses and counts the older one and sends messages to the endpoint of the newer list. The
 /// cached list of the second dispatcher is damaged and that of the third belongs to another installation:
-/// each logs the cause and uses the registry's list. Without `Revisions` (src/net/registry.rs, `lines`) the
+/// each logs the cause and uses the registry's list. Without `RevisionCheck` (src/net/registry.rs, `lines`) the
 /// older list is applied and the idempotent message is not delivered.
 #[test]
 fn an_older_endpoint_list_is_refused_and_an_invalid_cached_one_set_aside() {
