--- a/src/disk.rs
+++ b/src/disk.rs
@@ -1,7 +1,7 @@
 //! Access to the files of a state folder apart from the journal: its owner, its life record and the cached
 //! endpoint list. Also inspects folders for the configuration check.
 
-use lilacbank_settings::check::{Folder, Folders};
+use lilacbank_settings::check::{FolderInspector, FolderState};
 use std::io::{self, Write};
 use std::path::Path;
 
@@ -12,25 +12,27 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Disk;
 
-impl Folders for Disk {
-    fn look(&self, path: &str) -> Folder {
+impl FolderInspector for Disk {
+    fn inspect(&self, path: &str) -> FolderState {
         let path = Path::new(path);
         match std::fs::metadata(path) {
-            Ok(m) if !m.is_dir() => Folder::Impossible("it is not a folder".into()),
+            Ok(m) if !m.is_dir() => FolderState::Unusable("it is not a folder".into()),
             Ok(_) => match (owner(path).ok().flatten(), is_writable(path)) {
-                (Some(other), _) => Folder::Of(other),
-                (None, true) => Folder::Good,
-                (None, false) => Folder::ReadOnly,
+                (Some(other), _) => FolderState::OwnedBy(other),
+                (None, true) => FolderState::Usable,
+                (None, false) => FolderState::ReadOnly,
             },
             Err(e) if e.kind() == io::ErrorKind::NotFound => {
                 let absolute = std::path::absolute(path).unwrap_or_else(|_| path.into());
                 let parent = absolute.ancestors().find(|a| a.exists()).unwrap_or(Path::new("/"));
                 match parent.is_dir() && is_writable(parent) {
-                    true => Folder::Missing,
-                    false => Folder::Impossible(format!("'{}' cannot take a new folder", parent.display())),
+                    true => FolderState::Missing,
+                    false => {
+                        FolderState::Unusable(format!("'{}' cannot take a new folder", parent.display()))
+                    }
                 }
             }
-            Err(e) => Folder::Impossible(e.to_string()),
+            Err(e) => FolderState::Unusable(e.to_string()),
         }
     }
 }
@@ -76,7 +78,7 @@
 
 /// The life record of a folder (`None`: no file; `Some(None)`: it is malformed), and whether the folder holds
 /// other files of the dispatcher.
-pub type FolderHistory = (Option<Option<crate::recovery::LifeRecord>>, bool);
+pub type FolderHistory = (Option<Option<crate::recovery::IncarnationRecord>>, bool);
 
 /// Reads the folder's life record and checks for other files. Must run before the journal is opened, which
 /// creates files of its own.
@@ -84,9 +86,11 @@
 /// # Errors
 ///
 /// A file cannot be read now, which says nothing about its content.
-pub fn look_at_life(folder: &Path) -> io::Result<FolderHistory> {
+pub fn read_life_record(folder: &Path) -> io::Result<FolderHistory> {
     let record = match std::fs::read(folder.join(LIFE_FILE)) {
-        Ok(bytes) => Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::LifeRecord::decode)),
+        Ok(bytes) => {
+            Some(std::str::from_utf8(&bytes).ok().and_then(crate::recovery::IncarnationRecord::decode))
+        }
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         Err(e) => return Err(e),
     };
@@ -126,7 +130,7 @@
 
 /// Whether the error is transient, so that the operation may succeed later: the disk may be full or fail for
 /// a while, or the process may be short of file descriptors.
-pub fn may_pass(error: &io::Error) -> bool {
+pub fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::*;
     /// Linux error numbers without an `ErrorKind` of their own: EIO, ENFILE, EMFILE, ENOLCK and ENOBUFS.
     const TRANSIENT_ERRNOS: [i32; 5] = [5, 23, 24, 37, 105];
@@ -143,7 +147,7 @@
 /// # Errors
 ///
 /// The folder cannot be written to.
-pub fn write_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
+pub fn write_life_record(folder: &Path, record: &crate::recovery::IncarnationRecord) -> io::Result<()> {
     overwrite(&folder.join(LIFE_FILE), &format!("{:<255}\n", record.encode().trim_end()))
 }
 
@@ -153,9 +157,9 @@
 /// # Errors
 ///
 /// The life record cannot be read, or the folder cannot be written to.
-pub fn end_life(folder: &Path, record: &crate::recovery::LifeRecord) -> io::Result<()> {
-    match look_at_life(folder)?.0.flatten() {
-        Some(now) if now == *record => write_life(folder, &record.after_clean_end()),
+pub fn record_clean_end(folder: &Path, record: &crate::recovery::IncarnationRecord) -> io::Result<()> {
+    match read_life_record(folder)?.0.flatten() {
+        Some(now) if now == *record => write_life_record(folder, &record.after_clean_end()),
         _ => Ok(()),
     }
 }
@@ -168,7 +172,7 @@
 const MAX_KEPT_BYTES: usize = 32 << 10;
 
 /// Reads the cached endpoint lists of earlier incarnations; files that cannot be read are left out.
-pub fn read_kept(folder: &Path) -> Vec<Vec<u8>> {
+pub fn read_cached_lists(folder: &Path) -> Vec<Vec<u8>> {
     KEPT_FILES.iter().filter_map(|name| std::fs::read(folder.join(name)).ok()).collect()
 }
 
@@ -177,7 +181,7 @@
 /// # Errors
 ///
 /// The folder cannot be written to, or the text is too large.
-pub fn write_kept(folder: &Path, turn: usize, text: &str) -> io::Result<()> {
+pub fn write_cached_list(folder: &Path, turn: usize, text: &str) -> io::Result<()> {
     if text.len() > MAX_KEPT_BYTES {
         return Err(io::Error::other(format!(
             "the cached endpoint list has {} bytes; the limit is {MAX_KEPT_BYTES}",
@@ -188,7 +192,7 @@
 }
 
 /// Renames rejected cached endpoint lists to `*.refused`, so that operators can inspect them.
-pub fn set_kept_aside(folder: &Path) {
+pub fn quarantine_cached_lists(folder: &Path) {
     for name in KEPT_FILES {
         let _ = std::fs::rename(folder.join(name), folder.join(format!("{name}.refused")));
     }
--- a/src/dispatch/hints.rs
+++ b/src/dispatch/hints.rs
@@ -8,12 +8,12 @@
 
 use super::{Core, Withheld};
 use crate::api::*;
-use crate::config::WorkerList;
-use crate::journal::CallNo;
-use crate::kept::Kept;
+use crate::config::EndpointList;
+use crate::journal::MessageNo;
+use crate::kept::CachedList;
 use crate::state::Random;
 use crate::together::Recovery;
-use lilacbank_limits::ramp::{Former, Health, Memory, Ramp};
+use lilacbank_limits::ramp::{Health, HealthTracker, Ramp, RememberedHealth};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// While at-most-once messages wait for a member, one of its endpoints is probed this often.
@@ -26,11 +26,11 @@
 
 /// What a start knows of earlier incarnations.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Past {
+pub struct StartupHistory {
     /// The configured recovery behaviour.
     pub recovery: Recovery,
     /// What the last incarnation remembered of each member.
-    pub former: BTreeMap<String, Former>,
+    pub destination_health: BTreeMap<String, RememberedHealth>,
     /// The state folder cannot vouch for an earlier incarnation.
     pub unproven: bool,
     /// The process has crashed repeatedly: it begins at half the rate.
@@ -42,8 +42,8 @@
 pub(super) struct RecoveryState {
     spec: Recovery,
     ramp: Option<Ramp>,
-    memory: Memory,
-    confirmed_endpoints: BTreeSet<RouteId>,
+    memory: HealthTracker,
+    confirmed_endpoints: BTreeSet<EndpointId>,
     /// Until then a repeated submission of an at-most-once message may have been sent by a lost incarnation.
     unproven_until: Ms,
     next_check: Ms,
@@ -53,20 +53,20 @@
 }
 
 impl RecoveryState {
-    pub(super) fn new(now: Ms, past: Past, settings: &Settings) -> RecoveryState {
-        let Past { recovery: spec, mut former, unproven, crashing } = past;
+    pub(super) fn new(now: Ms, past: StartupHistory, settings: &Settings) -> RecoveryState {
+        let StartupHistory { recovery: spec, mut destination_health, unproven, crashing } = past;
         let enabled = spec.enabled;
         if crashing {
-            former.values_mut().for_each(|f| f.health.rate /= 2.0);
+            destination_health.values_mut().for_each(|f| f.health.rate /= 2.0);
         }
         let first = if crashing { spec.first_rate / 2.0 } else { spec.first_rate };
-        let ramp = (enabled && spec.ramp).then(|| Ramp::begin(now, first, former));
+        let ramp = (enabled && spec.ramp).then(|| Ramp::begin(now, first, destination_health));
         // By then every message that an earlier incarnation accepted has reached its deadline.
-        let longest = settings.classes.iter().filter(|c| c.effect == Effect::Unsafe).map(|c| c.deadline);
+        let longest = settings.classes.iter().filter(|c| c.effect == Effect::AtMostOnce).map(|c| c.deadline);
         let unproven = enabled && spec.refuse_again && unproven;
         RecoveryState {
             ramp,
-            memory: Memory::default(),
+            memory: HealthTracker::default(),
             confirmed_endpoints: BTreeSet::new(),
             unproven_until: if unproven { now + longest.fold(0.0, f64::max) } else { f64::MIN },
             next_check: now,
@@ -88,19 +88,23 @@
 
 impl Core {
     /// Identifies what shares a limit with the endpoint: its own id, or that of its destination.
-    fn limit_group(&self, route: RouteId) -> Option<String> {
+    fn limit_group(&self, route: EndpointId) -> Option<String> {
         let w = self.endpoint(route)?;
-        Some(if self.settings.kind(w.kind).apart { w.uid.clone() } else { format!("dest {}", w.dest) })
+        Some(if self.settings.kind(w.kind).per_endpoint_limit {
+            w.uid.clone()
+        } else {
+            format!("dest {}", w.destination)
+        })
     }
 
     /// Sets what the start knows of earlier incarnations; called before any endpoint list arrives.
-    pub fn begin_from(&mut self, now: Ms, past: Past) {
+    pub fn set_startup_history(&mut self, now: Ms, past: StartupHistory) {
         self.recovery = RecoveryState::new(now, past, &self.settings);
     }
 
     /// The endpoint list has changed: ramps begin, and endpoints are confirmed if they come from the registry
     /// and not from the cached list.
-    pub(super) fn recovery_list_changed(&mut self, now: Ms, listed: &[RouteId], cached: bool) {
+    pub(super) fn recovery_list_changed(&mut self, now: Ms, listed: &[EndpointId], cached: bool) {
         if !self.recovery.spec.enabled {
             return;
         }
@@ -108,43 +112,43 @@
             let Some(member) = self.limit_group(*route) else { continue };
             let draw = self.recovery.random.next();
             if let Some(ramp) = &mut self.recovery.ramp {
-                ramp.listed(now, &member, draw);
+                ramp.add_destination(now, &member, draw);
             }
             self.mark_capacity_changed(*route);
-            if !cached && self.endpoint(*route).is_some_and(|w| w.listing == Listing::Ready) {
+            if !cached && self.endpoint(*route).is_some_and(|w| w.state == ServiceState::InService) {
                 self.confirm_endpoint(*route);
             }
         }
         let members: BTreeSet<String> = self.endpoints.keys().filter_map(|r| self.limit_group(*r)).collect();
-        self.recovery.memory.keep(|m| members.contains(m));
+        self.recovery.memory.retain(|m| members.contains(m));
         let endpoints = &self.endpoints;
         self.recovery.confirmed_endpoints.retain(|r| endpoints.contains_key(r));
     }
 
     /// The registry reports that the endpoint list has not changed.
-    pub fn list_is_current(&mut self) {
+    pub fn endpoint_list_is_current(&mut self) {
         if self.recovery.withholds_at_most_once()
             && self.recovery.confirmed_endpoints.len() < self.endpoints.len()
         {
             let ready = self
                 .endpoints
                 .iter()
-                .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.listing == Listing::Ready);
-            let ready: Vec<RouteId> = ready.map(|(r, _)| *r).collect();
+                .filter(|(_, w)| w.gone_since.is_none() && w.endpoint.state == ServiceState::InService);
+            let ready: Vec<EndpointId> = ready.map(|(r, _)| *r).collect();
             ready.into_iter().for_each(|r| self.confirm_endpoint(r));
         }
     }
 
     /// Confirms an endpoint: at-most-once messages that waited for its destination go to the decision module.
-    fn confirm_endpoint(&mut self, route: RouteId) {
+    fn confirm_endpoint(&mut self, route: EndpointId) {
         if !self.recovery.withholds_at_most_once() || !self.recovery.confirmed_endpoints.insert(route) {
             return;
         }
-        let Some(dest) = self.endpoint(route).map(|w| w.dest) else { return };
+        let Some(dest) = self.endpoint(route).map(|w| w.destination) else { return };
         let waits = |c: &super::HeldMessage| {
-            c.withheld == Some(Withheld::EndpointUnconfirmed) && c.taken.dest == dest
+            c.withheld == Some(Withheld::EndpointUnconfirmed) && c.taken.destination == dest
         };
-        let waiting: Vec<CallNo> =
+        let waiting: Vec<MessageNo> =
             self.messages.iter().filter(|(_, c)| waits(c)).map(|(no, _)| *no).collect();
         waiting.into_iter().for_each(|no| self.resume(no));
     }
@@ -165,8 +169,8 @@
     }
 
     pub(super) fn is_at_most_once_class(&self, class: &str) -> bool {
-        let class = crate::config::place(&self.names.classes, class);
-        class.and_then(|c| self.settings.classes.get(c)).is_some_and(|c| c.effect == Effect::Unsafe)
+        let class = crate::config::index_of(&self.names.classes, class);
+        class.and_then(|c| self.settings.classes.get(c)).is_some_and(|c| c.effect == Effect::AtMostOnce)
     }
 
     /// Whether this repeated submission may have been sent by an incarnation that the state folder knows
@@ -176,7 +180,7 @@
     }
 
     /// Whether an attempt may go to the endpoint now; else the delay before it is decided on again.
-    pub(super) fn recovery_allows(&mut self, now: Ms, no: CallNo, route: RouteId) -> Result<(), Ms> {
+    pub(super) fn recovery_allows(&mut self, now: Ms, no: MessageNo, route: EndpointId) -> Result<(), Ms> {
         if !self.recovery.spec.enabled {
             return Ok(());
         }
@@ -193,22 +197,23 @@
             self.counters.ramped += 1;
             return Err((again - now).max(1.0));
         }
-        ramp.sent(&member);
+        ramp.attempt_started(&member);
         self.mark_capacity_changed(route);
         Ok(())
     }
 
     /// How many calls the ramp allows, and when it allows more.
-    pub(super) fn ramp_room(&mut self, now: Ms, route: RouteId) -> (u32, Ms) {
+    pub(super) fn ramp_room(&mut self, now: Ms, route: EndpointId) -> (u32, Ms) {
         let Some(member) = self.limit_group(route) else { return (u32::MAX, now) };
         let room = self.recovery.ramp.as_mut().and_then(|r| r.room(now, &member));
         room.unwrap_or((u32::MAX, now))
     }
 
     /// Marks the capacity of an endpoint's destination as changed.
-    fn mark_capacity_changed(&mut self, route: RouteId) {
-        if let Some(dest) = self.endpoint(route).map(|w| w.dest).filter(|_| self.recovery.is_ramping()) {
-            self.ceilings.remind(self.now, dest);
+    fn mark_capacity_changed(&mut self, route: EndpointId) {
+        if let Some(dest) = self.endpoint(route).map(|w| w.destination).filter(|_| self.recovery.is_ramping())
+        {
+            self.ceilings.mark_changed_at(self.now, dest);
         }
     }
 
@@ -216,7 +221,7 @@
     pub(super) fn record_endpoint_response(
         &mut self,
         now: Ms,
-        route: RouteId,
+        route: EndpointId,
         outcome: Outcome,
         probe: bool,
     ) {
@@ -230,7 +235,7 @@
             Outcome::Late | Outcome::NoConnection | Outcome::Reset => (false, false),
             Outcome::Cancelled | Outcome::NotSent => {
                 // This says nothing about the member; the next attempt may serve as the trial.
-                self.recovery.ramp.iter_mut().for_each(|r| r.unheard(&member));
+                self.recovery.ramp.iter_mut().for_each(|r| r.attempt_cancelled(&member));
                 return;
             }
         };
@@ -240,20 +245,20 @@
                 self.recovery.memory.answered(now, &member);
             }
         } else {
-            self.recovery.memory.silent(now, &member);
+            self.recovery.memory.unanswered(now, &member);
         }
         if let Some(ramp) = &mut self.recovery.ramp {
             match answered {
-                true => ramp.heard(now, &member, full),
-                false => ramp.silent(&member),
+                true => ramp.answered(now, &member, full),
+                false => ramp.unanswered(&member),
             }
             if ramp.is_over(now) {
                 // The ramp is over: capacity is reported once more, without its bound.
                 self.recovery.ramp = None;
                 self.reported_capacity.keys().map(|k| k.0).collect::<BTreeSet<_>>().into_iter().for_each(
                     |r| {
-                        if let Some(dest) = self.endpoint(r).map(|w| w.dest) {
-                            self.ceilings.remind(now, dest);
+                        if let Some(dest) = self.endpoint(r).map(|w| w.destination) {
+                            self.ceilings.mark_changed_at(now, dest);
                         }
                     },
                 );
@@ -267,16 +272,16 @@
         if !self.recovery.spec.enabled {
             return Vec::new();
         }
-        self.recovery.memory.learnt(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
+        self.recovery.memory.all_with_time(now).map(|(m, h, at)| (m.to_string(), h, at)).collect()
     }
 
     /// Another dispatcher has newer evidence about a member.
-    pub(super) fn apply_peer_health(&mut self, now: Ms, member: &str, former: Former) {
+    pub(super) fn apply_peer_health(&mut self, now: Ms, member: &str, former: RememberedHealth) {
         if let Some(ramp) = &mut self.recovery.ramp {
-            ramp.told(now, member, former);
+            ramp.update_from_peer(now, member, former);
         }
-        let of = |r: &RouteId| self.limit_group(*r).as_deref() == Some(member);
-        let routes: Vec<RouteId> = self.endpoints.keys().copied().filter(of).collect();
+        let of = |r: &EndpointId| self.limit_group(*r).as_deref() == Some(member);
+        let routes: Vec<EndpointId> = self.endpoints.keys().copied().filter(of).collect();
         routes.into_iter().for_each(|r| self.mark_capacity_changed(r));
     }
 
@@ -293,13 +298,13 @@
             .iter()
             .filter(|(_, c)| c.withheld == Some(Withheld::EndpointUnconfirmed) && c.ending.is_none())
         {
-            dests.insert(c.taken.dest);
+            dests.insert(c.taken.destination);
             if now + RETURN_MARGIN + PROBE_INTERVAL >= c.taken.valid_until {
                 late.push(*no);
             }
         }
         (self.recovery.has_waiting, self.recovery.next_check) = (!dests.is_empty(), now + PROBE_INTERVAL);
-        let wait = NO_ENDPOINT_RETRY_AFTER.min(self.settings.max_advice);
+        let wait = NO_ENDPOINT_RETRY_AFTER.min(self.settings.max_retry_after);
         // Nothing of them was sent since the start or before, so their clients may submit them again.
         late.into_iter().for_each(|no| self.return_message(now, no, wait));
         if !self.settings.can_probe {
@@ -307,8 +312,9 @@
         }
         for dest in dests {
             let routes = self.endpoints_of.get(&dest).cloned().unwrap_or_default();
-            let ready = |r: &&RouteId| self.endpoint(**r).is_some_and(|w| w.listing == Listing::Ready);
-            let ready: Vec<RouteId> = routes.iter().filter(ready).copied().collect();
+            let ready =
+                |r: &&EndpointId| self.endpoint(**r).is_some_and(|w| w.state == ServiceState::InService);
+            let ready: Vec<EndpointId> = routes.iter().filter(ready).copied().collect();
             let pick = (self.recovery.random.next() * ready.len() as f64) as usize;
             ready.get(pick).copied().into_iter().for_each(|r| self.probe(now, r));
         }
@@ -320,15 +326,15 @@
     }
 
     /// What is stored for the next incarnation; `None` where recovery is disabled.
-    pub fn kept(&self, now: Ms, installation: u32, rev: u64) -> Option<Kept> {
+    pub fn cached_endpoint_list(&self, now: Ms, installation: u32, rev: u64) -> Option<CachedList> {
         if !self.recovery.spec.enabled {
             return None;
         }
         let workers =
             self.endpoints.values().filter(|w| w.gone_since.is_none()).map(|w| w.endpoint.clone()).collect();
-        let list = WorkerList { rev, whole: true, workers };
+        let list = EndpointList { revision: rev, is_complete: true, endpoints: workers };
         let health = self.recovery.memory.all(now).map(|(m, h)| (m.to_string(), h));
-        Some(Kept::new(installation, (now, self.journal.clocks()), &list, &self.names, health))
+        Some(CachedList::new(installation, (now, self.journal.clocks()), &list, &self.names, health))
     }
 }
 
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -31,12 +31,12 @@
 mod waits;
 
 use crate::api::*;
-use crate::config::{Names, Worker};
+use crate::config::{Names, RegistryEndpoint};
 use crate::guard;
-use crate::journal::{CallNo, Ending, FileMark, Identity, Journal, Sent};
-use crate::logging::Complaint;
+use crate::journal::{AttemptSent, Ending, FileFingerprint, Identity, Journal, MessageNo};
+use crate::logging::LogThrottle;
 use lilacbank_cells::wire::Envelope;
-use lilacbank_limits::{Ceilings, Promise};
+use lilacbank_limits::{DestinationLimit, RateLimiter};
 use lilacbank_replica::wire::Envelope as MateEnvelope;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -45,33 +45,33 @@
 pub use cells::CellSpec;
 use cells::Cells;
 pub use counters::Counters;
-pub use handover::Left;
-pub use hints::Past;
+pub use handover::EndedJournal;
 use hints::RecoveryState;
+pub use hints::StartupHistory;
 use once::AtMostOnce;
 use seats::Ownership;
-pub use seats::{MeshSpec, PeerSpec};
+pub use seats::{CellMapView, PeerAddresses};
 pub use take_in::Submission;
 
 /// How long after a message's deadline its session may still fetch the final answer.
 const ANSWER_KEPT: Ms = 60_000.0;
 
 /// Identifies the waiting client to its front end.
-pub type Ticket = u64;
+pub type ClientTicket = u64;
 
 /// What a front end answers a client at once.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// Accepted: the client is owed a final answer.
-    Taken,
+    Accepted,
     /// Rejected; the client may submit it again after this many milliseconds (0: no advice).
     Busy(Ms),
     /// Rejected for good: the client must not submit it again.
     Failed(String),
     /// Rejected: another dispatcher serves the tenant.
-    Elsewhere {
+    ServedElsewhere {
         /// How many milliseconds the client waits before it asks the other dispatcher.
-        wait: Ms,
+        retry_after: Ms,
         /// The other dispatcher's name.
         name: String,
         /// Where its RESP2 clients connect.
@@ -83,13 +83,13 @@
 
 /// One attempt to deliver a message to an endpoint, to be carried out by a connection.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Delegation {
+pub struct Attempt {
     /// The message.
-    pub no: CallNo,
+    pub message_no: MessageNo,
     /// The number of the attempt within the message, from 0.
     pub attempt: u32,
     /// The endpoint.
-    pub route: RouteId,
+    pub endpoint: EndpointId,
     /// The endpoint's address.
     pub address: String,
     /// The destination; its endpoints share limits and waits.
@@ -97,80 +97,90 @@
     /// The message id that the client chose.
     pub id: String,
     /// The idempotency key; may be empty.
-    pub idempotency: String,
+    pub idempotency_key: String,
     /// The message body.
     pub body: Vec<u8>,
     /// How long the dispatcher waits for the answer.
-    pub patience: Ms,
+    pub timeout: Ms,
     /// No byte may be written after this time, however late the connection comes up: from then on the
     /// endpoint no longer drops repeats.
-    pub write_by: Ms,
+    pub latest_write: Ms,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct End {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The retry-after that the endpoint asked for; 0 if none.
-    pub wait: Ms,
+    pub retry_after: Ms,
     /// What the endpoint reported of its limit.
-    pub report: Report,
+    pub report: LimitReport,
     /// The platform has ended the message.
-    pub over: bool,
+    pub message_over: bool,
     /// A part of an answer was received.
-    pub heard: bool,
+    pub answer_begun: bool,
     /// The rule that kept the connection from writing the attempt.
-    pub refused: Option<guard::Reason>,
+    pub blocked_by_rule: Option<guard::Reason>,
     /// How it is known that the endpoint counts the attempt as over.
     pub confirmed: Option<guard::Confirmation>,
     /// The endpoint may not count the attempt as over yet: a second end of the same attempt reports that it
     /// does, within this time.
-    pub pending: Option<Ms>,
+    pub confirmed_within: Option<Ms>,
     /// When the attempt ended here, if the report then waited until the endpoint knew.
-    pub at: Option<Ms>,
+    pub ended_at: Option<Ms>,
 }
 
-impl End {
+impl AttemptResult {
     /// An end with nothing but its outcome.
-    pub fn of(outcome: Outcome) -> End {
-        let (wait, report, refused) = (0.0, Report::default(), None);
+    pub fn new(outcome: Outcome) -> AttemptResult {
+        let (wait, report, refused) = (0.0, LimitReport::default(), None);
         let (over, heard, confirmed, pending, at) = (false, false, None, None, None);
-        End { outcome, wait, report, over, heard, refused, confirmed, pending, at }
+        AttemptResult {
+            outcome,
+            retry_after: wait,
+            report,
+            message_over: over,
+            answer_begun: heard,
+            blocked_by_rule: refused,
+            confirmed,
+            confirmed_within: pending,
+            ended_at: at,
+        }
     }
 }
 
 /// The final answer of an accepted message, to be sent until the client confirms it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Told {
+pub struct FinalAnswer {
     /// The message's number, by which the answer is confirmed.
-    pub no: CallNo,
+    pub message_no: MessageNo,
     /// The client, and the id that it gave the message.
     pub identity: Identity,
     /// How the message ended.
     pub ending: Ending,
     /// The front end's reply address, stored with the message.
-    pub reply: Vec<u8>,
+    pub reply_to: Vec<u8>,
     /// After this time no client waits for the answer.
-    pub until: Ms,
+    pub expires_at: Ms,
 }
 
 /// An action that the core wants the network side to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
     /// Answer a waiting client.
-    Answer {
+    AnswerClient {
         /// The client.
-        ticket: Ticket,
+        ticket: ClientTicket,
         /// The answer.
         verdict: Verdict,
     },
-    /// Start an attempt; its end is reported to [`Core::outcome`].
-    Delegate(Delegation),
-    /// Cancel an attempt. Its end is reported to [`Core::outcome`] once the endpoint knows of it.
-    Abandon {
+    /// Start an attempt; its end is reported to [`Core::attempt_ended`].
+    StartAttempt(Attempt),
+    /// Cancel an attempt. Its end is reported to [`Core::attempt_ended`] once the endpoint knows of it.
+    CancelAttempt {
         /// The message.
-        no: CallNo,
+        no: MessageNo,
         /// The number of the attempt.
         attempt: u32,
         /// The outcome if the attempt was written and no answer comes after all.
@@ -178,50 +188,50 @@
     },
     /// Attempts that have not been written yet must not go out: whatever shares this wait was asked to wait,
     /// or the endpoint takes nothing new.
-    Hold {
+    WithholdUnwritten {
         /// The destination.
         dest: DestId,
         /// The endpoint, where its waits are its own.
-        route: Option<RouteId>,
+        route: Option<EndpointId>,
     },
-    /// Probe an endpoint; the result is reported to [`Core::probed`].
+    /// Probe an endpoint; the result is reported to [`Core::probe_ended`].
     Probe {
         /// The endpoint.
-        route: RouteId,
+        route: EndpointId,
         /// Its destination.
         dest: DestId,
         /// Its address.
         address: String,
     },
     /// Close idle connections to an endpoint.
-    CloseIdle {
+    CloseIdleConnections {
         /// The endpoint.
-        route: RouteId,
+        route: EndpointId,
         /// Its address.
         address: String,
     },
-    /// Send a final answer until [`Core::confirmed`] is called for it.
-    Tell(Told),
+    /// Send a final answer until [`Core::final_answer_confirmed`] is called for it.
+    SendFinalAnswer(FinalAnswer),
     /// Query the registry again.
-    Watch,
+    WatchRegistry,
     /// Send a peer message about tenant ownership; it may be lost.
-    Say {
+    SendOwnershipMessage {
         /// The receiving dispatcher.
         to: String,
         /// The peer message.
         envelope: Box<Envelope>,
     },
     /// Send a peer message about replication; it may be lost.
-    Mate {
+    SendReplicationMessage {
         /// The receiving dispatcher.
         to: String,
         /// The peer message.
         envelope: Box<MateEnvelope>,
     },
     /// The set of blocked endpoints has changed and has to be stored for the next process.
-    KeepBans,
+    StoreOperatorBlocks,
     /// Answer an operator's tool on its own connection.
-    Reply {
+    AnswerTool {
         /// The connection.
         conn: usize,
         /// The answer.
@@ -233,7 +243,7 @@
 #[derive(Debug, Clone)]
 struct OutstandingAttempt {
     attempt: u32,
-    route: RouteId,
+    route: EndpointId,
     sent_at: Ms,
     timeout_at: Ms,
     /// The attempt's record is in the journal.
@@ -277,12 +287,12 @@
 /// An accepted message.
 #[derive(Debug, Clone)]
 struct HeldMessage {
-    taken: crate::journal::Taken,
+    taken: crate::journal::AcceptedMessage,
     attempts: u32,
     /// The outcome of the last attempt by this process; logged when the next one starts.
     last_outcome: Option<Outcome>,
     /// When and in which zone the first attempt was sent that may have run.
-    ran: Option<Sent>,
+    ran: Option<AttemptSent>,
     out: Option<OutstandingAttempt>,
     ending: Option<Ending>,
     /// The cell that it belongs to.
@@ -293,13 +303,13 @@
     /// The end of an attempt that delivered the message close to its deadline, so that the platform may not
     /// have counted it as delivered. The decision module learns of it, and frees the key and the slot, once
     /// the platform has confirmed the final answer.
-    unreported_end: Option<Ended>,
+    unreported_end: Option<AttemptEnd>,
 }
 
 /// What is remembered of an identity: the message that it names, or how that message ended.
 #[derive(Debug, Clone)]
 struct KnownIdentity {
-    no: CallNo,
+    no: MessageNo,
     verdict: Verdict,
     ending: Option<Ending>,
     until: Ms,
@@ -310,12 +320,12 @@
 /// An endpoint of the list, and since when it is gone from the list.
 #[derive(Debug, Clone)]
 struct ListedEndpoint {
-    endpoint: Worker,
+    endpoint: RegistryEndpoint,
     gone_since: Option<Ms>,
 }
 
 /// What a [`Core`] is built from.
-pub struct Parts {
+pub struct CoreParts {
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, tenants, zones and kinds in the settings.
@@ -323,29 +333,29 @@
     /// The journal.
     pub journal: Journal,
     /// The limits promised to the members.
-    pub promises: Vec<Promise>,
+    pub limits: Vec<DestinationLimit>,
     /// At-most-once classes, each with the span for which a message is remembered after its end.
-    pub once: Vec<(String, Ms)>,
+    pub at_most_once_classes: Vec<(String, Ms)>,
     /// The cells that this dispatcher serves; if empty, it has a single cell.
     pub cells: Vec<CellSpec>,
     /// The cell map that it shares with other dispatchers, if there are any.
-    pub mesh: Option<MeshSpec>,
+    pub cell_map: Option<CellMapView>,
 }
 
 /// What a configuration reload replaces.
-pub struct Reloaded {
+pub struct ReloadParts {
     /// The settings, under the names below.
     pub settings: Settings,
     /// The names: those that existed before keep their numbers.
     pub names: Names,
     /// Names that are no longer configured and are kept only for messages that are still held.
     pub retired: Names,
-    /// See [`Parts::promises`].
-    pub promises: Vec<Promise>,
-    /// See [`Parts::once`].
+    /// See [`CoreParts::limits`].
+    pub promises: Vec<DestinationLimit>,
+    /// See [`CoreParts::at_most_once_classes`].
     pub once: Vec<(String, Ms)>,
-    /// See [`Parts::mesh`].
-    pub mesh: Option<MeshSpec>,
+    /// See [`CoreParts::cell_map`].
+    pub mesh: Option<CellMapView>,
 }
 
 /// The dispatcher without its network I/O.
@@ -355,16 +365,16 @@
     settings: Settings,
     names: Names,
     journal: Journal,
-    endpoints: BTreeMap<RouteId, ListedEndpoint>,
-    endpoint_by_id: HashMap<String, RouteId>,
-    next_route: RouteId,
-    messages: BTreeMap<CallNo, HeldMessage>,
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
+    endpoint_by_id: HashMap<String, EndpointId>,
+    next_route: EndpointId,
+    messages: BTreeMap<MessageNo, HeldMessage>,
     identities: HashMap<Identity, KnownIdentity>,
     /// Identities, ordered by when they may be forgotten.
     identity_expiry: BTreeSet<(u64, Identity)>,
-    next_message_no: CallNo,
+    next_message_no: MessageNo,
     /// The number of the first message that this process accepts itself.
-    first_message_no: CallNo,
+    first_message_no: MessageNo,
     /// State for the start after an earlier process: endpoint confirmation, rate ramps and member health.
     recovery: RecoveryState,
     /// Replication of messages to other dispatchers, where it is enabled.
@@ -382,13 +392,13 @@
     /// Refusals and violations of the rules on sending and closing.
     pub guard: guard::Counts,
     /// The journal file that was taken over last; it may still exist.
-    adopted_file: Option<FileMark>,
+    adopted_file: Option<FileFingerprint>,
     /// The journal file still holds records that a later process has taken over and continued.
     superseded: bool,
     /// Limits how often failed journal writes are logged.
-    append_errors: Complaint,
+    append_errors: LogThrottle,
     /// Limits how often failed compactions are logged.
-    compaction_errors: Complaint,
+    compaction_errors: LogThrottle,
     /// When writing the deferred journal records is next tried.
     flush_at: Ms,
     /// When a compaction may be tried again.
@@ -396,19 +406,19 @@
     live_bytes: u64,
     identity_bytes: u64,
     /// Verdicts on messages that ended while their clients still wait for the verdict of this turn.
-    verdicts: HashMap<CallNo, Verdict>,
+    verdicts: HashMap<MessageNo, Verdict>,
     /// Clients that wait for the verdict of this turn.
-    awaiting_verdict: Vec<(CallNo, Ticket)>,
+    awaiting_verdict: Vec<(MessageNo, ClientTicket)>,
     orders: Vec<Order>,
-    ceilings: Ceilings,
+    ceilings: RateLimiter,
     at_most_once: AtMostOnce,
     /// Endpoints by destination.
-    endpoints_of: BTreeMap<DestId, Vec<RouteId>>,
+    endpoints_of: BTreeMap<DestId, Vec<EndpointId>>,
     /// The capacity last reported to the decision module, by endpoint and cell: calls, when there is more,
     /// and connections.
-    reported_capacity: HashMap<(RouteId, usize), (u32, Ms, u32)>,
+    reported_capacity: HashMap<(EndpointId, usize), (u32, Ms, u32)>,
     /// Outstanding probes, and what each counts against promised limits.
-    probes: HashMap<RouteId, Option<pace::Charge>>,
+    probes: HashMap<EndpointId, Option<pace::Charge>>,
     /// Names that are no longer configured, while messages that use them are held.
     retired: Names,
     /// The time of the last event.
@@ -419,22 +429,27 @@
     /// Totals since the start.
     pub counters: Counters,
     /// Metrics of the control interface.
-    pub figures: figures::Figures,
+    pub metrics: figures::Metrics,
     /// Ids of the endpoints that operators have blocked.
     blocked_endpoints: BTreeSet<String>,
     /// Endpoints that the decision module has probed and not sent to since.
-    avoided: BTreeSet<RouteId>,
+    avoided: BTreeSet<EndpointId>,
 }
 
 impl Core {
     /// A core that holds no messages.
-    pub fn new(parts: Parts) -> Core {
+    pub fn new(parts: CoreParts) -> Core {
         Core {
             backlog: backlog::Backlog::default(),
             replication: None,
-            recovery: RecoveryState::new(0.0, Past::default(), &parts.settings),
-            cells: Cells::new(&parts.settings, &parts.cells, &parts.promises, parts.journal.room()),
-            ownership: Ownership::new(parts.mesh),
+            recovery: RecoveryState::new(0.0, StartupHistory::default(), &parts.settings),
+            cells: Cells::new(
+                &parts.settings,
+                &parts.cells,
+                &parts.limits,
+                parts.journal.live_records_limit(),
+            ),
+            ownership: Ownership::new(parts.cell_map),
             settings: parts.settings,
             names: parts.names,
             journal: parts.journal,
@@ -453,8 +468,8 @@
             guard: guard::Counts::default(),
             adopted_file: None,
             superseded: false,
-            append_errors: Complaint::default(),
-            compaction_errors: Complaint::default(),
+            append_errors: LogThrottle::default(),
+            compaction_errors: LogThrottle::default(),
             flush_at: 0.0,
             compact_at: 0.0,
             live_bytes: 0,
@@ -462,8 +477,8 @@
             verdicts: HashMap::new(),
             awaiting_verdict: Vec::new(),
             orders: Vec::new(),
-            ceilings: Ceilings::new(parts.promises),
-            at_most_once: AtMostOnce::new(parts.once),
+            ceilings: RateLimiter::new(parts.limits),
+            at_most_once: AtMostOnce::new(parts.at_most_once_classes),
             endpoints_of: BTreeMap::new(),
             reported_capacity: HashMap::new(),
             probes: HashMap::new(),
@@ -472,7 +487,7 @@
             timers: Vec::new(),
             closing: None,
             counters: Counters::default(),
-            figures: figures::Figures::default(),
+            metrics: figures::Metrics::default(),
             blocked_endpoints: BTreeSet::new(),
             avoided: BTreeSet::new(),
         }
@@ -489,7 +504,7 @@
     }
 
     /// The number of messages that have not ended or whose final answer is not confirmed.
-    pub fn holds(&self) -> usize {
+    pub fn held_messages(&self) -> usize {
         self.messages.len()
     }
 
@@ -499,18 +514,18 @@
     /// # Errors
     ///
     /// Its lock or its file cannot be read.
-    pub fn other(&self) -> std::io::Result<crate::journal::Other> {
-        self.journal.other()
+    pub fn sibling_journal(&self) -> std::io::Result<crate::journal::SiblingFile> {
+        self.journal.check_sibling_file()
     }
 
     /// Reports whether another process serves on the state folder. Once that process has ended, messages
     /// withheld because of it go to the decision module, after those taken over from it.
-    pub fn beside(&mut self, now: Ms, lives: bool) {
-        self.journal.share(lives);
+    pub fn observe_sibling(&mut self, now: Ms, lives: bool) {
+        self.journal.set_shared(lives);
         if !self.sibling.observe_folder(now, lives) {
             return;
         }
-        let held: Vec<CallNo> = self
+        let held: Vec<MessageNo> = self
             .messages
             .iter()
             .filter(|(_, c)| c.withheld == Some(Withheld::SiblingProcess))
@@ -520,12 +535,12 @@
     }
 
     /// Whether a sibling process serves on the state folder, during an upgrade.
-    pub fn has_company(&self) -> bool {
+    pub fn has_sibling(&self) -> bool {
         self.sibling.is_present()
     }
 
     /// The number of outstanding attempts.
-    pub fn out(&self) -> usize {
+    pub fn outstanding_attempts(&self) -> usize {
         self.messages.values().filter(|c| c.out.is_some()).count()
     }
 
@@ -556,21 +571,21 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Applies changed settings, under names that [`crate::config::Names::carry`] has made compatible. Held
+    /// Applies changed settings, under names that [`crate::config::Names::merge_reloaded`] has made compatible. Held
     /// messages, outstanding attempts, retry-afters and drains are kept.
-    pub fn reload(&mut self, now: Ms, parts: Reloaded) {
-        self.cells.all.iter_mut().for_each(|c| c.brain.adopt(parts.settings.clone()));
+    pub fn reload(&mut self, now: Ms, parts: ReloadParts) {
+        self.cells.all.iter_mut().for_each(|c| c.brain.update_settings(parts.settings.clone()));
         (self.settings, self.names, self.retired) = (parts.settings, parts.names, parts.retired);
         self.cells.change(now, &self.settings, &parts.promises);
-        self.ceilings.change(now, parts.promises);
+        self.ceilings.set_limits(now, parts.promises);
         self.at_most_once.change(parts.once);
         self.change_map(now, parts.mesh);
     }
 
     /// Announces that this process ends at the time `at`: what cannot finish until then is left to the next
     /// process.
-    pub fn close(&mut self, at: Ms) {
+    pub fn close_at(&mut self, at: Ms) {
         self.closing = Some(at);
-        self.cells.post_all(&Event::Closing(at));
+        self.cells.post_all(&Event::ProcessEndsAt(at));
     }
 }
--- a/src/net/mates.rs
+++ b/src/net/mates.rs
@@ -10,8 +10,8 @@
 use super::{token, SourceKind};
 use crate::api::Ms;
 use crate::dispatch::Core;
-use crate::logging::Complaint;
-use lilacbank_replica::wire::{Envelope, Frames, FRAME_MOST};
+use crate::logging::LogThrottle;
+use lilacbank_replica::wire::{Envelope, FrameDecoder, MAX_FRAME_BYTES};
 use mio::net::TcpStream;
 use slab::Slab;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 /// Number of inbound connections allowed beyond two for each configured peer.
 pub const INBOUND_EXTRA: usize = 8;
 /// Maximum number of unsent bytes queued for one peer.
-const UNSENT_MAX: usize = 4 * FRAME_MOST;
+const UNSENT_MAX: usize = 4 * MAX_FRAME_BYTES;
 
 #[derive(Debug)]
 struct Inbound {
     stream: Stream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 /// The replication connections to and from all peers.
@@ -35,7 +35,7 @@
     inbound_max: usize,
     outbound: OutboundConnections,
     /// Limits the log about invalid frames.
-    invalid_frame_log: Complaint,
+    invalid_frame_log: LogThrottle,
     /// Number of connections closed because of an invalid frame.
     pub invalid_frames: u64,
 }
@@ -48,7 +48,7 @@
             inbound: Slab::new(),
             inbound_max: 2 * named + INBOUND_EXTRA,
             outbound: OutboundConnections::new(SourceKind::ReplicaOut, UNSENT_MAX),
-            invalid_frame_log: Complaint::default(),
+            invalid_frame_log: LogThrottle::default(),
             invalid_frames: 0,
         }
     }
@@ -62,7 +62,7 @@
     pub fn accept(&mut self, tcp: TcpStream, reactor: &Rc<Reactor>) {
         let entry = self.inbound.vacant_entry();
         match Stream::accepted(tcp, reactor, token(SourceKind::ReplicaIn, entry.key())) {
-            Ok(stream) => drop(entry.insert(Inbound { stream, frames: Frames::default() })),
+            Ok(stream) => drop(entry.insert(Inbound { stream, frames: FrameDecoder::default() })),
             Err(e) => log::warn!(cause:% = e; "a peer connection cannot be registered: {e}"),
         }
     }
@@ -74,7 +74,7 @@
 
     /// Opens connections that are due, also to peers learned since.
     pub fn tick(&mut self, now: Ms, reactor: &Rc<Reactor>, core: &Core) {
-        let peers = core.copy_peers();
+        let peers = core.replication_peers();
         if peers.len() != self.outbound.count() {
             for (name, address) in peers {
                 self.outbound.set(&name, address.parse().ok());
@@ -86,7 +86,7 @@
     /// Handles an event on an outbound connection.
     pub fn outbound_ready(&mut self, now: Ms, index: usize, core: &mut Core) {
         if let Change::Lost(name) = self.outbound.ready(now, index) {
-            core.copy_peer_lost(name);
+            core.replication_peer_lost(name);
         }
     }
 
@@ -98,15 +98,15 @@
             i.frames.push(&i.stream.read_buf);
             i.stream.read_buf.clear();
             let why = loop {
-                match i.frames.take(&self.installation) {
-                    Ok(Some(e)) => core.hear_copy(now, e),
+                match i.frames.next_envelope(&self.installation) {
+                    Ok(Some(e)) => core.receive_replication_message(now, e),
                     Ok(None) => break None,
-                    Err(why) => break Some(why.text()),
+                    Err(why) => break Some(why.description()),
                 }
             };
             if let Some(why) = why {
                 self.invalid_frames += 1;
-                if let Some(count) = self.invalid_frame_log.raise(now) {
+                if let Some(count) = self.invalid_frame_log.record(now) {
                     log::warn!(cause = why, count = count; "a peer connection is closed because of an invalid frame: {why}");
                 }
             }
@@ -122,13 +122,13 @@
 
     /// Sends a message to a peer; if too much data is queued for it, its connection is closed.
     pub fn send(&mut self, now: Ms, to: &str, e: &Envelope, core: &mut Core) {
-        let frame = e.frame();
+        let frame = e.to_frame();
         if !self.outbound.has_room(to, frame.len()) {
             self.outbound.cut(now, to);
-            return core.copy_peer_lost(to);
+            return core.replication_peer_lost(to);
         }
         if !self.outbound.send(now, to, &frame) {
-            core.copy_peer_lost(to);
+            core.replication_peer_lost(to);
         }
     }
 }
--- a/src/tool/cli.rs
+++ b/src/tool/cli.rs
@@ -1,6 +1,6 @@
 //! Definition of the command line.
 
-use crate::config::environment;
+use crate::config::env_var;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use lilacbank_settings::units::{Address, Name, Share};
 use std::path::PathBuf;
@@ -38,11 +38,11 @@
 
 impl Serve {
     /// Returns a lookup of environment variables in which command line options take precedence.
-    pub fn environment(&self) -> impl Fn(&str) -> Option<String> + use<> {
+    pub fn environment_lookup(&self) -> impl Fn(&str) -> Option<String> + use<> {
         let config = self.config.as_ref().map(|c| c.display().to_string());
         move |name| match name {
-            "ROUTER_CONFIG" => config.clone().or_else(|| environment(name)),
-            _ => environment(name),
+            "ROUTER_CONFIG" => config.clone().or_else(|| env_var(name)),
+            _ => env_var(name),
         }
     }
 }
--- a/tests/mesh.rs
+++ b/tests/mesh.rs
@@ -4,12 +4,14 @@
 //! writes.
 
 use lilacbank::api::*;
-use lilacbank::config::{Names, Worker, WorkerList};
-use lilacbank::dispatch::{CellSpec, Core, MeshSpec, Order, Parts, PeerSpec, Submission, Ticket, Verdict};
-use lilacbank::journal::{CallNo, Ending, Journal, Record};
-use lilacbank_cells::placement::Area;
-use lilacbank_cells::wire::SeatRecord;
-use lilacbank_cells::wire::{plain, Ask, Envelope, Kind, Wish};
+use lilacbank::config::{EndpointList, Names, RegistryEndpoint};
+use lilacbank::dispatch::{
+    CellMapView, CellSpec, ClientTicket, Core, CoreParts, Order, PeerAddresses, Submission, Verdict,
+};
+use lilacbank::journal::{Ending, Journal, MessageNo, Record};
+use lilacbank_cells::placement::PlacedCell;
+use lilacbank_cells::wire::OwnershipRecord;
+use lilacbank_cells::wire::{envelope_of_kind, Envelope, MessageKind, ToolRequest, ToolRequestKind};
 use prost::Message as _;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -27,41 +29,41 @@
 
 fn settings() -> Settings {
     let class = |effect, in_order| lilacbank::api::Class {
-        promise: 1_000.0,
+        target_time: 1_000.0,
         deadline: DEADLINE,
         effect,
-        window: 10_000.0,
+        dedup_window: 10_000.0,
         in_order,
         late_worth: 0.3,
         worth: 1.0,
-        aim_stretch: 0.0,
+        target_stretch: 0.0,
     };
     Settings {
         seed: 7,
-        senders: 1,
-        round: 5.0,
+        dispatchers: 1,
+        min_step_interval: 5.0,
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed { by_zone: true }, true),
-            class(Effect::Unsafe, true),
+            class(Effect::Idempotent, false),
+            class(Effect::Deduplicated { same_zone_only: true }, true),
+            class(Effect::AtMostOnce, true),
         ],
-        kinds: vec![lilacbank::api::Kind { apart: true, batch: 1 }],
+        kinds: vec![lilacbank::api::DestinationKind { per_endpoint_limit: true, max_batch: 1 }],
         tenant_quota: vec![1e6; TENANTS.len()],
-        over_share_worth: 0.2,
+        over_quota_worth: 0.2,
         slots: 16,
         max_held: 200,
-        most_attempts: 8,
+        max_attempts: 8,
         can_cancel: true,
-        max_advice: 2_000.0,
+        max_retry_after: 2_000.0,
         connect_timeout: 1_000.0,
         answer_slack: 20.0,
         drain_grace: 2_000.0,
         overload_factor: 2.0,
-        overload_for: 2_000.0,
-        cold_from: 0.2,
-        cold: 1_000.0,
-        key_quiet: QUIET,
-        ends_confirmed: true,
+        overload_span: 2_000.0,
+        cold_capacity_share: 0.2,
+        warm_up: 1_000.0,
+        key_quiet_period: QUIET,
+        answers_confirmed: true,
         ..Settings::default()
     }
 }
@@ -97,7 +99,7 @@
 struct Execution {
     id: String,
     dispatcher: usize,
-    no: CallNo,
+    no: MessageNo,
     attempt: u32,
     from: Ms,
     to: Ms,
@@ -114,13 +116,13 @@
     Written {
         dispatcher: usize,
         incarnation: u64,
-        no: CallNo,
+        no: MessageNo,
         attempt: u32,
     },
     Outcome {
         dispatcher: usize,
         incarnation: u64,
-        no: CallNo,
+        no: MessageNo,
         attempt: u32,
         outcome: Outcome,
         may_still_run: bool,
@@ -128,7 +130,7 @@
     Confirm {
         dispatcher: usize,
         incarnation: u64,
-        no: CallNo,
+        no: MessageNo,
     },
 }
 
@@ -148,7 +150,7 @@
     /// When the current message was first submitted; 0 before that.
     begun: Ms,
     /// The submission that has no answer yet, and its time.
-    pending: Option<(Ticket, Ms)>,
+    pending: Option<(ClientTicket, Ms)>,
     /// Id and content of the last submission.
     submitted: Option<(String, Submission)>,
     /// Id, content and time of the last accepted message.
@@ -168,7 +170,7 @@
 #[derive(Default)]
 struct KeyState {
     /// Dispatcher, number, attempt and message of the outstanding attempt.
-    outstanding: Option<(usize, CallNo, u32, String)>,
+    outstanding: Option<(usize, MessageNo, u32, String)>,
     /// Message of the last attempt.
     last: String,
     /// End of the quiet period.
@@ -185,8 +187,8 @@
     dispatchers: Vec<Dispatcher>,
     scheduled: Vec<(Ms, Scheduled)>,
     clients: Vec<Client>,
-    tickets: HashMap<Ticket, usize>,
-    next_ticket: Ticket,
+    tickets: HashMap<ClientTicket, usize>,
+    next_ticket: ClientTicket,
     executions: Vec<Execution>,
     accepted: BTreeSet<String>,
     rejected: BTreeSet<String>,
@@ -287,49 +289,53 @@
         };
         let all = self.dispatchers.len();
         let address = |n: usize| format!("127.0.0.1:{}", 7_000 + n).parse().unwrap();
-        let peers =
-            (0..all).map(|p| PeerSpec { name: dispatcher_name(p), peer: address(p), resp: None, mqtt: None });
+        let peers = (0..all).map(|p| PeerAddresses {
+            name: dispatcher_name(p),
+            peer_address: address(p),
+            resp_address: None,
+            mqtt_address: None,
+        });
         let owner = self.mapped_owner[n];
-        let area = |p: usize| Area {
+        let area = |p: usize| PlacedCell {
             name: format!("c{p}"),
             weight: 1.0,
             dispatchers: vec![dispatcher_name(p)],
             tenants: if p == owner { texts(&TENANTS) } else { Vec::new() },
         };
-        let mesh = MeshSpec {
-            me: dispatcher_name(n),
+        let mesh = CellMapView {
+            own_name: dispatcher_name(n),
             version: 1,
             peers: peers.collect(),
-            areas: (0..all).map(area).collect(),
+            cells: (0..all).map(area).collect(),
         };
-        let mut core = Core::new(Parts {
+        let mut core = Core::new(CoreParts {
             settings: settings(),
             names,
             journal,
-            promises: Vec::new(),
-            once: vec![(ONCE.to_string(), 60_000.0)],
+            limits: Vec::new(),
+            at_most_once_classes: vec![(ONCE.to_string(), 60_000.0)],
             cells: Vec::<CellSpec>::new(),
-            mesh: Some(mesh),
+            cell_map: Some(mesh),
         });
-        let endpoint = |n: usize| Worker {
+        let endpoint = |n: usize| RegistryEndpoint {
             uid: format!("e{n}"),
             address: format!("127.0.0.1:{}", n + 1),
             zone: 0,
             kind: 0,
-            dest: 1,
-            listing: Listing::Ready,
+            destination: 1,
+            state: ServiceState::InService,
             weight: 1.0,
         };
-        core.list(
+        core.apply_endpoint_list(
             self.now,
-            WorkerList { rev: 1, whole: true, workers: vec![endpoint(0), endpoint(1)] },
+            EndpointList { revision: 1, is_complete: true, endpoints: vec![endpoint(0), endpoint(1)] },
             true,
         );
         core.restore(self.now, records);
         for other in (0..all).filter(|o| *o != n) {
-            core.peer_up(&dispatcher_name(other));
+            core.peer_connected(&dispatcher_name(other));
             if let Some(c) = &mut self.dispatchers[other].core {
-                c.peer_up(&dispatcher_name(n));
+                c.peer_connected(&dispatcher_name(n));
             }
         }
         self.dispatchers[n].core = Some(core);
@@ -386,12 +392,12 @@
     fn execute(&mut self, n: usize, order: Order) {
         let incarnation = self.dispatchers[n].incarnation;
         match order {
-            Order::Answer { ticket, verdict } => self.handle_verdict(ticket, verdict),
-            Order::Delegate(d) => {
-                self.attempt_begins(n, d.no, d.attempt, &d.id);
+            Order::AnswerClient { ticket, verdict } => self.handle_verdict(ticket, verdict),
+            Order::StartAttempt(d) => {
+                self.attempt_begins(n, d.message_no, d.attempt, &d.id);
                 let service = self.random.random_range(5.0..60.0);
                 let draw = self.random.random_range(0.0..1.0);
-                let (no, attempt) = (d.no, d.attempt);
+                let (no, attempt) = (d.message_no, d.attempt);
                 let silent =
                     if self.silent_key == message_of(&d.id).split('-').next().and_then(|k| k.parse().ok()) {
                         1.0
@@ -437,7 +443,7 @@
                     );
                 }
             }
-            Order::Abandon { no, attempt, outcome } => {
+            Order::CancelAttempt { no, attempt, outcome } => {
                 let mut begun = true;
                 self.scheduled.retain(|(_, l)| match l {
                     Scheduled::Written { dispatcher, no: x, attempt: a, .. } => {
@@ -475,16 +481,19 @@
                     at.into_iter().for_each(|at| drop(self.executions.remove(at)));
                 }
             }
-            Order::Tell(answer) => {
+            Order::SendFinalAnswer(answer) => {
                 let (endings, _) =
                     self.final_answers.entry(answer.identity.1.clone()).or_insert((Vec::new(), self.now));
                 if !endings.contains(&answer.ending) {
                     endings.push(answer.ending);
                 }
                 let after = self.random.random_range(1.0..60.0);
-                self.schedule(after, Scheduled::Confirm { dispatcher: n, incarnation, no: answer.no });
+                self.schedule(
+                    after,
+                    Scheduled::Confirm { dispatcher: n, incarnation, no: answer.message_no },
+                );
             }
-            Order::Say { to, envelope } => {
+            Order::SendOwnershipMessage { to, envelope } => {
                 let to: usize = to[1..].parse().unwrap();
                 let copies = if self.chance(self.rates.duplicated) { 2 } else { 1 };
                 for _ in 0..copies {
@@ -494,16 +503,16 @@
                     }
                 }
             }
-            Order::Reply { envelope, .. } => {
+            Order::AnswerTool { envelope, .. } => {
                 let answer = envelope.answer.clone().unwrap_or_default();
-                self.ownership.extend(answer.seats.into_iter().map(|s| (n, s.tenant, s.phase)));
+                self.ownership.extend(answer.ownerships.into_iter().map(|s| (n, s.tenant, s.phase)));
             }
             _ => {}
         }
     }
 
     /// Records the start of an attempt under its key and checks that the rule permits it.
-    fn attempt_begins(&mut self, n: usize, no: CallNo, attempt: u32, id: &str) {
+    fn attempt_begins(&mut self, n: usize, no: MessageNo, attempt: u32, id: &str) {
         let (now, message) = (self.now, message_of(id));
         let key: u64 = message.split('-').next().unwrap().parse().unwrap();
         if self.clients.iter().any(|c| c.key == key && c.class == 0) {
@@ -525,7 +534,7 @@
     }
 
     /// Records the end of an attempt under its key.
-    fn attempt_ends(&mut self, n: usize, no: CallNo, attempt: u32, may_still_run: bool) {
+    fn attempt_ends(&mut self, n: usize, no: MessageNo, attempt: u32, may_still_run: bool) {
         let now = self.now;
         let own =
             |t: &&mut KeyState| t.outstanding.as_ref().is_some_and(|o| (o.0, o.1, o.2) == (n, no, attempt));
@@ -539,7 +548,7 @@
         let Some((id, options)) = self.clients[c].accepted.clone() else { return };
         // A returned message that is submitted again is a new message, behind those of its key that were
         // submitted meanwhile.
-        let returned = |e: &Ending| matches!(e, Ending::HandedBack(_));
+        let returned = |e: &Ending| matches!(e, Ending::Returned(_));
         if self.final_answers.get(&id).is_some_and(|(endings, _)| endings.iter().any(returned)) {
             return;
         }
@@ -553,12 +562,12 @@
         // An at-most-once message is recognised by its idempotency key, under any id.
         let new_id = self.clients[c].class == 2 && self.chance(0.5);
         let id = if new_id { format!("{id}9") } else { id };
-        let submission = Submission { identity: (String::new(), id), again: true, ..options };
+        let submission = Submission { identity: (String::new(), id), resubmitted: true, ..options };
         self.step_dispatcher(at, |core| core.submit(now, ticket, submission));
     }
 
     /// A dispatcher's answer to a submission reaches the client.
-    fn handle_verdict(&mut self, ticket: Ticket, verdict: Verdict) {
+    fn handle_verdict(&mut self, ticket: ClientTicket, verdict: Verdict) {
         let Some(c) = self.tickets.remove(&ticket) else { return };
         if self.clients[c].pending.is_none_or(|a| a.0 != ticket) {
             return;
@@ -569,17 +578,17 @@
         let c = &mut self.clients[c];
         match verdict {
             Verdict::Busy(wait) => (c.submissions, c.due) = (c.submissions + 1, now + wait.max(20.0)),
-            Verdict::Elsewhere { wait, name, .. } => {
+            Verdict::ServedElsewhere { retry_after: wait, name, .. } => {
                 (c.submissions, c.due, c.at) = (c.submissions + 1, now + wait, name[1..].parse().unwrap());
             }
-            Verdict::Taken | Verdict::Failed(_) => {
+            Verdict::Accepted | Verdict::Failed(_) => {
                 let message = c.message_of();
-                if verdict == Verdict::Taken {
+                if verdict == Verdict::Accepted {
                     (c.accepted, c.accepted_at) = (c.submitted.clone(), now);
                 }
                 (c.number, c.submissions, c.due, c.begun) = (c.number + 1, 0, now + gap, 0.0);
                 match verdict {
-                    Verdict::Taken => self.accepted.insert(message),
+                    Verdict::Accepted => self.accepted.insert(message),
                     _ => self.rejected.insert(message),
                 };
             }
@@ -604,24 +613,24 @@
         while let Some(at) = next(&self.scheduled) {
             match self.scheduled.remove(at).1 {
                 Scheduled::PeerMessage { to, envelope } => {
-                    self.step_dispatcher(to, |c| c.hear(now, 0, *envelope))
+                    self.step_dispatcher(to, |c| c.receive_ownership_message(now, 0, *envelope))
                 }
                 Scheduled::Written { dispatcher, incarnation, no, attempt }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
-                    self.step_dispatcher(dispatcher, |c| c.written(now, no, attempt));
+                    self.step_dispatcher(dispatcher, |c| c.attempt_written(now, no, attempt));
                 }
                 Scheduled::Outcome { dispatcher, incarnation, no, attempt, outcome, may_still_run }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
                     self.attempt_ends(dispatcher, no, attempt, may_still_run);
-                    let end = lilacbank::dispatch::End::of(outcome);
-                    self.step_dispatcher(dispatcher, |c| c.outcome(now, no, attempt, end));
+                    let end = lilacbank::dispatch::AttemptResult::new(outcome);
+                    self.step_dispatcher(dispatcher, |c| c.attempt_ended(now, no, attempt, end));
                 }
                 Scheduled::Confirm { dispatcher, incarnation, no }
                     if self.dispatchers[dispatcher].incarnation == incarnation =>
                 {
-                    self.step_dispatcher(dispatcher, |c| c.confirmed(now, no));
+                    self.step_dispatcher(dispatcher, |c| c.final_answer_confirmed(now, no));
                 }
                 _ => {}
             }
@@ -681,11 +690,11 @@
             class: CLASSES[client.class].into(),
             tenant: TENANTS[client.tenant].into(),
             key: Some(client.key),
-            idempotency: message,
+            idempotency_key: message,
             dest: 1,
-            left: Some(left),
-            again: client.submissions > 0,
-            reply: Vec::new(),
+            time_left: Some(left),
+            resubmitted: client.submissions > 0,
+            reply_to: Vec::new(),
             body: vec![7; 40],
         };
         client.submitted = Some((submission.identity.1.clone(), submission.clone()));
@@ -695,11 +704,14 @@
     }
 
     /// Sends an operator's request to a dispatcher.
-    fn request(&mut self, n: usize, tenant: &str, ask: Ask, to: &str) {
-        let wish = Some(Wish { ask: ask as i32, to: to.into() });
-        let envelope = Envelope { wish, ..plain("tool", &dispatcher_name(n), tenant, 0, Kind::Wish) };
+    fn request(&mut self, n: usize, tenant: &str, ask: ToolRequestKind, to: &str) {
+        let wish = Some(ToolRequest { kind: ask as i32, to: to.into() });
+        let envelope = Envelope {
+            tool_request: wish,
+            ..envelope_of_kind("tool", &dispatcher_name(n), tenant, 0, MessageKind::ToolRequest)
+        };
         let now = self.now;
-        self.step_dispatcher(n, |c| c.hear(now, 0, envelope));
+        self.step_dispatcher(n, |c| c.receive_ownership_message(now, 0, envelope));
     }
 
     /// An operator moves a tenant to a random dispatcher, or aborts a move.
@@ -710,8 +722,8 @@
         );
         let tenant = TENANTS[self.random.random_range(0..TENANTS.len())];
         match self.chance(self.rates.aborts) {
-            true => self.request(from, tenant, Ask::Abort, ""),
-            false => self.request(from, tenant, Ask::Move, &dispatcher_name(to)),
+            true => self.request(from, tenant, ToolRequestKind::Abort, ""),
+            false => self.request(from, tenant, ToolRequestKind::Move, &dispatcher_name(to)),
         }
     }
 
@@ -719,7 +731,7 @@
     fn ownership(&mut self) -> Vec<(usize, String, String)> {
         self.ownership.clear();
         for n in 0..self.dispatchers.len() {
-            self.request(n, "", Ask::Status, "");
+            self.request(n, "", ToolRequestKind::Status, "");
         }
         std::mem::take(&mut self.ownership)
     }
@@ -750,7 +762,8 @@
                 violations.push(format!("{t} is at {settled:?}, moving at {moving:?}"));
             }
         }
-        let held: usize = self.dispatchers.iter().map(|n| n.core.as_ref().map_or(0, |c| c.holds())).sum();
+        let held: usize =
+            self.dispatchers.iter().map(|n| n.core.as_ref().map_or(0, |c| c.held_messages())).sum();
         if held > 0 {
             violations.push(format!("{held} messages were never ended and are still held"));
         }
@@ -776,7 +789,7 @@
             if endings.len() > 1 {
                 violations.push(format!("{id} has several final answers: {endings:?}"));
             }
-            let returned = endings.iter().any(|e| matches!(e, Ending::HandedBack(_)));
+            let returned = endings.iter().any(|e| matches!(e, Ending::Returned(_)));
             // Submitted again after it was returned, it is a new message: only earlier runs count.
             if returned
                 && class(id) == 2
@@ -822,12 +835,12 @@
         let mut adopting = None;
         for record in records {
             match record {
-                Record::Seat(bytes) => {
-                    let seat = SeatRecord::decode(bytes.as_slice()).unwrap();
+                Record::TenantOwnership(bytes) => {
+                    let seat = OwnershipRecord::decode(bytes.as_slice()).unwrap();
                     adoptions += usize::from(seat.adopts_from.is_some());
                     adopting = seat.adopts_from.map(|_| seat.tenant);
                 }
-                Record::Once { tenant, .. } | Record::Known { tenant, .. } => {
+                Record::AtMostOnceEnded { tenant, .. } | Record::RememberedIdentity { tenant, .. } => {
                     history += usize::from(adopting.as_ref() == Some(&tenant));
                 }
                 _ => {}
@@ -941,7 +954,7 @@
     fn with_committed_move(seed: u64) -> Sim {
         let mut sim = Sim::new(seed, 2, NO_FAULTS);
         sim.until("the tenant is settled", |s| s.phase(0, "acme") == "settled" && s.accepted.len() > 40);
-        sim.request(0, "acme", Ask::Move, "n1");
+        sim.request(0, "acme", ToolRequestKind::Move, "n1");
         sim.until("the move is committed", |s| s.phase(0, "acme") == "committed");
         assert_eq!(sim.phase(1, "acme"), "received");
         sim
@@ -974,9 +987,9 @@
         let end = sim.now + 2_000.0;
         sim.until("time passes", |s| s.now > end);
         assert_eq!(sim.phase(0, "acme"), "committed", "no other dispatcher may serve it");
-        sim.request(0, "acme", Ask::Abort, "");
+        sim.request(0, "acme", ToolRequestKind::Abort, "");
         assert_eq!(sim.phase(0, "acme"), "committed", "a committed move cannot be aborted");
-        sim.request(0, "acme", Ask::Reclaim, "");
+        sim.request(0, "acme", ToolRequestKind::Reclaim, "");
         assert_eq!(sim.phase(0, "acme"), "settled");
         // The target comes back with the received tenant in its folder.
         sim.until("it is back", |s| s.phase(1, "acme") == "away");
@@ -1002,13 +1015,13 @@
             let end = sim.now + 300.0;
             sim.until("time passes", |s| s.now > end);
             sim.silent_key = None;
-            sim.request(0, "acme", Ask::Move, "n1");
+            sim.request(0, "acme", ToolRequestKind::Move, "n1");
             sim.until("the tenant is offered", |s| s.phase(0, "acme") == "offered");
             outstanding +=
                 sim.keys.iter().filter(|(key, t)| **key % 2 == 1 && t.outstanding.is_some()).count();
             // Aborted while those attempts are still outstanding. The last move is left to end by itself.
             if round < 3 {
-                sim.request(0, "acme", Ask::Abort, "");
+                sim.request(0, "acme", ToolRequestKind::Abort, "");
             }
             sim.until("it is back", |s| s.phase(0, "acme") == "settled");
             let end = sim.now + 3_000.0;
@@ -1059,7 +1072,7 @@
     sim.until("messages were accepted", |s| s.accepted.len() > 40);
     let path = sim.dispatchers[0].dir.join("journal");
     let outdated = std::fs::read(&path).unwrap();
-    sim.request(0, "acme", Ask::Move, "n1");
+    sim.request(0, "acme", ToolRequestKind::Move, "n1");
     sim.until("it is served by the target", |s| {
         s.phase(1, "acme") == "settled" && s.phase(0, "acme") == "away"
     });
