--- a/tests/mqtt.rs
+++ b/tests/mqtt.rs
@@ -1,4 +1,5 @@
-//! The MQTT front of the real program: clients, brokers and the workers behind them are stand-ins.
+//! The MQTT front end of the real program. Clients, brokers and the endpoints behind the brokers are
+//! stand-ins.
 
 mod stand;
 #[path = "stand/mqtt.rs"]
@@ -15,7 +16,7 @@
 const SAFE: &str = "class=safe,dest=1,tenant=acme";
 const PAY: &str = "class=pay,dest=1";
 
-fn behind(brokers: &[&Broker]) -> Site {
+fn site_with_brokers(brokers: &[&Broker]) -> Site {
     let list = brokers.iter().enumerate();
     let list: Vec<String> = list
         .map(|(n, b)| entry(&format!("w{n}"), &b.worker(&format!("inbox/{n}")), "a", 1, "in_service"))
@@ -26,9 +27,9 @@
 }
 
 #[test]
-fn a_message_goes_through_a_broker_and_its_answer_comes_back() {
+fn a_message_is_delivered_through_a_broker_and_answered() {
     let broker = Broker::start(|_, _| Does::Answers(200, None));
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("m1", "class=order,dest=1,idempotency-key=5c,key=0a", 10);
@@ -41,14 +42,15 @@
     settle();
     assert_eq!(c.outcomes("m1").len(), 1);
     assert_eq!(*c.acks.lock().unwrap(), [PubackReasonCode::Success]);
-    assert!(site.platform.notices.lock().unwrap().is_empty(), "the platform knows nothing of it");
+    assert!(site.platform.notices.lock().unwrap().is_empty(), "the registry gets no notice for MQTT clients");
 }
 
-/// The broker's PUBACK says that the broker has the message, not that the worker took it.
+/// Guards against a broker's PUBACK that counts as a delivery: it confirms that the broker has the message,
+/// not that the endpoint ran it.
 #[test]
-fn an_acknowledgement_of_the_broker_is_no_delivery() {
+fn a_puback_of_the_broker_is_not_a_delivery() {
     let broker = Broker::start(|_, _| Does::Silence);
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p1", PAY, 1);
@@ -57,19 +59,19 @@
 }
 
 #[test]
-fn errors_refusals_and_what_cannot_be_read_are_told_apart() {
+fn errors_refusals_and_malformed_messages_are_answered_differently() {
     let broker = Broker::start(|m, _| match m.get("id") {
         "full" => Does::Answers(503, None),
         "error" => Does::Answers(500, None),
         _ => Does::Answers(200, None),
     });
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     for bad in ["class=safe", "class=safe,dest=x", "dest=1", "class=safe,dest=1,key=zz"] {
         c.submit("bad", bad, 5);
     }
-    until("all are acknowledged", || c.acks.lock().unwrap().len() == 4);
+    until("all invalid messages are acknowledged", || c.acks.lock().unwrap().len() == 4);
     assert_eq!(*c.acks.lock().unwrap(), [PubackReasonCode::PayloadFormatInvalid; 4]);
     c.submit("unknown", "class=none,dest=1", 5);
     assert_eq!(c.outcome("unknown"), "given_up");
@@ -82,34 +84,36 @@
     assert_eq!((broker.effects_of("error"), broker.effects_of("full")), (1, 0));
 }
 
-/// Guards against a session that reconnects in the middle of a reimbursement and pays it twice.
+/// Guards against a client that reconnects during an attempt of an at-most-once message, submits it again and
+/// causes a second run. A message that is submitted again joins the pending one or gets the same final answer
+/// again, also after a restart.
 #[test]
-fn a_message_submitted_again_joins_the_one_held_or_gets_its_answer_again() {
+fn a_resubmitted_message_joins_the_pending_one_or_gets_its_answer_again() {
     let broker = Broker::start(|m, nth| match nth {
         0 if m.get("id") == "pay-1" => Does::Silence,
         _ => Does::Answers(200, None),
     });
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("pay-1", PAY, 3);
-    until("it is out", || broker.effects_of("pay-1") == 1);
+    until("the attempt has reached the broker", || broker.effects_of("pay-1") == 1);
     c.reconnect(d.mqtt.unwrap());
     c.submit("pay-1", PAY, 3);
     assert_eq!(c.outcome("pay-1"), "given_up");
     c.submit("pay-1", PAY, 3);
-    until("the answer is told again", || c.outcomes("pay-1").len() == 2);
+    until("the final answer is sent again", || c.outcomes("pay-1").len() == 2);
     c.submit("pay-2", PAY, 10);
     assert_eq!(c.outcome("pay-2"), "delivered");
     let mut other = MqttClient::connect(d.mqtt.unwrap(), "bank-2");
     other.submit("pay-2", PAY, 10);
-    assert_eq!(other.outcome("pay-2"), "delivered", "another client's message of that id is another message");
+    assert_eq!(other.outcome("pay-2"), "delivered", "the same id from another client is another message");
     d.kill();
     let d = site.start();
     c.reconnect(d.mqtt.unwrap());
     c.submit("pay-1", PAY, 3);
     c.submit("pay-2", PAY, 3);
-    until("both answers are told again after a restart", || {
+    until("both final answers are sent again after a restart", || {
         c.outcomes("pay-1").len() == 3 && c.outcomes("pay-2").len() == 2
     });
     assert!(c.outcomes("pay-1").iter().all(|o| o == "given_up"));
@@ -117,41 +121,47 @@
     assert_eq!((broker.effects_of("pay-1"), broker.effects_of("pay-2")), (1, 2));
 }
 
-/// The calls with this id, in order.
+/// The arrival times of the calls with this id, in order.
 fn calls_of(broker: &Broker, id: &str) -> Vec<Instant> {
     broker.calls.lock().unwrap().iter().filter(|m| m.get("id") == id).map(|m| m.at).collect()
 }
 
-/// A worker behind a broker sees nothing of a session's end: the next attempt waits for as long as an end is waited for at
-/// most, whoever ended the session.
+/// Guards against overlapping attempts through a broker. An endpoint behind a broker does not notice the end
+/// of the dispatcher's session, so the next attempt waits `CONFIRM_MOST`, the longest wait for a
+/// confirmation, whichever side ended the session.
 #[test]
-fn the_next_attempt_through_a_broker_waits_behind_the_end_of_the_session() {
+fn the_next_attempt_through_a_broker_waits_after_the_end_of_the_session() {
     let bound = Duration::from_millis(CONFIRM_MOST as u64);
     let broken = Broker::start(|_, nth| if nth == 0 { Does::Broken } else { Does::Answers(200, None) });
     let silent = Broker::start(|_, nth| if nth == 0 { Does::Silence } else { Does::Answers(200, None) });
     for broker in [&broken, &silent] {
-        let site = behind(&[broker]);
+        let site = site_with_brokers(&[broker]);
         let d = site.start();
         let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
         c.submit("m", SAFE, 10);
-        until("it is tried again", || calls_of(broker, "m").len() == 2);
+        until("the message is attempted again", || calls_of(broker, "m").len() == 2);
         let again = calls_of(broker, "m")[1];
         let ended = *broker.ended.lock().unwrap().first().expect("the first session has ended");
-        // The broker sees the end a while after it was made.
-        assert!(again.duration_since(ended) > bound / 2, "{:?} after its end", again.duration_since(ended));
+        // The broker notices the end of the session with a delay, so only half of the wait is checked.
+        assert!(
+            again.duration_since(ended) > bound / 2,
+            "{:?} after the end of the session",
+            again.duration_since(ended)
+        );
         assert_eq!(c.outcome("m"), "delivered");
     }
 }
 
-/// What was out when the process died may have run: it is not paid again, and its client hears of it.
+/// Guards against a second run after a kill: an attempt of an at-most-once message that was outstanding when
+/// the process was killed may have run. It is not repeated, and the client gets a final answer.
 #[test]
-fn a_kill_in_the_middle_of_a_reimbursement_ends_it() {
+fn a_kill_during_an_attempt_gives_an_at_most_once_message_up() {
     let broker = Broker::start(|_, _| Does::Silence);
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p", PAY, 20);
-    until("it is out", || broker.effects_of("p") == 1);
+    until("the attempt has reached the broker", || broker.effects_of("p") == 1);
     d.kill();
     let d = site.start();
     c.reconnect(d.mqtt.unwrap());
@@ -160,11 +170,12 @@
     assert_eq!((broker.effects_of("p"), c.outcomes("p").len()), (1, 1));
 }
 
-/// A session that is lost once the PUBLISH is written: the message may have run.
+/// Guards against a session that is lost after the PUBLISH was written and counts as never sent: the message
+/// may have run, so an at-most-once message is given up and an idempotent one is repeated.
 #[test]
-fn a_lost_session_is_a_reset() {
+fn a_lost_session_counts_as_a_reset() {
     let broker = Broker::start(|_, nth| if nth < 2 { Does::Broken } else { Does::Answers(200, None) });
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("p", PAY, 10);
@@ -174,15 +185,16 @@
     assert_eq!((broker.effects_of("p"), broker.effects_of("s")), (1, 2));
 }
 
-/// Sessions on both sides are lost at random, from a seed: effects and final answers are counted.
+/// Loses sessions of clients and brokers at random from a fixed seed, and checks the effects and final
+/// answers of each message.
 #[test]
-fn with_sessions_lost_at_random_every_message_has_one_end_and_none_is_paid_twice() {
+fn with_sessions_lost_at_random_answers_agree_and_no_at_most_once_message_runs_twice() {
     let broker = Broker::start(|m, nth| match (nth * 7919 + m.body.len()) % 11 {
         0 | 4 => Does::Lost,
         7 => Does::Broken,
         _ => Does::Answers(200, None),
     });
-    let site = behind(&[&broker, &broker]);
+    let site = site_with_brokers(&[&broker, &broker]);
     let mut d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     let mut seed: u64 = 0x5DEE_CE66;
@@ -207,13 +219,13 @@
             }
             _ => std::thread::sleep(Duration::from_millis(random(15))),
         }
-        // Whoever has no answer asks again under the same id.
+        // A random earlier message is submitted again under the same id.
         let again = random(n as u64 + 1) as usize;
         c.submit(&format!("m{again}"), &options(again), 20);
     }
     c.reconnect(d.mqtt.unwrap());
-    let open: Vec<usize> = (0..ALL).filter(|n| c.outcomes(&format!("m{n}")).is_empty()).collect();
-    for n in open {
+    let unanswered: Vec<usize> = (0..ALL).filter(|n| c.outcomes(&format!("m{n}")).is_empty()).collect();
+    for n in unanswered {
         c.submit(&format!("m{n}"), &options(n), 20);
     }
     for n in 0..ALL {
@@ -222,18 +234,18 @@
     settle();
     for n in 0..ALL {
         let id = format!("m{n}");
-        let (told, effects) = (c.outcomes(&id), broker.effects_of(&id));
-        assert!(told.iter().all(|o| *o == told[0]), "{id} was told {told:?}");
-        assert!(told[0] != "delivered" || effects > 0, "{id} was told delivered");
-        assert!(n % 3 != 0 || effects <= 1, "{id} was paid {effects} times");
-        assert!(told[0] != "handed_back" || n % 3 != 0 || effects == 0, "{id} was handed back after it ran");
+        let (answers, effects) = (c.outcomes(&id), broker.effects_of(&id));
+        assert!(answers.iter().all(|o| *o == answers[0]), "{id} has different final answers: {answers:?}");
+        assert!(answers[0] != "delivered" || effects > 0, "{id} is answered as delivered but never ran");
+        assert!(n % 3 != 0 || effects <= 1, "{id} ran {effects} times");
+        assert!(answers[0] != "handed_back" || n % 3 != 0 || effects == 0, "{id} was returned after it ran");
     }
 }
 
 #[test]
-fn a_worker_behind_a_broker_that_drains_gets_nothing_new_and_a_restart_serves_what_was_held() {
+fn a_draining_endpoint_gets_nothing_new_and_a_restart_delivers_pending_messages() {
     let [a, b] = [0, 1].map(|_| Broker::start(|_, _| Does::Answers(200, None)));
-    let site = behind(&[&a, &b]);
+    let site = site_with_brokers(&[&a, &b]);
     let mut d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     c.submit("before", PAY, 10);
@@ -244,11 +256,11 @@
     (0..8).for_each(|n| c.submit(&format!("n{n}"), PAY, 10));
     (0..8).for_each(|n| assert_eq!(c.outcome(&format!("n{n}")), "delivered"));
     assert_eq!(a.calls.lock().unwrap().len(), had);
-    // With no worker left, what is held goes over to the next process.
+    // Without an endpoint in service, the pending message passes to the next process.
     site.platform.push(&entry("w1", &b.worker("inbox/1"), "a", 1, "terminating"));
     std::thread::sleep(Duration::from_millis(1_000));
     c.submit("held", "class=order,dest=1,idempotency-key=7", 20);
-    until("it is taken on", || c.acks.lock().unwrap().len() == 10);
+    until("the message is accepted", || c.acks.lock().unwrap().len() == 10);
     d.signal("-TERM");
     d.ended();
     assert_eq!(c.outcomes("held").len(), 0);
@@ -259,11 +271,12 @@
     assert_eq!(b.effects_of("held"), 1);
 }
 
-/// Bytes that are nearly MQTT, from a seed: no session but their own ends.
+/// Guards against malformed packets that end the process or other sessions. The packets are valid MQTT with
+/// random bytes changed from a fixed seed.
 #[test]
-fn malformed_packets_harm_nobody_else() {
+fn malformed_packets_do_not_affect_other_sessions() {
     let broker = Broker::start(|_, _| Does::Answers(200, None));
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let mut d = site.start();
     let mut good = MqttClient::connect(d.mqtt.unwrap(), "good");
     let hello = b"\x10\x14\0\x04MQTT\x05\x02\0\x3c\0\0\x07bank-xx";
@@ -275,7 +288,7 @@
     };
     for n in 0..200 {
         let mut bytes = [&hello[..], &submit[..]].concat();
-        // Mostly the PUBLISH is spoilt, sometimes the CONNECT, sometimes the end is missing.
+        // Mostly the PUBLISH is corrupted, sometimes the CONNECT, and sometimes the end is missing.
         let from = if n % 4 == 0 { 0 } else { hello.len() };
         for _ in 0..=random(3) {
             let at = from + random(bytes.len() - from);
@@ -292,16 +305,17 @@
     assert!(d.running());
 }
 
-/// Guards against a crowd that connects and says nothing, or half a CONNECT, shutting out the usual clients.
+/// Guards against 200 connections that send nothing or half a CONNECT and thereby lock out regular clients.
 #[test]
-fn silent_sessions_are_ended_in_time_and_push_nobody_out() {
+fn silent_sessions_time_out_and_do_not_displace_clients() {
     let broker = Broker::start(|_, _| Does::Answers(200, None));
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let d = site.start();
     let mut old = MqttClient::connect(d.mqtt.unwrap(), "old");
     let start = Instant::now();
-    let mut crowd: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(d.mqtt.unwrap()).unwrap()).collect();
-    for tcp in crowd.iter_mut().step_by(2) {
+    let mut incomplete: Vec<TcpStream> =
+        (0..200).map(|_| TcpStream::connect(d.mqtt.unwrap()).unwrap()).collect();
+    for tcp in incomplete.iter_mut().step_by(2) {
         let _ = tcp.write_all(b"\x10\x14\0\x04MQ");
     }
     let mut new = MqttClient::connect(d.mqtt.unwrap(), "new");
@@ -309,23 +323,24 @@
     assert_eq!(new.outcome("n"), "delivered");
     old.submit("o", PAY, 10);
     assert_eq!(old.outcome("o"), "delivered");
-    for tcp in &mut crowd {
+    for tcp in &mut incomplete {
         tcp.set_read_timeout(Some(PATIENCE)).unwrap();
-        assert_eq!(tcp.read(&mut [0; 16]).unwrap_or(0), 0, "closed without a word");
+        assert_eq!(tcp.read(&mut [0; 16]).unwrap_or(0), 0, "the connection is closed without a packet");
     }
     assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
     old.submit("p", "class=safe,dest=77", 10);
-    assert_eq!(old.outcome("p"), "handed_back", "a destination that no list names");
+    assert_eq!(old.outcome("p"), "handed_back", "the endpoint list does not name the destination");
 }
 
-/// Clients of both fronts at one worker that is full: its wait holds for all of them.
+/// Guards against a retry-after that only one front end observes: the wait that an overloaded endpoint asks
+/// for applies to the messages of RESP2 and MQTT clients alike.
 #[test]
-fn a_full_worker_is_left_alone_by_both_fronts() {
+fn both_front_ends_observe_the_retry_after_of_an_endpoint() {
     let broker = Broker::start(|_, nth| match nth {
         0 => Does::Answers(429, Some("0.8")),
         _ => Does::Answers(200, None),
     });
-    let site = behind(&[&broker]);
+    let site = site_with_brokers(&[&broker]);
     let mut d = site.start();
     let mut c = MqttClient::connect(d.mqtt.unwrap(), "bank-1");
     let mut resp = d.client();
@@ -336,13 +351,15 @@
         assert_eq!(resp.submit(&format!("r{n}"), "c=pay,dest=1"), "+OK");
     }
     let ids = |front: &str| (1..6).map(|n| format!("{front}{n}")).collect::<Vec<_>>();
-    until("all are done", || ids("r").iter().chain(&ids("q")).all(|id| broker.effects_of(id) > 0));
+    until("all messages have reached the endpoint", || {
+        ids("r").iter().chain(&ids("q")).all(|id| broker.effects_of(id) > 0)
+    });
     (0..6).for_each(|n| assert_eq!(c.outcome(&format!("q{n}")), "delivered"));
     settle();
     let calls = broker.calls.lock().unwrap();
     let gap = calls[1].at - calls[0].at;
     assert!(gap >= Duration::from_millis(800), "called again after {gap:?}");
-    // A safe message may be repeated by its watchdog; the others may not.
+    // The watchdog may repeat an idempotent message, but not an at-most-once one.
     ids("r")
         .iter()
         .chain(["q0".to_string()].iter())
