--- a/src/dispatch/seats.rs
+++ b/src/dispatch/seats.rs
@@ -82,7 +82,7 @@
 /// A tenant's ownership, and the state that is not in the journal.
 #[derive(Debug)]
 struct TenantState {
-    seat: TenantOwnership<TenantContents>,
+    ownership: TenantOwnership<TenantContents>,
     /// When the current phase began.
     since: Ms,
     /// When the pending peer message is sent again.
@@ -159,11 +159,11 @@
     }
 
     /// The journal record of a tenant's ownership, with its parked keys.
-    fn record(&self, tenant: &str, seat: &TenantOwnership<TenantContents>) -> OwnershipRecord {
+    fn record(&self, tenant: &str, ownership: &TenantOwnership<TenantContents>) -> OwnershipRecord {
         let own = self.parked.iter().filter(|(_, w)| w.1 == tenant);
         let parked =
             own.map(|(key, w)| QuietKey { key: *key, until: whole_ms(w.0).saturating_add(1) }).collect();
-        OwnershipRecord { quiet_keys: parked, ..wire::to_record(tenant, seat, |n| self.name(n)) }
+        OwnershipRecord { quiet_keys: parked, ..wire::to_record(tenant, ownership, |n| self.name(n)) }
     }
 
     /// Parks keys whose messages wait here for one that ends at another dispatcher.
@@ -181,7 +181,7 @@
 
     /// Replaces the state of a tenant.
     fn set(&mut self, tenant: &str, state: TenantState) {
-        match state.seat.is_moving() {
+        match state.ownership.is_moving() {
             true => self.moving.insert(tenant.to_string()),
             false => self.moving.remove(tenant),
         };
@@ -190,7 +190,7 @@
     }
 
     fn recount_bytes(&mut self) {
-        let received = |p: &TenantState| match &p.seat.phase {
+        let received = |p: &TenantState| match &p.ownership.phase {
             Phase::Received { contents, .. } => contents.encoded_len() as u64,
             _ => 0,
         };
@@ -198,9 +198,9 @@
     }
 }
 
-fn new_tenant_state(now: Ms, seat: TenantOwnership<TenantContents>) -> TenantState {
+fn new_tenant_state(now: Ms, ownership: TenantOwnership<TenantContents>) -> TenantState {
     TenantState {
-        seat,
+        ownership,
         since: now,
         resend_at: now,
         resend_delay: RESEND_FIRST,
@@ -272,14 +272,14 @@
 
     /// Whether the tenant is not served here, or not at the moment.
     pub(super) fn is_not_served_here(&self, tenant: &str) -> bool {
-        self.ownership.tenants.get(tenant).is_some_and(|p| !p.seat.is_serving())
+        self.ownership.tenants.get(tenant).is_some_and(|p| !p.ownership.is_serving())
     }
 
     /// The answer to a client whose tenant is not served here.
     pub(super) fn moved_verdict(&self, tenant: &str) -> Verdict {
         let busy = Verdict::Busy(MOVING_RETRY_AFTER.min(self.settings.max_retry_after));
         let Some(state) = self.ownership.tenants.get(tenant) else { return busy };
-        let Phase::OwnedElsewhere { at: Some(node) } = state.seat.phase else { return busy };
+        let Phase::OwnedElsewhere { at: Some(node) } = state.ownership.phase else { return busy };
         let name = self.ownership.name(node);
         let peer = self.ownership.spec.as_ref().and_then(|s| s.peer(&name));
         let (resp, mqtt) = peer.map_or((None, None), |p| (p.resp_address, p.mqtt_address));
@@ -292,18 +292,19 @@
         let Some(spec) = self.ownership.spec.clone() else { return };
         for (tenant, record) in read.latest {
             let nodes = std::cell::RefCell::new(&mut self.ownership);
-            let seat =
+            let ownership =
                 record.to_ownership(|name| nodes.borrow_mut().node(name), |_| TenantContents::default());
-            let Some(mut seat) = seat else {
+            let Some(mut ownership) = ownership else {
                 log::error!(tenant = tenant.as_str();
                     "the ownership record of '{tenant}' in the journal is invalid");
                 continue;
             };
-            if let Phase::Offered { contents, .. } | Phase::Committed { contents, .. } = &mut seat.phase {
+            if let Phase::Offered { contents, .. } | Phase::Committed { contents, .. } = &mut ownership.phase
+            {
                 *contents = self.handoff_contents(now, &tenant, now);
             }
-            let mut state = new_tenant_state(now, seat);
-            if let Phase::Offered { contents, .. } = &state.seat.phase {
+            let mut state = new_tenant_state(now, ownership);
+            if let Phase::Offered { contents, .. } = &state.ownership.phase {
                 state.offer_until = offer_until(now, contents);
             }
             self.ownership.set(&tenant, state);
@@ -324,12 +325,12 @@
                 }
                 home => home.map(|h| self.ownership.node(&h)),
             };
-            let seat = TenantOwnership::owned_elsewhere(at);
+            let ownership = TenantOwnership::owned_elsewhere(at);
             // Nothing is written while the owner is being queried: another start queries again.
             if at.is_some() {
-                self.write_ownership(&tenant, &seat);
+                self.write_ownership(&tenant, &ownership);
             }
-            self.ownership.set(&tenant, new_tenant_state(now, seat));
+            self.ownership.set(&tenant, new_tenant_state(now, ownership));
         }
         if spec.peers.len() < 2 {
             self.ownership.unclaimed.values_mut().for_each(|t| *t = now);
@@ -345,9 +346,9 @@
         }
     }
 
-    fn write_ownership(&mut self, tenant: &str, seat: &TenantOwnership<TenantContents>) -> bool {
+    fn write_ownership(&mut self, tenant: &str, ownership: &TenantOwnership<TenantContents>) -> bool {
         self.compact_if_full();
-        self.append_ownership(&self.ownership.record(tenant, seat))
+        self.append_ownership(&self.ownership.record(tenant, ownership))
     }
 
     fn append_ownership(&mut self, record: &OwnershipRecord) -> bool {
@@ -363,7 +364,7 @@
     pub(super) fn ownership_records(&self) -> Vec<Record> {
         let known = self.ownership.tenants.iter().filter(|(t, _)| !self.ownership.unclaimed.contains_key(*t));
         let record = |(tenant, p): (&String, &TenantState)| {
-            Record::TenantOwnership(self.ownership.record(tenant, &p.seat).encode_to_vec())
+            Record::TenantOwnership(self.ownership.record(tenant, &p.ownership).encode_to_vec())
         };
         known.map(record).collect()
     }
@@ -377,15 +378,15 @@
         input: Input<TenantContents>,
     ) -> Result<(), MoveError> {
         let Some(state) = self.ownership.tenants.get(tenant) else { return Err(MoveError::NotOwner) };
-        let old = &state.seat;
-        let (seat, orders) = old.handle(input, Faults::default())?;
-        if seat != *old {
+        let old = &state.ownership;
+        let (ownership, orders) = old.handle(input, Faults::default())?;
+        if ownership != *old {
             let (was, old_epoch) = (phase_name(&old.phase), old.epoch);
-            let handed_off = match (&old.phase, &seat.phase) {
+            let handed_off = match (&old.phase, &ownership.phase) {
                 (Phase::Committed { contents, .. }, Phase::OwnedElsewhere { .. }) => Some(contents.clone()),
                 _ => None,
             };
-            let adopted = match (&old.phase, &seat.phase) {
+            let adopted = match (&old.phase, &ownership.phase) {
                 (Phase::Received { contents, .. }, Phase::Owned) => Some(contents.clone()),
                 _ => None,
             };
@@ -393,28 +394,28 @@
             // in between would otherwise serve them here.
             handed_off.iter().for_each(|c| self.remove_handed_off(now, c));
             let written = match &adopted {
-                Some(contents) => self.adopt_tenant(now, tenant, &seat, contents),
-                None => self.write_ownership(tenant, &seat),
+                Some(contents) => self.adopt_tenant(now, tenant, &ownership, contents),
+                None => self.write_ownership(tenant, &ownership),
             };
             if !written {
                 // The input counts as not received; the peer sends it again.
                 return Ok(());
             }
-            let node = counterpart(&seat.phase);
+            let node = counterpart(&ownership.phase);
             let counterpart_name = node.map(|n| self.ownership.name(n)).unwrap_or_default();
-            let (is, epoch) = (phase_name(&seat.phase), seat.epoch);
+            let (is, epoch) = (phase_name(&ownership.phase), ownership.epoch);
             if let Some(mut state) = self.ownership.tenants.remove(tenant) {
                 (state.since, state.resend_at, state.resend_delay) = (now, now + RESEND_FIRST, RESEND_FIRST);
-                if let Phase::Offered { contents, .. } = &seat.phase {
+                if let Phase::Offered { contents, .. } = &ownership.phase {
                     state.offer_until = offer_until(now, contents);
                 }
-                if !matches!(seat.phase, Phase::Draining { .. }) {
+                if !matches!(ownership.phase, Phase::Draining { .. }) {
                     state.drain_until = None;
                 }
                 if let Some(c) = &adopted {
                     state.last_halt = (now - c.suspended_since as Ms).max(0.0);
                 }
-                state.seat = seat;
+                state.ownership = ownership;
                 self.ownership.set(tenant, state);
             }
             self.ownership.unclaimed.remove(tenant);
@@ -430,10 +431,15 @@
 
     fn apply_move_order(&mut self, now: Ms, tenant: &str, order: moving::HostAction<TenantContents>) {
         match order {
-            moving::HostAction::Send(node, word) => {
+            moving::HostAction::Send(node, message) => {
                 let to = self.ownership.name(node);
-                let envelope =
-                    wire::handoff_envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
+                let envelope = wire::handoff_envelope(
+                    self.ownership.me(),
+                    &to,
+                    tenant,
+                    self.ownership.version(),
+                    &message,
+                );
                 self.orders.push(Order::SendOwnershipMessage { to, envelope: Box::new(envelope) });
             }
             moving::HostAction::Drain => self.drain_tenant(now, tenant),
@@ -441,7 +447,7 @@
             // `adopt_tenant` has done it already.
             moving::HostAction::Serve(_) => {}
             moving::HostAction::DropContents => {
-                let committed = |p: &TenantState| matches!(p.seat.phase, Phase::Committed { .. });
+                let committed = |p: &TenantState| matches!(p.ownership.phase, Phase::Committed { .. });
                 // Committed messages stay in the journal until the other dispatcher has confirmed that it
                 // serves them.
                 if !self.ownership.tenants.get(tenant).is_some_and(committed) {
@@ -456,10 +462,10 @@
     /// Tells one dispatcher, or all, that a tenant is served here.
     fn claim(&mut self, tenant: &str, only: Option<&str>) {
         let Some(state) = self.ownership.tenants.get(tenant) else { return };
-        let word = HandoffMessage::Claim { epoch: state.seat.epoch };
+        let message = HandoffMessage::Claim { epoch: state.ownership.epoch };
         for to in self.peer_names().into_iter().filter(|n| only.is_none_or(|o| o == n)) {
             let envelope =
-                wire::handoff_envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &word);
+                wire::handoff_envelope(self.ownership.me(), &to, tenant, self.ownership.version(), &message);
             self.orders.push(Order::SendOwnershipMessage { to, envelope: Box::new(envelope) });
         }
     }
@@ -475,7 +481,7 @@
             .ownership
             .tenants
             .iter()
-            .filter(|(_, p)| p.seat.is_owner())
+            .filter(|(_, p)| p.ownership.is_owner())
             .map(|(t, _)| t.clone())
             .collect();
         owned.iter().for_each(|t| self.claim(t, Some(name)));
@@ -514,16 +520,17 @@
         let from = self.ownership.node(&e.from);
         match kind {
             MessageKind::OwnerQuery => {
-                let theirs =
-                    |p: &TenantState| p.seat.is_owner() || matches!(p.seat.phase, Phase::Committed { .. });
+                let theirs = |p: &TenantState| {
+                    p.ownership.is_owner() || matches!(p.ownership.phase, Phase::Committed { .. })
+                };
                 if self.ownership.tenants.get(&e.tenant).is_some_and(theirs) {
                     self.claim(&e.tenant, Some(&e.from));
                 }
             }
             MessageKind::NoRoom => {
                 let offered = |p: &TenantState| {
-                    p.seat.epoch + 1 == e.epoch
-                        && matches!(p.seat.phase, Phase::Offered { to, .. } if to == from)
+                    p.ownership.epoch + 1 == e.epoch
+                        && matches!(p.ownership.phase, Phase::Offered { to, .. } if to == from)
                 };
                 if self.ownership.tenants.get(&e.tenant).is_some_and(offered) {
                     log::warn!(tenant = e.tenant.as_str(), other = e.from.as_str(), cause = e.reason.as_str();
@@ -532,7 +539,7 @@
                 }
             }
             _ => match e.handoff_message() {
-                Ok(word) => self.handle_peer_message(now, &e, from, word),
+                Ok(message) => self.handle_peer_message(now, &e, from, message),
                 Err(why) => {
                     log::warn!(from = e.from.as_str(), cause:% = why; "a peer message is invalid: {why}")
                 }
@@ -545,19 +552,19 @@
         now: Ms,
         e: &Envelope,
         from: DispatcherId,
-        word: HandoffMessage<TenantContents>,
+        message: HandoffMessage<TenantContents>,
     ) {
         let tenant = e.tenant.as_str();
-        let refuse = match (&word, self.ownership.tenants.get(tenant)) {
+        let refuse = match (&message, self.ownership.tenants.get(tenant)) {
             (HandoffMessage::Offer { .. }, None) => Some("the tenant is not configured here".to_string()),
             (HandoffMessage::Offer { contents, .. }, Some(p))
-                if matches!(p.seat.phase, Phase::OwnedElsewhere { .. }) =>
+                if matches!(p.ownership.phase, Phase::OwnedElsewhere { .. }) =>
             {
                 self.offer_rejection(contents)
             }
             (HandoffMessage::Claim { epoch }, Some(p))
-                if *epoch == p.seat.epoch
-                    && p.seat.phase == Phase::Owned
+                if *epoch == p.ownership.epoch
+                    && p.ownership.phase == Phase::Owned
                     && e.from.as_str() < self.ownership.me() =>
             {
                 log::warn!(tenant = tenant, other = e.from.as_str();
@@ -580,7 +587,7 @@
                 .orders
                 .push(Order::SendOwnershipMessage { to: e.from.clone(), envelope: Box::new(no) });
         }
-        let _ = self.step_ownership(now, tenant, Input::MessageReceived(from, word));
+        let _ = self.step_ownership(now, tenant, Input::MessageReceived(from, message));
     }
 
     /// Why offered contents cannot be accepted here, if they cannot.
@@ -597,9 +604,10 @@
         strange.map(|h| format!("the class '{}' is not configured here", h.class))
     }
 
-    fn operator_request(&mut self, now: Ms, tenant: &str, wish: Option<&ToolRequest>) -> ToolAnswer {
-        let ask = wish.and_then(|w| ToolRequestKind::try_from(w.kind).ok()).unwrap_or(ToolRequestKind::None);
-        let to = wish.map_or("", |w| w.to.as_str());
+    fn operator_request(&mut self, now: Ms, tenant: &str, request: Option<&ToolRequest>) -> ToolAnswer {
+        let ask =
+            request.and_then(|w| ToolRequestKind::try_from(w.kind).ok()).unwrap_or(ToolRequestKind::None);
+        let to = request.map_or("", |w| w.to.as_str());
         let known = tenant.is_empty() && ask == ToolRequestKind::Status
             || self.ownership.tenants.contains_key(tenant);
         let target = self.ownership.spec.as_ref().and_then(|s| s.peer(to)).is_some();
@@ -639,9 +647,9 @@
             let (held, still) = held.get(tenant.as_str()).copied().unwrap_or_default();
             OwnershipReport {
                 tenant: tenant.clone(),
-                phase: if asking { "asking" } else { phase_name(&p.seat.phase) }.into(),
-                peer: counterpart(&p.seat.phase).map(|n| self.ownership.name(n)).unwrap_or_default(),
-                epoch: p.seat.epoch,
+                phase: if asking { "asking" } else { phase_name(&p.ownership.phase) }.into(),
+                peer: counterpart(&p.ownership.phase).map(|n| self.ownership.name(n)).unwrap_or_default(),
+                epoch: p.ownership.epoch,
                 held,
                 suspended: still,
                 phase_ms: whole_ms(now - p.since),
@@ -916,14 +924,14 @@
         &mut self,
         now: Ms,
         tenant: &str,
-        seat: &TenantOwnership<TenantContents>,
+        ownership: &TenantOwnership<TenantContents>,
         contents: &TenantContents,
     ) -> bool {
         self.compact_if_full();
         let parked = contents.quiet_keys.clone();
         let settled = OwnershipRecord {
             quiet_keys: parked,
-            ..wire::to_record(tenant, seat, |n| self.ownership.name(n))
+            ..wire::to_record(tenant, ownership, |n| self.ownership.name(n))
         };
         let first = self.next_message_no;
         let begun = OwnershipRecord { adopts_from: Some(first), ..settled.clone() };
@@ -990,7 +998,7 @@
         self.ownership.park_keys(tenant, &contents.quiet_keys);
         // From here on a compacted journal must contain the ownership that was written above.
         if let Some(state) = self.ownership.tenants.get_mut(tenant) {
-            state.seat = seat.clone();
+            state.ownership = ownership.clone();
         }
         for mut message in messages {
             message.withheld = self.is_parked(message.taken.key).then_some(Withheld::KeyParked);
@@ -1022,7 +1030,7 @@
         self.query_owners(now);
         for tenant in self.ownership.moving.clone() {
             let Some(p) = self.ownership.tenants.get_mut(&tenant) else { continue };
-            match (&p.seat.phase, p.drain_until) {
+            match (&p.ownership.phase, p.drain_until) {
                 (Phase::Draining { .. }, Some(until)) => self.continue_drain(now, &tenant, until),
                 (Phase::Offered { to, .. }, _) if p.offer_until <= now => {
                     let to = *to;
@@ -1089,7 +1097,7 @@
             Some(Withheld::KeyParked) => true,
             Some(Withheld::TenantMoving) => {
                 let p = self.ownership.tenants.get(&c.taken.tenant);
-                c.out.is_none() && p.is_some_and(|p| matches!(p.seat.phase, Phase::Draining { .. }))
+                c.out.is_none() && p.is_some_and(|p| matches!(p.ownership.phase, Phase::Draining { .. }))
             }
             _ => false,
         };
@@ -1108,10 +1116,10 @@
         let due: Vec<String> =
             self.ownership.unclaimed.iter().filter(|a| *a.1 <= now).map(|a| a.0.clone()).collect();
         for tenant in due {
-            let seat = TenantOwnership::owned_here();
-            if self.write_ownership(&tenant, &seat) {
+            let ownership = TenantOwnership::owned_here();
+            if self.write_ownership(&tenant, &ownership) {
                 self.ownership.unclaimed.remove(&tenant);
-                self.ownership.set(&tenant, new_tenant_state(now, seat));
+                self.ownership.set(&tenant, new_tenant_state(now, ownership));
                 self.claim(&tenant, None);
             }
         }
@@ -1142,11 +1150,11 @@
         let asks = self.ownership.unclaimed.values().copied();
         let asks = asks.chain((!self.ownership.unclaimed.is_empty()).then_some(self.ownership.next_query_at));
         let parked = self.ownership.parked.values().map(|w| w.0);
-        let seat = |p: &TenantState| match p.drain_until {
+        let ownership = |p: &TenantState| match p.drain_until {
             Some(until) => until,
             None => p.resend_at.min(p.offer_until),
         };
-        let seats = self.ownership.moving.iter().filter_map(|t| self.ownership.tenants.get(t)).map(seat);
+        let seats = self.ownership.moving.iter().filter_map(|t| self.ownership.tenants.get(t)).map(ownership);
         let expires_at = |c: &HeldMessage| match c.withheld {
             Some(Withheld::KeyParked) if c.ending.is_none() => Some(c.taken.valid_until),
             _ => None,
--- a/src/dispatch/waits.rs
+++ b/src/dispatch/waits.rs
@@ -32,17 +32,17 @@
 
 impl RetryAfters {
     /// Sets an endpoint's retry-after; true if it ends later than the known one.
-    pub fn set(&mut self, now: Ms, worker: &str, until: Ms) -> bool {
-        if self.waits.get(worker).is_some_and(|known| until <= known.until + SAME_WAIT_TOLERANCE) {
+    pub fn set(&mut self, now: Ms, uid: &str, until: Ms) -> bool {
+        if self.waits.get(uid).is_some_and(|known| until <= known.until + SAME_WAIT_TOLERANCE) {
             return false;
         }
-        self.waits.insert(worker.to_string(), Wait { learned_at: now, until });
+        self.waits.insert(uid.to_string(), Wait { learned_at: now, until });
         true
     }
 
     /// The endpoint's retry-after, if it is active.
-    pub fn active(&self, now: Ms, worker: &str) -> Option<Wait> {
-        self.waits.get(worker).copied().filter(|wait| wait.until > now)
+    pub fn active(&self, now: Ms, uid: &str) -> Option<Wait> {
+        self.waits.get(uid).copied().filter(|wait| wait.until > now)
     }
 
     /// Forgets retry-afters that are over.
@@ -53,36 +53,36 @@
     /// Records of the active retry-afters, for a compacted journal.
     pub fn records(&self, now: Ms) -> impl Iterator<Item = Record> + '_ {
         let on = self.waits.iter().filter(move |(_, wait)| wait.until > now);
-        on.map(|(worker, wait)| Record::RetryAfter { endpoint: worker.clone(), until: wait.until })
+        on.map(|(uid, wait)| Record::RetryAfter { endpoint: uid.clone(), until: wait.until })
     }
 }
 
 impl Core {
     /// Records a retry-after that this process received, so that a sibling process keeps it too, now or when
     /// it starts.
-    pub(super) fn record_wait(&mut self, now: Ms, route: EndpointId, wait: Ms) {
-        let Some(worker) = self.endpoint(route).map(|w| w.uid.clone()) else { return };
-        if wait > 0.0 && self.waits.set(now, &worker, now + wait) {
-            self.append_or_defer(&Record::RetryAfter { endpoint: worker, until: now + wait });
+    pub(super) fn record_wait(&mut self, now: Ms, endpoint: EndpointId, wait: Ms) {
+        let Some(uid) = self.endpoint(endpoint).map(|w| w.uid.clone()) else { return };
+        if wait > 0.0 && self.waits.set(now, &uid, now + wait) {
+            self.append_or_defer(&Record::RetryAfter { endpoint: uid, until: now + wait });
         }
     }
 
     /// Applies retry-afters received by the sibling process, or by one that has ended and left its journal.
     pub fn apply_waits(&mut self, now: Ms, records: &[Record]) {
         for record in records {
-            let Record::RetryAfter { endpoint: worker, until } = record else { continue };
-            if *until > now && self.waits.set(now, worker, *until) {
-                log::debug!(worker = worker.as_str(), wait_ms = until - now;
+            let Record::RetryAfter { endpoint: uid, until } = record else { continue };
+            if *until > now && self.waits.set(now, uid, *until) {
+                log::debug!(worker = uid.as_str(), wait_ms = until - now;
                     "the sibling process recorded a retry-after");
-                self.apply_wait(now, worker.clone(), *until);
+                self.apply_wait(now, uid.clone(), *until);
             }
         }
     }
 
     /// The retry-after that is active for the endpoint: its own, or the longest among the endpoints that
     /// share its limit.
-    pub(super) fn active_wait(&self, now: Ms, route: EndpointId) -> Option<Wait> {
-        let w = self.endpoint(route)?;
+    pub(super) fn active_wait(&self, now: Ms, endpoint: EndpointId) -> Option<Wait> {
+        let w = self.endpoint(endpoint)?;
         if self.settings.kind(w.kind).per_endpoint_limit {
             return self.waits.active(now, &w.uid);
         }
@@ -91,21 +91,21 @@
         sharing.filter_map(|w| self.waits.active(now, &w.uid)).max_by(|a, b| a.until.total_cmp(&b.until))
     }
 
-    fn apply_wait(&mut self, now: Ms, worker: String, until: Ms) {
-        match self.endpoint_by_id.get(&worker).copied() {
-            Some(route) => {
-                self.post_retry_after(route, until - now);
-                self.order_hold(route);
+    fn apply_wait(&mut self, now: Ms, uid: String, until: Ms) {
+        match self.endpoint_by_id.get(&uid).copied() {
+            Some(endpoint) => {
+                self.post_retry_after(endpoint, until - now);
+                self.order_hold(endpoint);
             }
-            None => self.waits.for_unlisted.push(worker),
+            None => self.waits.for_unlisted.push(uid),
         }
     }
 
     /// Applies retry-afters of endpoints that have just appeared on the list.
     pub(super) fn apply_unlisted_waits(&mut self, now: Ms) {
-        for worker in std::mem::take(&mut self.waits.for_unlisted) {
-            if let Some(wait) = self.waits.active(now, &worker) {
-                self.apply_wait(now, worker, wait.until);
+        for uid in std::mem::take(&mut self.waits.for_unlisted) {
+            if let Some(wait) = self.waits.active(now, &uid) {
+                self.apply_wait(now, uid, wait.until);
             }
         }
     }
